--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -14,7 +14,7 @@
 from ..policy.crashes.const import RETRY_AFTER_HELD_S
 from ..policy.customers.const import OVER_QUOTA
 from ..policy.edge.const import MIN_RETRY_TIME_S, RETRY_AFTER_OUTAGE_S
-from ..policy.scheduling.events import Asked, EndKind, Refuse
+from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
 from ..scheduling.placing import Answer, Placer
 from .admission import Caller
 from .const import HELD_BACK, OTHER_PLACE_S, PLACES_ASKED
@@ -280,7 +280,7 @@
         limits = self.tools.signal_watch.limits
         return limits.get_limit(runner.runner_id, runner.started_ms) is not None
 
-    async def _async_ask(self, asked: Asked) -> Answer:
+    async def _async_ask(self, asked: GrantRequest) -> Answer:
         """Ask for a place; refused at once if the request becomes held back."""
         future = self.tools.placer.ask(asked)
 
@@ -313,12 +313,12 @@
 
     def _make_ask(
         self, now: float, excluded: list[str], *, repeat: bool = False
-    ) -> Asked:
+    ) -> GrantRequest:
         elapsed = now - self.delivery.arrived_at
         patience = min(self.deadline - now, self.route.patience_s - elapsed)
         if self.delivery.events:
             patience = self.route.patience_s
-        return Asked(
+        return GrantRequest(
             request_id=f"{self.fields.request_id}/{next(self.tools.numbers)}",
             edge=self.tools.incarnation,
             service=self.service.name,
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -14,7 +14,6 @@
 from .events import (
     Action,
     Adopted,
-    Asked,
     EdgeGone,
     Ended,
     EndKind,
@@ -22,6 +21,7 @@
     FirstEventSeen,
     FleetSeen,
     Grant,
+    GrantRequest,
     OrderEnded,
     OrdersAllowed,
     PermitAsked,
@@ -199,8 +199,8 @@
                 self.on_health(running.runner_id, failures)
 
 
-@handles(Asked)
-def _take_asked(core: SchedulingCore, event: Asked, now: float) -> list[Action]:
+@handles(GrantRequest)
+def _take_asked(core: SchedulingCore, event: GrantRequest, now: float) -> list[Action]:
     state = core.state
     if event.cost > 0:
         wait_s = state.quotas.take(event.customer, event.cost, now)
@@ -400,7 +400,7 @@
     return list(refusals)
 
 
-def _note_demand(state: SchedulingState, event: Asked, now: float) -> None:
+def _note_demand(state: SchedulingState, event: GrantRequest, now: float) -> None:
     """Count what is asked for, but not once more when a refused caller returns."""
     if state.returns.take(event.model, event.prompt, now):
         return
@@ -408,7 +408,7 @@
     state.demand.note(event.service, event.model, work_s, now)
 
 
-def _make_waiting(state: SchedulingState, asked: Asked, now: float) -> Waiting:
+def _make_waiting(state: SchedulingState, asked: GrantRequest, now: float) -> Waiting:
     pace = state.pace.get(asked.service)
     reading_s = pace.estimate(asked.model, asked.prompt.tokens)
     objective_at = now + asked.objective_left_s
@@ -421,7 +421,7 @@
     )
 
 
-def _refuse_over_quota(event: Asked, wait_s: float) -> Refuse:
+def _refuse_over_quota(event: GrantRequest, wait_s: float) -> Refuse:
     return Refuse(
         edge=event.edge,
         request_id=event.request_id,
@@ -431,7 +431,7 @@
     )
 
 
-def _refuse(event: Asked, retry_after_s: float, reason: str) -> Refuse:
+def _refuse(event: GrantRequest, retry_after_s: float, reason: str) -> Refuse:
     return Refuse(
         edge=event.edge,
         request_id=event.request_id,
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -39,7 +39,7 @@
 
 
 @frozen(kw_only=True)
-class Asked:
+class GrantRequest:
     """A request waits for a runner."""
 
     request_id: str
@@ -83,7 +83,7 @@
 class Adopted:
     """A request runs at a runner that another scheduler, or the edge itself, chose."""
 
-    asked: Asked
+    asked: GrantRequest
     runner_id: str
     reading: bool
     """Whether it has got no event yet."""
@@ -195,7 +195,7 @@
 
 
 Event = (
-    Asked
+    GrantRequest
     | Adopted
     | FirstEventSeen
     | Ended
--- a/mangoway/policy/scheduling/hopeless.py
+++ b/mangoway/policy/scheduling/hopeless.py
@@ -15,7 +15,7 @@
     PATIENCE_USED,
     RETRY_SPREAD,
 )
-from .events import Asked, Refuse
+from .events import GrantRequest, Refuse
 from .loads import ReadyTimes
 from .queue import allows
 from .requests import Waiting
@@ -87,7 +87,7 @@
             return None
         return self._expect_load(asked), ""
 
-    def _find_allowed_start(self, asked: Asked) -> tuple[float, str] | None:
+    def _find_allowed_start(self, asked: GrantRequest) -> tuple[float, str] | None:
         """Return the same for a request that may not go to all runners."""
         if not any(allows(asked, each) for each in self._runners):
             return None
@@ -100,16 +100,16 @@
             return min(times)
         return self._expect_load(asked), ""
 
-    def _measure_rest(self, asked: Asked, runner_id: str, at: float) -> float:
+    def _measure_rest(self, asked: GrantRequest, runner_id: str, at: float) -> float:
         """Return for how much longer a runner wants nothing of a request's edge."""
         rest_s = self.state.measure_rest(asked, self._runners[runner_id], self.now)
         return max(0.0, self.now + rest_s - at)
 
-    def _expect_load(self, asked: Asked) -> float:
+    def _expect_load(self, asked: GrantRequest) -> float:
         earliest = min(self._free_at.values())
         return max(self._ready.get(asked.model), earliest)
 
-    def _get_heap(self, asked: Asked) -> FreeHeap:
+    def _get_heap(self, asked: GrantRequest) -> FreeHeap:
         key = (asked.model, asked.adapter)
         heap = self._heaps.get(key)
         if heap is None:
@@ -117,7 +117,7 @@
             heapq.heapify(heap)
         return heap
 
-    def _list_times(self, asked: Asked) -> FreeHeap:
+    def _list_times(self, asked: GrantRequest) -> FreeHeap:
         holders = self.state.get_copies(self.service).held.get(asked.model)
         return [
             (max(self._free_at[each], _expect_ready(asked, self._runners[each])), each)
@@ -125,7 +125,7 @@
             if each in self._runners
         ]
 
-    def _occupy(self, asked: Asked, runner_id: str, starts_at: float) -> None:
+    def _occupy(self, asked: GrantRequest, runner_id: str, starts_at: float) -> None:
         pace = self.state.pace.get(self.service)
         reading_s = pace.estimate(asked.model, asked.prompt.tokens)
         entry = self._runners[runner_id].entry
@@ -152,7 +152,7 @@
     return waiting.arrived_at + PATIENCE_USED * patience
 
 
-def _expect_ready(asked: Asked, runner: RunnerState) -> float:
+def _expect_ready(asked: GrantRequest, runner: RunnerState) -> float:
     """Return when a holder of the model can serve a request, its adapter included."""
     held = runner.held[asked.model]
     if not asked.adapter:
--- a/mangoway/policy/scheduling/queue.py
+++ b/mangoway/policy/scheduling/queue.py
@@ -17,7 +17,7 @@
 
 from attrs import define, field
 
-from .events import Asked
+from .events import GrantRequest
 from .requests import Rank, RequestKey, Waiting
 
 NOTHING: Final[dict[str, "ArtifactQueue"]] = {}
@@ -137,7 +137,7 @@
             del self._models[asked.model]
 
 
-def allows(asked: Asked, runner_id: str) -> bool:
+def allows(asked: GrantRequest, runner_id: str) -> bool:
     """Return whether a request may go to a runner, by what it has behind it."""
     if asked.only:
         return runner_id in asked.only
--- a/mangoway/policy/scheduling/requests.py
+++ b/mangoway/policy/scheduling/requests.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-from .events import Asked
+from .events import GrantRequest
 from .prefixes import SizedPart, list_parts
 
 RequestKey = tuple[str, str]
@@ -17,7 +17,7 @@
 class Waiting:
     """A request that waits for a runner."""
 
-    asked: Asked
+    asked: GrantRequest
     arrived_at: float
     objective_at: float
     """Time until which its first event is on time."""
@@ -58,7 +58,7 @@
 class Running:
     """A request that a runner was given."""
 
-    asked: Asked
+    asked: GrantRequest
     runner_id: str
     granted_at: float
     unread_s: float
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -21,7 +21,7 @@
 )
 from .copies import CopyIndex
 from .demand import DemandBook, Returns
-from .events import Asked
+from .events import GrantRequest
 from .gaps import Gaps
 from .pace import PaceBook
 from .prefixes import PrefixMemory
@@ -197,14 +197,16 @@
         edges = RESTING_EDGES * len(self.edge_places)
         return self.limits.list_long(now) | self.rests.list_long(LONG_S, edges, now)
 
-    def measure_rest(self, asked: Asked, runner: RunnerState, now: float) -> float:
+    def measure_rest(
+        self, asked: GrantRequest, runner: RunnerState, now: float
+    ) -> float:
         """Return the seconds for which a runner wants nothing of a request's edge."""
         entry = runner.entry
         return self.rests.measure_wait(
             asked.edge, entry.runner_id, entry.started_ms, now
         )
 
-    def allows(self, asked: Asked, runner: RunnerState, now: float) -> bool:
+    def allows(self, asked: GrantRequest, runner: RunnerState, now: float) -> bool:
         """Return whether a request may go to a runner, as far as it is about both."""
         if not allows(asked, runner.runner_id):
             return False
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -16,11 +16,11 @@
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
     Adopted,
-    Asked,
     Ended,
     EndKind,
     FirstEventSeen,
     Grant,
+    GrantRequest,
     PermitAsked,
     QuotaSpent,
     Refuse,
@@ -50,7 +50,7 @@
 class Placed:
     """A request that was asked for, and what became of it."""
 
-    asked: Asked
+    asked: GrantRequest
     link: Link | None
     """Who places it: a link, or None for the local placer."""
 
@@ -106,7 +106,7 @@
         self.leader.on_leading = self._adopt
         self.leader.on_lost = self._move
 
-    def ask(self, asked: Asked) -> "asyncio.Future[Answer]":
+    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
         """Ask for a place."""
         link = self._find_link()
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -23,11 +23,11 @@
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
     Adopted,
-    Asked,
     Ended,
     EndKind,
     FirstEventSeen,
     Grant,
+    GrantRequest,
     PermitAsked,
     QuotaSpent,
     Refuse,
@@ -288,8 +288,8 @@
     return Told(key=fields[1], value=fields[2].encode())
 
 
-@encodes(Asked)
-def _encode_asked(message: Asked) -> list[Any]:
+@encodes(GrantRequest)
+def _encode_asked(message: GrantRequest) -> list[Any]:
     prompt = message.prompt
     return [
         "ask",
@@ -313,8 +313,8 @@
     ]
 
 
-def _decode_asked(fields: list[Any], edge: str) -> Asked:
-    return Asked(
+def _decode_asked(fields: list[Any], edge: str) -> GrantRequest:
+    return GrantRequest(
         edge=edge,
         request_id=fields[1],
         service=fields[2],
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -11,13 +11,13 @@
 from ..policy.scheduling.events import (
     Action,
     Adopted,
-    Asked,
     Ended,
     EndKind,
     Event,
     FirstEventSeen,
     FleetSeen,
     Grant,
+    GrantRequest,
     Refuse,
     Tick,
 )
@@ -49,7 +49,7 @@
         self._carry_out(self.core.handle(event, self.clock()))
 
     def ask(
-        self, asked: Asked, future: "asyncio.Future[Answer] | None" = None
+        self, asked: GrantRequest, future: "asyncio.Future[Answer] | None" = None
     ) -> "asyncio.Future[Answer]":
         """Ask for a place."""
         future = self._asks.add(asked, future)
@@ -84,7 +84,7 @@
         """Let customers come into debt for a moment, unless they had nothing left."""
         self.core.state.quotas.lend(exhausted, self.clock())
 
-    def adopt(self, asked: Asked, runner_id: str, reading: bool) -> None:
+    def adopt(self, asked: GrantRequest, runner_id: str, reading: bool) -> None:
         """Count a request that runs at a runner which another chose."""
         self.handle(Adopted(asked=asked, runner_id=runner_id, reading=reading))
 
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -8,10 +8,10 @@
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
     Adopted,
-    Asked,
     Ended,
     FirstEventSeen,
     Grant,
+    GrantRequest,
     PermitAsked,
     QuotaSpent,
     Refuse,
@@ -106,7 +106,7 @@
     | Told
     | StateRead
     | StateChanged
-    | Asked
+    | GrantRequest
     | Adopted
     | FirstEventSeen
     | Ended
--- a/mangoway/scheduling/placing.py
+++ b/mangoway/scheduling/placing.py
@@ -6,7 +6,7 @@
 from attrs import define, field
 
 from ..models.runner import RunnerEntry
-from ..policy.scheduling.events import Asked, EndKind, Grant, Refuse
+from ..policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
 
 Answer = Grant | Refuse
 
@@ -14,7 +14,7 @@
 class Placer(Protocol):
     """Finds places for requests."""
 
-    def ask(self, asked: Asked) -> "asyncio.Future[Answer]":
+    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
         """Ask for a place; the future gets the answer."""
         ...
 
@@ -59,7 +59,7 @@
         return len(self._futures)
 
     def add(
-        self, asked: Asked, future: "asyncio.Future[Answer] | None" = None
+        self, asked: GrantRequest, future: "asyncio.Future[Answer] | None" = None
     ) -> "asyncio.Future[Answer]":
         """Add a request; an earlier future of it may be kept."""
         future = future or asyncio.get_running_loop().create_future()
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -19,7 +19,6 @@
 from mangoway.models.runner import ResidentModel, RunnerEntry, RunnerReport
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
-    Asked,
     Ended,
     EndKind,
     Event,
@@ -27,6 +26,7 @@
     FleetSeen,
     GiveOrder,
     Grant,
+    GrantRequest,
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
@@ -189,11 +189,11 @@
         self._feed(self._make_asked(self._requests))
         self._at(self.now + self._random.expovariate(self.rate), self._arrive)
 
-    def _make_asked(self, number: int) -> Asked:
+    def _make_asked(self, number: int) -> GrantRequest:
         rare = self._random.random() >= POPULAR_SHARE
         choices = self.size.models if rare else POPULAR_MODELS
         tokens = int(PROMPT_TOKENS * self._random.uniform(0.3, 1.7))
-        return Asked(
+        return GrantRequest(
             request_id=f"q{number}-{self.now}",
             edge=EDGE,
             service=SERVICE,
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from mangoway.policy.customers.const import OVER_QUOTA
-from mangoway.policy.scheduling.events import Asked, Refuse
+from mangoway.policy.scheduling.events import GrantRequest, Refuse
 from mangoway.scheduling.placing import Answer
 
 from ..upstreams.raw_server import RawServer, answer, cut
@@ -24,7 +24,7 @@
 class RefusingPlacer(StubPlacer):
     """Refuses all, since their customers have asked for too much."""
 
-    def ask(self, asked: Asked) -> "asyncio.Future[Answer]":
+    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
         self.asked.append(asked)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         future.set_result(
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -27,7 +27,7 @@
 from mangoway.policy.edge.shares import FleetShare
 from mangoway.policy.limits.book import LimitBook
 from mangoway.policy.limits.rests import RestBook
-from mangoway.policy.scheduling.events import Asked, EndKind, Grant, Refuse
+from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
 from mangoway.scheduling.placing import Answer
 from mangoway.util.listener import open_listener
 from mangoway.util.tasks import Tasks
@@ -58,7 +58,7 @@
     """Grants runners in turn, or refuses when there are none left."""
 
     runner_ids: list[str]
-    asked: list[Asked] = field(factory=list)
+    asked: list[GrantRequest] = field(factory=list)
     first: list[str] = field(factory=list)
     ended: list[EndKind] = field(factory=list)
     hold: bool = False
@@ -78,7 +78,7 @@
     delay_s: float = 0.0
     """Time after which a question is answered."""
 
-    def ask(self, asked: Asked) -> "asyncio.Future[Answer]":
+    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
         self.asked.append(asked)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         if self.hold:
@@ -91,7 +91,7 @@
             future.set_result(answer)
         return future
 
-    def _choose(self, asked: Asked) -> Answer:
+    def _choose(self, asked: GrantRequest) -> Answer:
         left = [each for each in self.runner_ids if each not in asked.excluded]
         if asked.only:
             left = [each for each in left if each in asked.only]
--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -12,7 +12,7 @@
     TrafficShare,
 )
 from mangoway.models.runner import ResidentModel, RunnerEntry, RunnerReport
-from mangoway.policy.scheduling.events import Asked
+from mangoway.policy.scheduling.events import GrantRequest
 
 WEIGHTS_MB = 70_000.0
 RUNNER_MB = 225_000.0
@@ -164,9 +164,9 @@
     excluded: tuple[str, ...] = (),
     only: tuple[str, ...] = (),
     repeat: bool = False,
-) -> Asked:
+) -> GrantRequest:
     """Return the question of an edge for a place."""
-    return Asked(
+    return GrantRequest(
         request_id=request_id,
         edge=edge,
         service="llm",
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -17,13 +17,13 @@
 from mangoway.models.routing import ModelProfile
 from mangoway.policy.scheduling.events import (
     Action,
-    Asked,
     Ended,
     EndKind,
     Event,
     FirstEventSeen,
     GiveOrder,
     Grant,
+    GrantRequest,
     OrderEnded,
     OrderOutcome,
     ReportSeen,
@@ -359,12 +359,12 @@
     world: DrawnWorld
     used_at: dict[tuple[str, str], float] = field(factory=dict)
     running: dict[str, str] = field(factory=dict)
-    waiting: list[Asked] = field(factory=list)
+    waiting: list[GrantRequest] = field(factory=list)
     busy: set[str] = field(factory=set)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take an event."""
-        if isinstance(event, Asked):
+        if isinstance(event, GrantRequest):
             self.waiting.append(event)
         elif isinstance(event, Ended):
             self.running.pop(event.request_id, None)
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -13,7 +13,7 @@
 
 from attrs import evolve, frozen
 
-from mangoway.policy.scheduling.events import Asked
+from mangoway.policy.scheduling.events import GrantRequest
 
 from ...fakes.fleet import make_asked
 from .drawn import BEGIN_S, Draw, DrawnWorld, make_world
@@ -217,7 +217,9 @@
 
 
 def rate(
-    world: DrawnWorld, kinds: dict[str, Kind], chosen: Callable[[Asked, Kind], bool]
+    world: DrawnWorld,
+    kinds: dict[str, Kind],
+    chosen: Callable[[GrantRequest, Kind], bool],
 ) -> float:
     """Return the worth that callers of some requests got, as a share of all on time."""
     earned = owed = 0.0
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from mangoway.policy.scheduling.const import UNREAD_LIMIT_S
-from mangoway.policy.scheduling.events import Asked, Event, Tick
+from mangoway.policy.scheduling.events import Event, GrantRequest, Tick
 from mangoway.policy.scheduling.queue import allows
 from mangoway.policy.scheduling.requests import Waiting
 from mangoway.policy.scheduling.runners import RunnerState
@@ -27,7 +27,7 @@
 
     def feed(self, event: Event) -> None:
         super().feed(event)
-        if isinstance(event, Asked | Tick):
+        if isinstance(event, GrantRequest | Tick):
             self.check()
 
     def check(self) -> None:
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -18,7 +18,6 @@
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
     Action,
-    Asked,
     Ended,
     EndKind,
     Event,
@@ -26,6 +25,7 @@
     FleetSeen,
     GiveOrder,
     Grant,
+    GrantRequest,
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
@@ -153,7 +153,7 @@
 class Outcome:
     """What a request's caller got."""
 
-    asked: Asked
+    asked: GrantRequest
     asked_at: float
     first_at: float | None = None
     refused_at: float | None = None
@@ -227,7 +227,7 @@
         self.see_fleet()
         self.feed(OrdersAllowed(allowed=True))
 
-    def ask(self, asked: Asked, at: float) -> None:
+    def ask(self, asked: GrantRequest, at: float) -> None:
         """Let a request come at a time."""
         self._at(at, lambda: self._arrive(asked))
 
@@ -254,7 +254,7 @@
             if each.first_at is not None and each.first_at - each.asked_at <= seconds
         )
 
-    def _arrive(self, asked: Asked) -> None:
+    def _arrive(self, asked: GrantRequest) -> None:
         self.outcomes[asked.request_id] = Outcome(asked, self.now)
         self.feed(asked)
 
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -8,9 +8,9 @@
 from mangoway.policy.customers.quota import QuotaBook
 from mangoway.policy.customers.spending import Spent
 from mangoway.policy.scheduling.events import (
-    Asked,
     EndKind,
     Grant,
+    GrantRequest,
     Refuse,
     SpendingTold,
 )
@@ -47,7 +47,7 @@
         edge.local.core.state.quotas.registry = make_registry()
 
 
-def ask(request_id: str, cost: float) -> Asked:
+def ask(request_id: str, cost: float) -> GrantRequest:
     return evolve(make_asked(request_id), customer="acme", cost=cost)
 
 
