--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -13,7 +13,6 @@
 from .dispatch import Dispatcher, place
 from .events import (
     Action,
-    Adopted,
     EdgeGone,
     Ended,
     EndKind,
@@ -28,6 +27,7 @@
     QuotaSpent,
     Refuse,
     ReportSeen,
+    RequestAdopted,
     SpendingTold,
     Tick,
 )
@@ -217,8 +217,10 @@
     return core.serve_request(waiting, now)
 
 
-@handles(Adopted)
-def _take_adopted(core: SchedulingCore, event: Adopted, now: float) -> list[Action]:
+@handles(RequestAdopted)
+def _take_adopted(
+    core: SchedulingCore, event: RequestAdopted, now: float
+) -> list[Action]:
     runner = core.state.runners.get(event.runner_id)
     waiting = _make_waiting(core.state, event.asked, now)
     if runner is None or waiting.key in core.state.granted:
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -80,7 +80,7 @@
 
 
 @frozen(kw_only=True)
-class Adopted:
+class RequestAdopted:
     """A request runs at a runner that another scheduler, or the edge itself, chose."""
 
     asked: GrantRequest
@@ -196,7 +196,7 @@
 
 Event = (
     GrantRequest
-    | Adopted
+    | RequestAdopted
     | FirstEventSeen
     | Ended
     | QuotaSpent
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -15,7 +15,6 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
-    Adopted,
     Ended,
     EndKind,
     FirstEventSeen,
@@ -24,6 +23,7 @@
     PermitAsked,
     QuotaSpent,
     Refuse,
+    RequestAdopted,
     SpendingTold,
 )
 from .leader import LeaderLink
@@ -276,7 +276,7 @@
                 self.local.forget(placed.asked.request_id)
             placed.link = link
             link.send(
-                Adopted(
+                RequestAdopted(
                     asked=placed.asked,
                     runner_id=placed.runner_id,
                     reading=placed.reading,
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -22,7 +22,6 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
-    Adopted,
     Ended,
     EndKind,
     FirstEventSeen,
@@ -31,6 +30,7 @@
     PermitAsked,
     QuotaSpent,
     Refuse,
+    RequestAdopted,
     SpendingTold,
 )
 from .messages import (
@@ -341,15 +341,15 @@
 _decoders["ask"] = _decode_asked
 
 
-@encodes(Adopted)
-def _encode_adopted(message: Adopted) -> list[Any]:
+@encodes(RequestAdopted)
+def _encode_adopted(message: RequestAdopted) -> list[Any]:
     asked = _encode_asked(message.asked)
     return ["adopt", asked, message.runner_id, message.reading]
 
 
 @decodes("adopt")
 def _decode_adopted(fields: list[Any], edge: str) -> Message:
-    return Adopted(
+    return RequestAdopted(
         asked=_decode_asked(fields[1], edge), runner_id=fields[2], reading=fields[3]
     )
 
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -10,7 +10,6 @@
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     Action,
-    Adopted,
     Ended,
     EndKind,
     Event,
@@ -19,6 +18,7 @@
     Grant,
     GrantRequest,
     Refuse,
+    RequestAdopted,
     Tick,
 )
 from .placing import Answer, OpenAsks
@@ -86,7 +86,7 @@
 
     def adopt(self, asked: GrantRequest, runner_id: str, reading: bool) -> None:
         """Count a request that runs at a runner which another chose."""
-        self.handle(Adopted(asked=asked, runner_id=runner_id, reading=reading))
+        self.handle(RequestAdopted(asked=asked, runner_id=runner_id, reading=reading))
 
     def forget(self, request_id: str) -> None:
         """Count a request no more, since a scheduler does."""
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -7,7 +7,6 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
-    Adopted,
     Ended,
     FirstEventSeen,
     Grant,
@@ -15,6 +14,7 @@
     PermitAsked,
     QuotaSpent,
     Refuse,
+    RequestAdopted,
     SpendingTold,
 )
 
@@ -107,7 +107,7 @@
     | StateRead
     | StateChanged
     | GrantRequest
-    | Adopted
+    | RequestAdopted
     | FirstEventSeen
     | Ended
     | QuotaSpent
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -6,12 +6,12 @@
 )
 from mangoway.policy.scheduling.dispatch import limit_unread, measure_pressure
 from mangoway.policy.scheduling.events import (
-    Adopted,
     EdgeGone,
     Ended,
     EndKind,
     FirstEventSeen,
     Grant,
+    RequestAdopted,
 )
 
 from ...fakes.fleet import make_asked
@@ -72,7 +72,7 @@
 
     def test_adopted_request_counts(self) -> None:
         world = make_world(["a"])
-        adopted = Adopted(asked=make_asked("q1"), runner_id="r0", reading=True)
+        adopted = RequestAdopted(asked=make_asked("q1"), runner_id="r0", reading=True)
         world.core.handle(adopted, 0.0)
         assert feed_asked(world, "q2") == []
 
@@ -118,7 +118,7 @@
     def test_long_prompt_goes_where_few_streams_run(self) -> None:
         world = make_world(["a"], ["a"])
         for number in range(6):
-            adopted = Adopted(
+            adopted = RequestAdopted(
                 asked=make_asked(f"s{number}"), runner_id="r0", reading=False
             )
             world.core.handle(adopted, 0.0)
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -11,7 +11,6 @@
 from mangoway.policy.limits.book import LimitSaid
 from mangoway.policy.limits.rests import RestSaid
 from mangoway.policy.scheduling.events import (
-    Adopted,
     Ended,
     EndKind,
     FirstEventSeen,
@@ -19,6 +18,7 @@
     PermitAsked,
     QuotaSpent,
     Refuse,
+    RequestAdopted,
     SpendingTold,
 )
 from mangoway.scheduling.codec import (
@@ -72,7 +72,7 @@
     PermitAsked(request_id="p1", edge="e1", runner_id="r1", started_ms=5),
     make_asked("q1", adapter="x", excluded=("r1",), only=("r2",), repeat=True),
     evolve(make_asked("q1"), customer="acme", cost=150.0, route_priority=2),
-    Adopted(asked=make_asked("q2"), runner_id="r1", reading=False),
+    RequestAdopted(asked=make_asked("q2"), runner_id="r1", reading=False),
     FirstEventSeen(edge="e1", request_id="q1"),
     Ended(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
     Grant(edge="e1", request_id="q1", runner_id="r1"),
