--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -14,7 +14,6 @@
 from .events import (
     Action,
     EdgeGone,
-    Ended,
     EndKind,
     Event,
     FirstEventSeen,
@@ -28,6 +27,7 @@
     Refuse,
     ReportSeen,
     RequestAdopted,
+    RequestEnded,
     SpendingTold,
     Tick,
 )
@@ -251,8 +251,8 @@
     return core.serve_runner(runner, now)
 
 
-@handles(Ended)
-def _take_ended(core: SchedulingCore, event: Ended, now: float) -> list[Action]:
+@handles(RequestEnded)
+def _take_ended(core: SchedulingCore, event: RequestEnded, now: float) -> list[Action]:
     key = (event.edge, event.request_id)
     core.give_back(key, now)
     for queue in core.state.queues.values():
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -98,7 +98,7 @@
 
 
 @frozen(kw_only=True)
-class Ended:
+class RequestEnded:
     """A granted request is over at its runner, or a waiting one was withdrawn."""
 
     edge: str
@@ -198,7 +198,7 @@
     GrantRequest
     | RequestAdopted
     | FirstEventSeen
-    | Ended
+    | RequestEnded
     | QuotaSpent
     | SpendingTold
     | LimitSaid
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -15,7 +15,6 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
-    Ended,
     EndKind,
     FirstEventSeen,
     Grant,
@@ -24,6 +23,7 @@
     QuotaSpent,
     Refuse,
     RequestAdopted,
+    RequestEnded,
     SpendingTold,
 )
 from .leader import LeaderLink
@@ -142,7 +142,7 @@
             self.local.end(request_id, kind)
             return
         self._asks.drop(request_id)
-        ended = Ended(edge=self.incarnation, request_id=request_id, kind=kind)
+        ended = RequestEnded(edge=self.incarnation, request_id=request_id, kind=kind)
         placed.link.send(ended)
 
     def take_quota(self, customer: str, amount: float) -> float:
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -22,7 +22,6 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
-    Ended,
     EndKind,
     FirstEventSeen,
     Grant,
@@ -31,6 +30,7 @@
     QuotaSpent,
     Refuse,
     RequestAdopted,
+    RequestEnded,
     SpendingTold,
 )
 from .messages import (
@@ -364,14 +364,14 @@
     return FirstEventSeen(edge=edge, request_id=fields[1])
 
 
-@encodes(Ended)
-def _encode_ended(message: Ended) -> list[Any]:
+@encodes(RequestEnded)
+def _encode_ended(message: RequestEnded) -> list[Any]:
     return ["end", message.request_id, message.kind.value]
 
 
 @decodes("end")
 def _decode_ended(fields: list[Any], edge: str) -> Message:
-    return Ended(edge=edge, request_id=fields[1], kind=EndKind(fields[2]))
+    return RequestEnded(edge=edge, request_id=fields[1], kind=EndKind(fields[2]))
 
 
 @encodes(QuotaSpent)
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -10,7 +10,6 @@
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     Action,
-    Ended,
     EndKind,
     Event,
     FirstEventSeen,
@@ -19,6 +18,7 @@
     GrantRequest,
     Refuse,
     RequestAdopted,
+    RequestEnded,
     Tick,
 )
 from .placing import Answer, OpenAsks
@@ -64,7 +64,7 @@
     def end(self, request_id: str, kind: EndKind) -> None:
         """Say that a request is over."""
         self._asks.drop(request_id)
-        self.handle(Ended(edge=self.edge, request_id=request_id, kind=kind))
+        self.handle(RequestEnded(edge=self.edge, request_id=request_id, kind=kind))
 
     def take_quota(self, customer: str, amount: float) -> float:
         """Take an amount of a quota; returns the seconds until there is enough."""
@@ -90,13 +90,13 @@
 
     def forget(self, request_id: str) -> None:
         """Count a request no more, since a scheduler does."""
-        ended = Ended(edge=self.edge, request_id=request_id, kind=EndKind.LEFT)
+        ended = RequestEnded(edge=self.edge, request_id=request_id, kind=EndKind.LEFT)
         self.handle(ended)
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant | Refuse) and not self._asks.resolve(action):
-                ended = Ended(
+                ended = RequestEnded(
                     edge=self.edge, request_id=action.request_id, kind=EndKind.LEFT
                 )
                 self._carry_out(self.core.handle(ended, self.clock()))
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -7,7 +7,6 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
-    Ended,
     FirstEventSeen,
     Grant,
     GrantRequest,
@@ -15,6 +14,7 @@
     QuotaSpent,
     Refuse,
     RequestAdopted,
+    RequestEnded,
     SpendingTold,
 )
 
@@ -109,7 +109,7 @@
     | GrantRequest
     | RequestAdopted
     | FirstEventSeen
-    | Ended
+    | RequestEnded
     | QuotaSpent
     | SpendingTold
     | LimitSaid
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -16,10 +16,10 @@
 from ..policy.scheduling.events import (
     Action,
     EdgeGone,
-    Ended,
     EndKind,
     Event,
     GiveOrder,
+    RequestEnded,
     SpendingTold,
     Tick,
 )
@@ -144,7 +144,7 @@
                 link.send(action)
             else:
                 self.handle(
-                    Ended(
+                    RequestEnded(
                         edge=action.edge,
                         request_id=action.request_id,
                         kind=EndKind.LEFT,
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -19,7 +19,6 @@
 from mangoway.models.runner import ResidentModel, RunnerEntry, RunnerReport
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
-    Ended,
     EndKind,
     Event,
     FirstEventSeen,
@@ -32,6 +31,7 @@
     OrdersAllowed,
     Refuse,
     ReportSeen,
+    RequestEnded,
     Tick,
 )
 from mangoway.policy.scheduling.state import SchedulingState
@@ -219,7 +219,9 @@
         engine.read_until = start + PROMPT_TOKENS * READ_S_PER_TOKEN
         first_at = engine.read_until + FIRST_EVENT_S
         first = FirstEventSeen(edge=grant.edge, request_id=grant.request_id)
-        ended = Ended(edge=grant.edge, request_id=grant.request_id, kind=EndKind.SERVED)
+        ended = RequestEnded(
+            edge=grant.edge, request_id=grant.request_id, kind=EndKind.SERVED
+        )
         self._at(first_at, lambda: self._feed(first))
         self._at(first_at + STREAM_S, lambda: self._feed(ended))
 
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -17,7 +17,6 @@
 from mangoway.models.routing import ModelProfile
 from mangoway.policy.scheduling.events import (
     Action,
-    Ended,
     EndKind,
     Event,
     FirstEventSeen,
@@ -27,6 +26,7 @@
     OrderEnded,
     OrderOutcome,
     ReportSeen,
+    RequestEnded,
 )
 
 from ...fakes.fleet import make_asked
@@ -366,7 +366,7 @@
         """Take an event."""
         if isinstance(event, GrantRequest):
             self.waiting.append(event)
-        elif isinstance(event, Ended):
+        elif isinstance(event, RequestEnded):
             self.running.pop(event.request_id, None)
         elif isinstance(event, OrderEnded):
             self._note_order(event)
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -7,11 +7,11 @@
 from mangoway.policy.scheduling.dispatch import limit_unread, measure_pressure
 from mangoway.policy.scheduling.events import (
     EdgeGone,
-    Ended,
     EndKind,
     FirstEventSeen,
     Grant,
     RequestAdopted,
+    RequestEnded,
 )
 
 from ...fakes.fleet import make_asked
@@ -55,7 +55,7 @@
         world = make_world(["a"])
         feed_asked(world, "q1")
         feed_asked(world, "q2")
-        ended = Ended(edge="e1", request_id="q1", kind=EndKind.LEFT)
+        ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.LEFT)
         actions = world.core.handle(ended, 0.01)
         assert [each.request_id for each in actions if isinstance(each, Grant)] == [
             "q2"
@@ -160,7 +160,7 @@
     def test_it_is_asked_again_only_after_a_pause(self) -> None:
         world = make_world(["a"])
         feed_asked(world, "q1")
-        ended = Ended(edge="e1", request_id="q1", kind=EndKind.NOT_HELD)
+        ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD)
         world.core.handle(ended, 0.01)
         world.now = 0.02
         assert feed_asked(world, "q2") == []
@@ -173,7 +173,7 @@
             for grant in feed_asked(world, f"q{number}"):
                 kind = EndKind.FAILED if grant.runner_id == "r0" else EndKind.SERVED
                 world.core.handle(
-                    Ended(edge="e1", request_id=grant.request_id, kind=kind), 0.0
+                    RequestEnded(edge="e1", request_id=grant.request_id, kind=kind), 0.0
                 )
         grants = [*feed_asked(world, "x1"), *feed_asked(world, "x2")]
         assert "r0" not in {each.runner_id for each in grants}
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -2,7 +2,6 @@
 
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
-    Ended,
     EndKind,
     FleetSeen,
     GiveOrder,
@@ -11,6 +10,7 @@
     OrderOutcome,
     OrdersAllowed,
     ReportSeen,
+    RequestEnded,
     Tick,
 )
 from mangoway.policy.scheduling.runners import RunnerState
@@ -84,7 +84,7 @@
         world, core = make_core()
         core.handle(make_asked("q1"), 1.0)
         see_entry(world, SECOND_LIFE, ())
-        ended = Ended(edge="e1", request_id="q1", kind=EndKind.FAILED)
+        ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.FAILED)
         assert core.handle(ended, 2.0) == []
 
     def test_late_answer_to_an_order_of_the_earlier_life_changes_nothing(self) -> None:
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -18,7 +18,6 @@
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
     Action,
-    Ended,
     EndKind,
     Event,
     FirstEventSeen,
@@ -31,6 +30,7 @@
     OrdersAllowed,
     Refuse,
     ReportSeen,
+    RequestEnded,
     Tick,
 )
 from mangoway.policy.scheduling.state import SchedulingState
@@ -291,7 +291,7 @@
         runner = self.runners.get(grant.runner_id)
         if runner is not None:
             runner.running.pop(grant.request_id, None)
-        self.feed(Ended(edge=grant.edge, request_id=grant.request_id, kind=kind))
+        self.feed(RequestEnded(edge=grant.edge, request_id=grant.request_id, kind=kind))
 
     def _order(self, order: GiveOrder) -> None:
         self.orders.append(order)
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -11,7 +11,6 @@
 from mangoway.policy.limits.book import LimitSaid
 from mangoway.policy.limits.rests import RestSaid
 from mangoway.policy.scheduling.events import (
-    Ended,
     EndKind,
     FirstEventSeen,
     Grant,
@@ -19,6 +18,7 @@
     QuotaSpent,
     Refuse,
     RequestAdopted,
+    RequestEnded,
     SpendingTold,
 )
 from mangoway.scheduling.codec import (
@@ -74,7 +74,7 @@
     evolve(make_asked("q1"), customer="acme", cost=150.0, route_priority=2),
     RequestAdopted(asked=make_asked("q2"), runner_id="r1", reading=False),
     FirstEventSeen(edge="e1", request_id="q1"),
-    Ended(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
+    RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
     Grant(edge="e1", request_id="q1", runner_id="r1"),
     Told(key="crashes/i-1@0/e1", value=b'{"charges": []}'),
     Refuse(edge="e1", request_id="q1", retry_after_s=0.5, reason="why"),
