--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -28,7 +28,7 @@
     ReportSeen,
     RequestAdopted,
     RequestEnded,
-    SpendingTold,
+    SpendingReported,
     Tick,
 )
 from .hopeless import Forecast
@@ -279,8 +279,10 @@
     return []
 
 
-@handles(SpendingTold)
-def _take_told(core: SchedulingCore, event: SpendingTold, now: float) -> list[Action]:
+@handles(SpendingReported)
+def _take_told(
+    core: SchedulingCore, event: SpendingReported, now: float
+) -> list[Action]:
     core.state.quotas.take_told(event.rows, now)
     return []
 
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -116,7 +116,7 @@
 
 
 @frozen(kw_only=True)
-class SpendingTold:
+class SpendingReported:
     """What an edge's customers spent before this process granted its requests."""
 
     rows: tuple[Spent, ...]
@@ -200,7 +200,7 @@
     | FirstEventSeen
     | RequestEnded
     | QuotaSpent
-    | SpendingTold
+    | SpendingReported
     | LimitSaid
     | RestSaid
     | PermitAsked
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -24,7 +24,7 @@
     Refuse,
     RequestAdopted,
     RequestEnded,
-    SpendingTold,
+    SpendingReported,
 )
 from .leader import LeaderLink
 from .link import Link
@@ -261,7 +261,7 @@
         self._granting = link
         rows = tuple(self.spending.list_all(asyncio.get_running_loop().time()))
         if rows:
-            link.send(SpendingTold(rows=rows))
+            link.send(SpendingReported(rows=rows))
         for leaving in self.list_leaving():
             link.send(leaving)
         for said in self.list_limits():
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -31,7 +31,7 @@
     Refuse,
     RequestAdopted,
     RequestEnded,
-    SpendingTold,
+    SpendingReported,
 )
 from .messages import (
     ClockAsked,
@@ -384,8 +384,8 @@
     return QuotaSpent(customer=fields[1], amount=fields[2])
 
 
-@encodes(SpendingTold)
-def _encode_spending(message: SpendingTold) -> list[Any]:
+@encodes(SpendingReported)
+def _encode_spending(message: SpendingReported) -> list[Any]:
     rows = [
         [each.customer, round(each.age_s, 3), round(each.amount, 1)]
         for each in message.rows
@@ -395,7 +395,7 @@
 
 @decodes("spending")
 def _decode_spending(fields: list[Any], edge: str) -> Message:
-    return SpendingTold(rows=tuple(Spent(*row) for row in fields[1]))
+    return SpendingReported(rows=tuple(Spent(*row) for row in fields[1]))
 
 
 @encodes(Grant)
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -15,7 +15,7 @@
     Refuse,
     RequestAdopted,
     RequestEnded,
-    SpendingTold,
+    SpendingReported,
 )
 
 
@@ -111,7 +111,7 @@
     | FirstEventSeen
     | RequestEnded
     | QuotaSpent
-    | SpendingTold
+    | SpendingReported
     | LimitSaid
     | RestSaid
     | PermitAsked
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -20,7 +20,7 @@
     Event,
     GiveOrder,
     RequestEnded,
-    SpendingTold,
+    SpendingReported,
     Tick,
 )
 from ..util.listener import BACKLOG
@@ -163,12 +163,12 @@
             self.take_limit(message, link)
         elif isinstance(message, LeavingSaid):
             self.take_leaving(message, link)
-        elif isinstance(message, SpendingTold):
+        elif isinstance(message, SpendingReported):
             self.handle(self._drop_known(link.edge, message))
         elif link.edge and not isinstance(message, Heartbeat):
             self.handle(message)  # type: ignore[arg-type]
 
-    def _drop_known(self, edge: str, message: SpendingTold) -> SpendingTold:
+    def _drop_known(self, edge: str, message: SpendingReported) -> SpendingReported:
         """Return what an edge has spent since it was lost here, if it was here before.
 
         What was spent before was counted here: a connection that is reset, and made
@@ -178,7 +178,7 @@
         if lost_at is None:
             return message
         lost_s = self.clock() - lost_at
-        return SpendingTold(
+        return SpendingReported(
             rows=tuple(each for each in message.rows if each.age_s < lost_s)
         )
 
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -19,7 +19,7 @@
     Refuse,
     RequestAdopted,
     RequestEnded,
-    SpendingTold,
+    SpendingReported,
 )
 from mangoway.scheduling.codec import (
     COMPRESSED_FROM_BYTES,
@@ -55,7 +55,7 @@
     ClockAsked(asked_at=3.5),
     ClockTold(asked_at=3.5, clock_s=9.25),
     QuotaSpent(customer="acme", amount=-150.0),
-    SpendingTold(rows=(Spent("acme", 1.5, 300.0),)),
+    SpendingReported(rows=(Spent("acme", 1.5, 300.0),)),
     LimitSaid(
         runner_id="r1",
         started_ms=5,
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -12,7 +12,7 @@
     Grant,
     GrantRequest,
     Refuse,
-    SpendingTold,
+    SpendingReported,
 )
 
 from ..fakes.fleet import make_asked
@@ -173,7 +173,7 @@
         row = Spent("acme", 0.5, 2 * RATE)
         standby.server._note_lost("e1")
         standby.leading = True
-        told = standby.server._drop_known("e1", SpendingTold(rows=(row,)))
+        told = standby.server._drop_known("e1", SpendingReported(rows=(row,)))
         assert told.rows == (row,)
 
     async def test_it_learns_what_was_spent(self) -> None:
