--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -22,7 +22,7 @@
     GrantRequest,
     OrderEnded,
     OrdersAllowed,
-    PermitAsked,
+    PermitRequest,
     QuotaSpent,
     Refuse,
     ReportSeen,
@@ -301,8 +301,10 @@
     return []
 
 
-@handles(PermitAsked)
-def _take_permit(core: SchedulingCore, event: PermitAsked, now: float) -> list[Action]:
+@handles(PermitRequest)
+def _take_permit(
+    core: SchedulingCore, event: PermitRequest, now: float
+) -> list[Action]:
     limits, life = core.state.limits, (event.runner_id, event.started_ms)
     if limits.measure_wait(*life, now) > 0:
         return [
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -123,7 +123,7 @@
 
 
 @frozen(kw_only=True)
-class PermitAsked:
+class PermitRequest:
     """A request for a plain service waits to be sent to a limited runner."""
 
     request_id: str
@@ -203,7 +203,7 @@
     | SpendingReported
     | LimitSaid
     | RestSaid
-    | PermitAsked
+    | PermitRequest
     | EdgeGone
     | FleetSeen
     | ReportSeen
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -19,7 +19,7 @@
     FirstEventSeen,
     Grant,
     GrantRequest,
-    PermitAsked,
+    PermitRequest,
     QuotaSpent,
     Refuse,
     RequestAdopted,
@@ -188,7 +188,7 @@
         request_id = f"permit/{next(self._numbers)}"
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._permits[request_id] = future
-        asked = PermitAsked(
+        asked = PermitRequest(
             request_id=request_id,
             edge=self.incarnation,
             runner_id=runner.runner_id,
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -26,7 +26,7 @@
     FirstEventSeen,
     Grant,
     GrantRequest,
-    PermitAsked,
+    PermitRequest,
     QuotaSpent,
     Refuse,
     RequestAdopted,
@@ -455,14 +455,14 @@
     )
 
 
-@encodes(PermitAsked)
-def _encode_permit(message: PermitAsked) -> list[Any]:
+@encodes(PermitRequest)
+def _encode_permit(message: PermitRequest) -> list[Any]:
     return ["permit", message.request_id, message.runner_id, message.started_ms]
 
 
 @decodes("permit")
 def _decode_permit(fields: list[Any], edge: str) -> Message:
-    return PermitAsked(
+    return PermitRequest(
         edge=edge, request_id=fields[1], runner_id=fields[2], started_ms=fields[3]
     )
 
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -10,7 +10,7 @@
     FirstEventSeen,
     Grant,
     GrantRequest,
-    PermitAsked,
+    PermitRequest,
     QuotaSpent,
     Refuse,
     RequestAdopted,
@@ -114,7 +114,7 @@
     | SpendingReported
     | LimitSaid
     | RestSaid
-    | PermitAsked
+    | PermitRequest
     | LeavingSaid
     | Grant
     | Refuse
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -6,7 +6,7 @@
 from mangoway.policy.limits.book import LimitSaid
 from mangoway.policy.limits.const import LONG_S
 from mangoway.policy.scheduling.core import LIMIT_REACHED
-from mangoway.policy.scheduling.events import FleetSeen, Grant, PermitAsked, Refuse
+from mangoway.policy.scheduling.events import FleetSeen, Grant, PermitRequest, Refuse
 
 from ...fakes.fleet import make_asked
 from .world import World
@@ -157,7 +157,7 @@
 class TestPermits:
     """Requests for plain services, for which edges choose the runners."""
 
-    ASKED = PermitAsked(request_id="p1", edge="e1", runner_id="r0", started_ms=0)
+    ASKED = PermitRequest(request_id="p1", edge="e1", runner_id="r0", started_ms=0)
 
     def test_runner_without_a_limit_takes_any(self) -> None:
         world = World(models=["a"], runner_models=[["a"]])
