--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -13,7 +13,7 @@
 from .dispatch import Dispatcher, place
 from .events import (
     Action,
-    EdgeGone,
+    EdgeDisconnected,
     EndKind,
     Event,
     FirstEventSeen,
@@ -321,8 +321,10 @@
     ]
 
 
-@handles(EdgeGone)
-def _take_edge_gone(core: SchedulingCore, event: EdgeGone, now: float) -> list[Action]:
+@handles(EdgeDisconnected)
+def _take_edge_gone(
+    core: SchedulingCore, event: EdgeDisconnected, now: float
+) -> list[Action]:
     state = core.state
     state.rests.forget_edge(event.edge)
     for queue in state.queues.values():
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -134,7 +134,7 @@
 
 
 @frozen(kw_only=True)
-class EdgeGone:
+class EdgeDisconnected:
     """The connection to an edge is lost; its requests are taken as ended."""
 
     edge: str
@@ -204,7 +204,7 @@
     | LimitSaid
     | RestSaid
     | PermitRequest
-    | EdgeGone
+    | EdgeDisconnected
     | FleetSeen
     | ReportSeen
     | OrdersAllowed
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -15,7 +15,7 @@
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     Action,
-    EdgeGone,
+    EdgeDisconnected,
     EndKind,
     Event,
     GiveOrder,
@@ -245,7 +245,7 @@
             self.feed.remove(known)
             self._note_lost(hello.edge)
             known.close("the edge connected anew")
-            self.handle(EdgeGone(edge=hello.edge))
+            self.handle(EdgeDisconnected(edge=hello.edge))
         link.edge = hello.edge
         self._links[hello.edge] = link
         if hello.asks:
@@ -285,4 +285,4 @@
                 self.on_edge(link.edge, False)
             self.core.state.edge_places.pop(link.edge, None)
             log_event(log.LinkLost(peer=link.edge, reason=reason))
-            self.handle(EdgeGone(edge=link.edge))
+            self.handle(EdgeDisconnected(edge=link.edge))
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -6,7 +6,7 @@
 )
 from mangoway.policy.scheduling.dispatch import limit_unread, measure_pressure
 from mangoway.policy.scheduling.events import (
-    EdgeGone,
+    EdgeDisconnected,
     EndKind,
     FirstEventSeen,
     Grant,
@@ -65,7 +65,7 @@
         world = make_world(["a"])
         feed_asked(world, "q1", edge="e1")
         feed_asked(world, "q2", edge="e2")
-        actions = world.core.handle(EdgeGone(edge="e1"), 0.01)
+        actions = world.core.handle(EdgeDisconnected(edge="e1"), 0.01)
         assert [each.request_id for each in actions if isinstance(each, Grant)] == [
             "q2"
         ]
--- a/tests/policy/scheduling/test_rests.py
+++ b/tests/policy/scheduling/test_rests.py
@@ -1,7 +1,7 @@
 """Tests of how the scheduling core leaves runners alone that asked for rest."""
 
 from mangoway.policy.limits.rests import RestSaid
-from mangoway.policy.scheduling.events import EdgeGone
+from mangoway.policy.scheduling.events import EdgeDisconnected
 
 from ...fakes.fleet import make_asked
 from .test_limits import ask_often, count_at
@@ -85,7 +85,7 @@
 
     def test_edge_that_is_gone_leaves_no_rest(self) -> None:
         world = play([["a", "b", "c"]], models="abc")
-        world.feed(EdgeGone(edge="e1"))
+        world.feed(EdgeDisconnected(edge="e1"))
         world.ask(make_asked("q1", "a"), at=1.1)
         world.run(1.3)
         assert world.outcomes["q1"].runner_id == "r0"
