--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -29,7 +29,7 @@
 from ..policy.edge.retry_budget import RetryLimits
 from ..policy.edge.shares import FleetShare, LoneShare
 from ..policy.scheduling.core import SchedulingCore
-from ..policy.scheduling.events import FleetSeen
+from ..policy.scheduling.events import FleetUpdated
 from ..policy.scheduling.state import SchedulingState
 from ..scheduling.client import SchedulerClient
 from ..scheduling.local import LocalPlacer
@@ -286,7 +286,7 @@
         if not self._ready_logged:
             self._become_ready(table.version)
 
-    def _read_fleet(self) -> FleetSeen | None:
+    def _read_fleet(self) -> FleetUpdated | None:
         """Return runners and configuration for the core that chooses alone, if new."""
         view = self.process.view
         if view.table is None or not self._fleet_changed:
@@ -295,7 +295,7 @@
         state = self.client.local.core.state
         state.limit_scale = 1 / max(1, self._count_edges())
         state.quotas.share = state.limit_scale
-        return FleetSeen(table=view.table, runners=view.list_open_runners())
+        return FleetUpdated(table=view.table, runners=view.list_open_runners())
 
     def _become_ready(self, version: int) -> None:
         """Announce the edge, now that it can serve."""
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -20,7 +20,7 @@
 from ..policy.limits.book import LimitSaid
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
-    FleetSeen,
+    FleetUpdated,
     OrdersAllowed,
 )
 from ..policy.scheduling.state import SchedulingState
@@ -205,7 +205,7 @@
     def _note_view(self) -> None:
         view = self.process.view
         if view.table is not None:
-            fleet = FleetSeen(table=view.table, runners=view.list_open_runners())
+            fleet = FleetUpdated(table=view.table, runners=view.list_open_runners())
             self.server.handle(fleet)
 
     def _take_passed_on(self, message: Message) -> None:
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -17,7 +17,7 @@
     EndKind,
     Event,
     FirstEventSeen,
-    FleetSeen,
+    FleetUpdated,
     Grant,
     GrantRequest,
     OrderEnded,
@@ -336,8 +336,8 @@
     return _serve_all(core, now)
 
 
-@handles(FleetSeen)
-def _take_fleet(core: SchedulingCore, event: FleetSeen, now: float) -> list[Action]:
+@handles(FleetUpdated)
+def _take_fleet(core: SchedulingCore, event: FleetUpdated, now: float) -> list[Action]:
     core.state.take_fleet(event.table, event.runners, now)
     return _serve_all(core, now)
 
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -141,7 +141,7 @@
 
 
 @frozen(kw_only=True)
-class FleetSeen:
+class FleetUpdated:
     """Configuration or runners as they are now."""
 
     table: RoutingTable
@@ -205,7 +205,7 @@
     | RestSaid
     | PermitRequest
     | EdgeDisconnected
-    | FleetSeen
+    | FleetUpdated
     | ReportSeen
     | OrdersAllowed
     | OrderEnded
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -13,7 +13,7 @@
     EndKind,
     Event,
     FirstEventSeen,
-    FleetSeen,
+    FleetUpdated,
     Grant,
     GrantRequest,
     Refuse,
@@ -34,7 +34,7 @@
     core: SchedulingCore
     edge: str
     clock: Callable[[], float]
-    read_fleet: Callable[[], FleetSeen | None] = lambda: None
+    read_fleet: Callable[[], FleetUpdated | None] = lambda: None
     """Returns the fleet if it has changed since the last call. It changes often, and
     while a scheduler leads nobody needs it here."""
 
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -22,7 +22,7 @@
     EndKind,
     Event,
     FirstEventSeen,
-    FleetSeen,
+    FleetUpdated,
     GiveOrder,
     Grant,
     GrantRequest,
@@ -265,7 +265,7 @@
             on_disk=frozenset(engine.models),
         )
 
-    def _make_fleet(self) -> FleetSeen:
+    def _make_fleet(self) -> FleetUpdated:
         service = ServiceProfile(
             name=SERVICE, health_path="/", max_connections=300, engine=self._profile
         )
@@ -283,7 +283,7 @@
             )
             for runner_id, engine in self._engines.items()
         )
-        return FleetSeen(table=table, runners=entries)
+        return FleetUpdated(table=table, runners=entries)
 
 
 def make_residents(models: list[str]) -> tuple[ResidentModel, ...]:
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -6,7 +6,7 @@
 from mangoway.policy.limits.book import LimitSaid
 from mangoway.policy.limits.const import LONG_S
 from mangoway.policy.scheduling.core import LIMIT_REACHED
-from mangoway.policy.scheduling.events import FleetSeen, Grant, PermitRequest, Refuse
+from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
 
 from ...fakes.fleet import make_asked
 from .world import World
@@ -93,7 +93,7 @@
 
     def test_entry_that_vanishes_for_a_moment_changes_nothing(self) -> None:
         world = play([["a", "b", "c"]], models="abc")
-        world.feed(FleetSeen(table=world.table, runners=()))
+        world.feed(FleetUpdated(table=world.table, runners=()))
         world.see_fleet()
         ask_often(world, "a", 20.0, 1.0, 5.0)
         world.run(5.0)
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -2,7 +2,7 @@
 
 from mangoway.models.runner import ResidentModel
 from mangoway.policy.scheduling.events import (
-    FleetSeen,
+    FleetUpdated,
     GiveOrder,
     OrderEnded,
     OrderOutcome,
@@ -220,7 +220,7 @@
     def test_runner_that_left_the_fleet_gets_no_order(self) -> None:
         world = make_ready(["a", "b", "c"], ["a", "d", "e"])
         entries = (make_runner("r1", ("a", "d", "e")),)
-        world.feed(FleetSeen(table=world.table, runners=entries))
+        world.feed(FleetUpdated(table=world.table, runners=entries))
         world.ask(make_asked("q1", "f", patience_s=5.0), at=1.0)
         world.run(3.0)
         assert {each.runner_id for each in world.orders} == {"r1"}
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -3,7 +3,7 @@
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
     EndKind,
-    FleetSeen,
+    FleetUpdated,
     GiveOrder,
     Grant,
     OrderEnded,
@@ -32,7 +32,7 @@
 
 def see_entry(world: World, started_ms: int, models: tuple[str, ...]) -> None:
     entry = make_runner("r0", models, started_ms=started_ms)
-    world.core.handle(FleetSeen(table=world.table, runners=(entry,)), world.now)
+    world.core.handle(FleetUpdated(table=world.table, runners=(entry,)), world.now)
 
 
 def report(
--- a/tests/policy/scheduling/test_warming.py
+++ b/tests/policy/scheduling/test_warming.py
@@ -1,6 +1,6 @@
 """Tests of copies that are fetched while nobody asks for anything."""
 
-from mangoway.policy.scheduling.events import FleetSeen
+from mangoway.policy.scheduling.events import FleetUpdated
 
 from ...fakes.fleet import make_asked, make_runner
 from .world import World
@@ -96,7 +96,7 @@
         world.ask(make_asked("q0", "a"), at=0.0)
         world.run(4.0)
         world.feed(
-            FleetSeen(
+            FleetUpdated(
                 table=world.table,
                 runners=tuple(
                     make_runner(each.runner_id, tuple(each.models))
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -21,7 +21,7 @@
     EndKind,
     Event,
     FirstEventSeen,
-    FleetSeen,
+    FleetUpdated,
     GiveOrder,
     Grant,
     GrantRequest,
@@ -218,7 +218,7 @@
             make_runner(each.runner_id, tuple(each.models))
             for each in self.runners.values()
         ]
-        self.feed(FleetSeen(table=self.table, runners=tuple(entries)))
+        self.feed(FleetUpdated(table=self.table, runners=tuple(entries)))
 
     def replace_core(self) -> None:
         """Let a new scheduler begin with what the runners report."""
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -17,7 +17,7 @@
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
     EndKind,
-    FleetSeen,
+    FleetUpdated,
     GiveOrder,
     Grant,
     Refuse,
@@ -36,7 +36,7 @@
 from ..fakes.polling import async_wait_until
 
 RUNNER = make_runner("r1", ("a",))
-FLEET = FleetSeen(table=make_table(), runners=(make_runner("r1", ("a",)),))
+FLEET = FleetUpdated(table=make_table(), runners=(make_runner("r1", ("a",)),))
 
 
 class Recorder:
@@ -327,7 +327,7 @@
 
     async def test_silent_scheduler_is_noticed(self) -> None:
         async with connect() as (scheduler, edge):
-            no_runners = FleetSeen(table=make_table(), runners=())
+            no_runners = FleetUpdated(table=make_table(), runners=())
             scheduler.server.handle(no_runners)
             scheduler.task.cancel()
             waiting = edge.client.ask(make_asked("q1"))
@@ -367,7 +367,9 @@
 
     async def test_newest_runners_are_taken_before_a_choice(self) -> None:
         clock = asyncio.get_running_loop().time
-        fleets = [FleetSeen(table=make_table(), runners=(make_runner("r2", ("a",)),))]
+        fleets = [
+            FleetUpdated(table=make_table(), runners=(make_runner("r2", ("a",)),))
+        ]
         local = LocalPlacer(
             make_core(), "e1", clock, lambda: fleets.pop() if fleets else None
         )
