--- a/mangoway/daemons/report_reader.py
+++ b/mangoway/daemons/report_reader.py
@@ -8,7 +8,7 @@
 from ..coordination.view import FleetView
 from ..models.runner import RunnerEntry
 from ..platform.runners import RunnerControl, RunnerUnreachableError
-from ..policy.scheduling.events import ReportSeen
+from ..policy.scheduling.events import ReportReceived
 from ..policy.scheduling.runners import RunnerState
 from ..scheduling.server import SchedulerServer
 from ..util.tasks import Tasks
@@ -121,7 +121,7 @@
         finally:
             self._open.discard(entry.runner_id)
         self.server.handle(
-            ReportSeen(runner_id=entry.runner_id, report=report, asked_at=asked_at)
+            ReportReceived(runner_id=entry.runner_id, report=report, asked_at=asked_at)
         )
 
 
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -25,7 +25,7 @@
     PermitRequest,
     QuotaSpent,
     Refuse,
-    ReportSeen,
+    ReportReceived,
     RequestAdopted,
     RequestEnded,
     SpendingReported,
@@ -342,8 +342,10 @@
     return _serve_all(core, now)
 
 
-@handles(ReportSeen)
-def _take_report(core: SchedulingCore, event: ReportSeen, now: float) -> list[Action]:
+@handles(ReportReceived)
+def _take_report(
+    core: SchedulingCore, event: ReportReceived, now: float
+) -> list[Action]:
     runner = core.state.find_life(event.runner_id, event.report.started_ms)
     if runner is None:
         return []
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -149,7 +149,7 @@
 
 
 @frozen(kw_only=True)
-class ReportSeen:
+class ReportReceived:
     """A runner's report was read."""
 
     runner_id: str
@@ -206,7 +206,7 @@
     | PermitRequest
     | EdgeDisconnected
     | FleetUpdated
-    | ReportSeen
+    | ReportReceived
     | OrdersAllowed
     | OrderEnded
     | Tick
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -30,7 +30,7 @@
     OrderOutcome,
     OrdersAllowed,
     Refuse,
-    ReportSeen,
+    ReportReceived,
     RequestEnded,
     Tick,
 )
@@ -246,7 +246,9 @@
     def _make_reporter(self, runner_id: str) -> Callable[[], None]:
         def report() -> None:
             seen = self._make_report(self._engines[runner_id])
-            self._feed(ReportSeen(runner_id=runner_id, report=seen, asked_at=self.now))
+            self._feed(
+                ReportReceived(runner_id=runner_id, report=seen, asked_at=self.now)
+            )
             self._at(self.now + REPORT_S, report)
 
         return report
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -25,7 +25,7 @@
     GrantRequest,
     OrderEnded,
     OrderOutcome,
-    ReportSeen,
+    ReportReceived,
     RequestEnded,
 )
 
@@ -370,7 +370,7 @@
             self.running.pop(event.request_id, None)
         elif isinstance(event, OrderEnded):
             self._note_order(event)
-        elif isinstance(event, ReportSeen) and not event.report.busy:
+        elif isinstance(event, ReportReceived) and not event.report.busy:
             self.busy.discard(event.runner_id)
         return [*self._grant(now), *self._load(now)]
 
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -7,7 +7,7 @@
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
-    ReportSeen,
+    ReportReceived,
     Tick,
 )
 
@@ -189,24 +189,24 @@
     def test_no_order_on_a_report_that_says_busy(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 6, busy=True)
-        world.feed(ReportSeen(runner_id="r0", report=report, asked_at=0.0))
+        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=0.0))
         assert self.order_for_waiting(world) == []
 
     def test_refused_order_waits_for_a_fresh_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 0)
-        world.feed(ReportSeen(runner_id="r0", report=report, asked_at=0.0))
+        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=0.0))
         first = len(self.order_for_waiting(world))
         assert first == 1
         world.now = 0.1
         outcome = OrderOutcome.NOT_NOW
         world.feed(OrderEnded(runner_id="r0", outcome=outcome))
-        world.feed(ReportSeen(runner_id="r0", report=report, asked_at=0.15))
+        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=0.15))
         world.feed(Tick())
         assert len(world.orders) == 1
         newer = make_report(make_residents(("a", "b")), 1)
         world.now = 0.6
-        world.feed(ReportSeen(runner_id="r0", report=newer, asked_at=0.6))
+        world.feed(ReportReceived(runner_id="r0", report=newer, asked_at=0.6))
         world.feed(Tick())
         assert [each.order_count for each in world.orders] == [0, 1]
 
@@ -291,7 +291,7 @@
         report = make_report((resident,), world.runners["r0"].order_count)
         held = world.core.state.runners["r0"].held["a"]
         assert "a7" in held.adapters
-        world.feed(ReportSeen(runner_id="r0", report=report, asked_at=1.2))
+        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=1.2))
         assert "a7" in held.adapters
 
 
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -9,7 +9,7 @@
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
-    ReportSeen,
+    ReportReceived,
     RequestEnded,
     Tick,
 )
@@ -40,7 +40,7 @@
 ) -> None:
     seen = make_report(make_residents(models), order_count, started_ms=started_ms)
     world.now = at
-    world.core.handle(ReportSeen(runner_id="r0", report=seen, asked_at=at), at)
+    world.core.handle(ReportReceived(runner_id="r0", report=seen, asked_at=at), at)
 
 
 def get_runner(world: World) -> RunnerState:
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -29,7 +29,7 @@
     OrderOutcome,
     OrdersAllowed,
     Refuse,
-    ReportSeen,
+    ReportReceived,
     RequestEnded,
     Tick,
 )
@@ -340,7 +340,7 @@
             report = runner.read_report(self.now)
             if report is not None:
                 self.feed(
-                    ReportSeen(
+                    ReportReceived(
                         runner_id=runner.runner_id, report=report, asked_at=self.now
                     )
                 )
