--- a/mangoway/daemons/order_sender.py
+++ b/mangoway/daemons/order_sender.py
@@ -14,7 +14,7 @@
     RunnerOrder,
     RunnerUnreachableError,
 )
-from ..policy.scheduling.events import GiveOrder, OrderEnded, OrderOutcome
+from ..policy.scheduling.events import OrderEnded, OrderOutcome, SendOrder
 from .fleet_process import FleetProcess
 
 OUTCOMES: Final = {
@@ -36,11 +36,11 @@
     control: RunnerControl
     on_ended: Callable[[OrderEnded], None]
 
-    def give(self, order: GiveOrder) -> None:
+    def give(self, order: SendOrder) -> None:
         """Send an order in the background."""
         self.process.tasks.async_start(self._async_give_order(order))
 
-    async def _async_give_order(self, order: GiveOrder) -> None:
+    async def _async_give_order(self, order: SendOrder) -> None:
         outcome = OrderOutcome.REFUSED
         try:
             outcome = await self._async_send_order(order)
@@ -53,7 +53,7 @@
                 )
             )
 
-    async def _async_send_order(self, order: GiveOrder) -> OrderOutcome:
+    async def _async_send_order(self, order: SendOrder) -> OrderOutcome:
         entry = self.process.view.find_open_runner(order.runner_id)
         fence = self.leadership.fence
         if entry is None or fence is None or not self.leadership.may_order:
@@ -83,7 +83,7 @@
         self._log_answer(order, answer, began)
         return OUTCOMES[answer]
 
-    def _make_order(self, order: GiveOrder, fence: int) -> RunnerOrder:
+    def _make_order(self, order: SendOrder, fence: int) -> RunnerOrder:
         return RunnerOrder(
             load=order.load,
             model=order.model,
@@ -93,7 +93,7 @@
             fence=fence,
         )
 
-    def _log_answer(self, order: GiveOrder, answer: OrderAnswer, began: float) -> None:
+    def _log_answer(self, order: SendOrder, answer: OrderAnswer, began: float) -> None:
         operation = "load" if order.load else "unload"
         self.process.metrics.placement_orders.add(operation, answer.value)
         log_event(
@@ -106,7 +106,7 @@
             )
         )
 
-    def _log_unanswered(self, order: GiveOrder, reason: str) -> None:
+    def _log_unanswered(self, order: SendOrder, reason: str) -> None:
         operation = "load" if order.load else "unload"
         self.process.metrics.placement_orders.add(operation, "no_answer")
         log_event(
--- a/mangoway/policy/scheduling/adapters.py
+++ b/mangoway/policy/scheduling/adapters.py
@@ -4,16 +4,16 @@
 that was used longest ago makes way.
 """
 
-from .events import GiveOrder
+from .events import SendOrder
 from .orders import can_order, open_order
 from .requests import Waiting
 from .runners import RunnerState
 from .state import SchedulingState
 
 
-def plan_adapters(state: SchedulingState, service: str, now: float) -> list[GiveOrder]:
+def plan_adapters(state: SchedulingState, service: str, now: float) -> list[SendOrder]:
     """Return orders for all adapters that requests wait for; one a runner at most."""
-    orders: list[GiveOrder] = []
+    orders: list[SendOrder] = []
     queue = state.get_queue(service)
     for model in queue.list_models():
         for adapter in list(queue.get_artifacts(model)):
@@ -23,7 +23,7 @@
 
 def plan_runner(
     state: SchedulingState, runner: RunnerState, now: float
-) -> list[GiveOrder]:
+) -> list[SendOrder]:
     """Return an order for an adapter that waits for a runner which can be ordered."""
     if not can_order(runner, now):
         return []
@@ -39,7 +39,7 @@
 
 def plan_adapter(
     state: SchedulingState, service: str, model: str, adapter: str, now: float
-) -> list[GiveOrder]:
+) -> list[SendOrder]:
     """Return the order for one adapter, if requests wait for it and nobody has it."""
     artifact = state.get_queue(service).get_artifacts(model).get(adapter)
     if not adapter or artifact is None:
@@ -72,7 +72,7 @@
     adapter: str,
     waiting: list[Waiting],
     now: float,
-) -> GiveOrder | None:
+) -> SendOrder | None:
     holders = [
         each
         for each in runners
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -235,7 +235,7 @@
 
 
 @frozen(kw_only=True)
-class GiveOrder:
+class SendOrder:
     """Send an order to a runner."""
 
     runner_id: str
@@ -253,4 +253,4 @@
     """Life of the runner that it is for."""
 
 
-Action = Grant | Refuse | GiveOrder
+Action = Grant | Refuse | SendOrder
--- a/mangoway/policy/scheduling/orders.py
+++ b/mangoway/policy/scheduling/orders.py
@@ -6,7 +6,7 @@
 """
 
 from .const import ADAPTER_LOAD_S, LOAD_MARGIN, LOAD_MARGIN_S, UNLOAD_S
-from .events import GiveOrder, OrderOutcome
+from .events import OrderOutcome, SendOrder
 from .runners import HeldModel, RunnerState
 
 
@@ -29,13 +29,13 @@
     reason: str,
     waiting: int,
     now: float,
-) -> GiveOrder:
+) -> SendOrder:
     """Note and return an order; what it takes away counts as gone at once."""
     if runner.order_count is None:
         raise ValueError(f"the orders of runner {runner.runner_id} are not known")
     if runner.open_order is not None:
         raise ValueError(f"runner {runner.runner_id} has not answered its last order")
-    order = GiveOrder(
+    order = SendOrder(
         runner_id=runner.runner_id,
         load=load,
         model=model,
@@ -91,7 +91,7 @@
 
 
 def _apply(
-    runner: RunnerState, order: GiveOrder, duration_s: float, now: float
+    runner: RunnerState, order: SendOrder, duration_s: float, now: float
 ) -> None:
     if order.adapter:
         held = runner.held.get(order.model)
@@ -108,7 +108,7 @@
         runner.changing_until = now + UNLOAD_S
 
 
-def _revert(runner: RunnerState, order: GiveOrder, set_aside: HeldModel | None) -> None:
+def _revert(runner: RunnerState, order: SendOrder, set_aside: HeldModel | None) -> None:
     held = runner.held.get(order.model)
     if order.adapter and order.load and held is not None:
         held.adapters.pop(order.adapter, None)
--- a/mangoway/policy/scheduling/placement.py
+++ b/mangoway/policy/scheduling/placement.py
@@ -19,7 +19,7 @@
     SWAP_GAIN,
     UNLOAD_S,
 )
-from .events import GiveOrder
+from .events import SendOrder
 from .loads import estimate_load
 from .orders import can_order, open_order
 from .runners import RunnerState
@@ -73,7 +73,7 @@
             if runner.goal:
                 self._goals[runner.goal] = self._goals.get(runner.goal, 0) + 1
 
-    def plan(self) -> list[GiveOrder]:
+    def plan(self) -> list[SendOrder]:
         """Return the orders to give now."""
         orders = self._go_on()
         orders += self._begin_loads()
@@ -93,7 +93,7 @@
             for name in names
         ]
 
-    def _go_on(self) -> list[GiveOrder]:
+    def _go_on(self) -> list[SendOrder]:
         """Go on where room was being made for a model."""
         ready = [
             runner
@@ -115,9 +115,9 @@
         gain = self._appraisal.rate_gain(model, copies)
         return gain + self._appraisal.count_waiting(model) / HOLD_S
 
-    def _begin_loads(self) -> list[GiveOrder]:
+    def _begin_loads(self) -> list[SendOrder]:
         """Begin the loads that bring most for the time that they take a runner."""
-        orders: list[GiveOrder] = []
+        orders: list[SendOrder] = []
         if not any(can_order(each, self.now) for each in self._runners):
             return orders
         for need in self._list_needs()[:NEEDS_A_PLAN]:
@@ -180,9 +180,9 @@
         loads.note_rare(runner.runner_id, self.now + UNLOAD_S + profile.load_s)
         return True
 
-    def _fill(self) -> list[GiveOrder]:
+    def _fill(self) -> list[SendOrder]:
         """Use room that is free, as after a runner's restart, for what is missing."""
-        orders: list[GiveOrder] = []
+        orders: list[SendOrder] = []
         smallest_mb = min(
             (each.weights_mb for each in self.engine.models.values()), default=0.0
         )
@@ -215,7 +215,7 @@
                 best = (value, name)
         return None if best is None else best[1]
 
-    def _step(self, runner: RunnerState, model: str, reason: str) -> GiveOrder | None:
+    def _step(self, runner: RunnerState, model: str, reason: str) -> SendOrder | None:
         """Return the next order on the way to a model on a runner."""
         profile = self.engine.models.get(model)
         if profile is None or model in runner.held:
@@ -250,7 +250,7 @@
 
     def _load(
         self, runner: RunnerState, profile: ModelProfile, reason: str, waiting: int
-    ) -> GiveOrder | None:
+    ) -> SendOrder | None:
         load_s = estimate_load(runner, profile)
         if load_s >= profile.load_s:
             loads = self.state.get_store_loads(self.service)
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -18,7 +18,7 @@
 )
 from .copies import CopyIndex
 from .demand import Rate
-from .events import GiveOrder
+from .events import SendOrder
 from .prefixes import PrefixMemory
 from .reading import Reading
 from .requests import RequestKey, Running
@@ -81,7 +81,7 @@
     ordered_at: float = -1e9
     """When the last order was sent or answered."""
 
-    open_order: GiveOrder | None = None
+    open_order: SendOrder | None = None
     """The order that waits for its answer."""
 
     set_aside: HeldModel | None = None
--- a/mangoway/policy/scheduling/warming.py
+++ b/mangoway/policy/scheduling/warming.py
@@ -12,7 +12,7 @@
 
 from ...models.routing import EngineProfile, ModelProfile
 from .const import IDLE_VALUE, WARMING_REST_S, WARMING_SHARE
-from .events import GiveOrder
+from .events import SendOrder
 from .loads import measure_free, reserve_for_adapters
 from .orders import can_order, open_order
 from .runners import RunnerState
@@ -48,11 +48,11 @@
             for name in runner.held:
                 self._held[name] = self._held.get(name, 0) + 1
 
-    def plan(self) -> list[GiveOrder]:
+    def plan(self) -> list[SendOrder]:
         """Return the unloads that make room for copies; the loads follow them."""
         if not self._is_idle():
             return []
-        orders: list[GiveOrder] = []
+        orders: list[SendOrder] = []
         free = self._count_free()
         loads = self.state.get_store_loads(self.service)
         if not free or not loads.may_begin(self.engine, self.now):
@@ -104,7 +104,7 @@
         expected = IDLE_VALUE * (1 + profile.adapters)
         return expected * max(1, self._held.get(profile.name, 0))
 
-    def _begin(self, profile: ModelProfile) -> GiveOrder | None:
+    def _begin(self, profile: ModelProfile) -> SendOrder | None:
         """Make room for a model where what goes is missed least."""
         loads = self.state.get_store_loads(self.service)
         if not loads.may_begin(self.engine, self.now):
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -18,8 +18,8 @@
     EdgeDisconnected,
     EndKind,
     Event,
-    GiveOrder,
     RequestEnded,
+    SendOrder,
     SpendingReported,
     Tick,
 )
@@ -55,7 +55,7 @@
     core: SchedulingCore
     clock: Callable[[], float]
     is_leading: Callable[[], bool]
-    give_order: Callable[[GiveOrder], None]
+    give_order: Callable[[SendOrder], None]
     mirror: Mirror
     """What this process knows of the store, which it passes on."""
 
@@ -136,7 +136,7 @@
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, GiveOrder):
+            if isinstance(action, SendOrder):
                 self.give_order(action)
                 continue
             link = self._links.get(action.edge)
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -23,7 +23,6 @@
     Event,
     FirstEventSeen,
     FleetUpdated,
-    GiveOrder,
     Grant,
     GrantRequest,
     OrderEnded,
@@ -32,6 +31,7 @@
     Refuse,
     ReportReceived,
     RequestEnded,
+    SendOrder,
     Tick,
 )
 from mangoway.policy.scheduling.state import SchedulingState
@@ -225,7 +225,7 @@
         self._at(first_at, lambda: self._feed(first))
         self._at(first_at + STREAM_S, lambda: self._feed(ended))
 
-    def _carry_out(self, order: GiveOrder) -> None:
+    def _carry_out(self, order: SendOrder) -> None:
         engine = self._engines[order.runner_id]
         fits = order.order_count == engine.order_count and self.now >= engine.busy_until
         if fits:
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -20,13 +20,13 @@
     EndKind,
     Event,
     FirstEventSeen,
-    GiveOrder,
     Grant,
     GrantRequest,
     OrderEnded,
     OrderOutcome,
     ReportReceived,
     RequestEnded,
+    SendOrder,
 )
 
 from ...fakes.fleet import make_asked
@@ -413,7 +413,7 @@
                     return [self._order(runner, model)]
         return []
 
-    def _order(self, runner: FakeRunner, model: str) -> GiveOrder:
+    def _order(self, runner: FakeRunner, model: str) -> SendOrder:
         self.busy.add(runner.runner_id)
         full = len(runner.models) >= self.world.drawn.held_each
         target = model
@@ -422,7 +422,7 @@
                 runner.models,
                 key=lambda name: self.used_at.get((runner.runner_id, name), 0.0),
             )
-        return GiveOrder(
+        return SendOrder(
             runner_id=runner.runner_id,
             load=not full,
             model=target,
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -3,11 +3,11 @@
 from mangoway.models.runner import ResidentModel
 from mangoway.policy.scheduling.events import (
     FleetUpdated,
-    GiveOrder,
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
     ReportReceived,
+    SendOrder,
     Tick,
 )
 
@@ -176,7 +176,7 @@
 class TestState:
     """Orders rest on a state that is known."""
 
-    def order_for_waiting(self, world: World) -> list[GiveOrder]:
+    def order_for_waiting(self, world: World) -> list[SendOrder]:
         asked = make_asked("q1", "f", patience_s=30.0)
         world.outcomes["q1"] = Outcome(asked, world.now)
         world.feed(asked)
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -4,13 +4,13 @@
 from mangoway.policy.scheduling.events import (
     EndKind,
     FleetUpdated,
-    GiveOrder,
     Grant,
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
     ReportReceived,
     RequestEnded,
+    SendOrder,
     Tick,
 )
 from mangoway.policy.scheduling.runners import RunnerState
@@ -92,7 +92,7 @@
         core.handle(OrdersAllowed(allowed=True), 1.0)
         core.handle(make_asked("q1", "b", patience_s=20.0), 1.0)
         [order] = [
-            each for each in core.handle(Tick(), 1.1) if isinstance(each, GiveOrder)
+            each for each in core.handle(Tick(), 1.1) if isinstance(each, SendOrder)
         ] or [get_runner(world).open_order]
         assert order is not None
         assert order.started_ms == FIRST_LIFE
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -22,7 +22,6 @@
     Event,
     FirstEventSeen,
     FleetUpdated,
-    GiveOrder,
     Grant,
     GrantRequest,
     OrderEnded,
@@ -31,6 +30,7 @@
     Refuse,
     ReportReceived,
     RequestEnded,
+    SendOrder,
     Tick,
 )
 from mangoway.policy.scheduling.state import SchedulingState
@@ -64,7 +64,7 @@
     store_loads: int = 0
     history: list[tuple[float, RunnerReport]] = field(factory=list)
 
-    def carry_out(self, order: GiveOrder, now: float) -> OrderOutcome:
+    def carry_out(self, order: SendOrder, now: float) -> OrderOutcome:
         """Carry out an order, or say why not."""
         if now < self.busy_until or order.order_count != self.order_count:
             return OrderOutcome.NOT_NOW
@@ -129,7 +129,7 @@
         older = [each for at, each in self.history if at <= now - REPORT_LAG_S]
         return older[-1] if older else None
 
-    def _change_adapter(self, order: GiveOrder) -> OrderOutcome:
+    def _change_adapter(self, order: SendOrder) -> OrderOutcome:
         adapters = self.models.get(order.model)
         if adapters is None:
             return OrderOutcome.REFUSED
@@ -176,7 +176,7 @@
 
     now: float = field(default=0.0, init=False)
     outcomes: dict[str, Outcome] = field(factory=dict, init=False)
-    orders: list[GiveOrder] = field(factory=list, init=False)
+    orders: list[SendOrder] = field(factory=list, init=False)
     faults: list[str] = field(factory=list, init=False)
     """Fates of the next orders: `lose`, `late`, `no_answer` or empty."""
 
@@ -293,7 +293,7 @@
             runner.running.pop(grant.request_id, None)
         self.feed(RequestEnded(edge=grant.edge, request_id=grant.request_id, kind=kind))
 
-    def _order(self, order: GiveOrder) -> None:
+    def _order(self, order: SendOrder) -> None:
         self.orders.append(order)
         fate = self.faults.pop(0) if self.faults else ""
         runner = self.runners.get(order.runner_id)
@@ -312,10 +312,10 @@
                 lambda: self._answer(order, self._apply(runner, order), WAY_S),
             )
 
-    def _apply(self, runner: FakeRunner, order: GiveOrder) -> OrderOutcome:
+    def _apply(self, runner: FakeRunner, order: SendOrder) -> OrderOutcome:
         return runner.carry_out(order, self.now)
 
-    def _answer(self, order: GiveOrder, outcome: OrderOutcome, after: float) -> None:
+    def _answer(self, order: SendOrder, outcome: OrderOutcome, after: float) -> None:
         core = self.core
 
         def tell() -> None:
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -18,9 +18,9 @@
 from mangoway.policy.scheduling.events import (
     EndKind,
     FleetUpdated,
-    GiveOrder,
     Grant,
     Refuse,
+    SendOrder,
 )
 from mangoway.policy.scheduling.state import SchedulingState
 from mangoway.scheduling.client import RETRY_AFTER_PERMIT_S, SchedulerClient
@@ -75,7 +75,7 @@
     def __init__(self) -> None:
         self.leading = True
         self.told: list[Told] = []
-        self.orders: list[GiveOrder] = []
+        self.orders: list[SendOrder] = []
         clock = asyncio.get_running_loop().time
         self.mirror = Mirror(FakeCoordinationStore(), Recorder(), clock)
         self.mirror.take_snapshot(
