--- a/mangoway/daemons/report_reader.py
+++ b/mangoway/daemons/report_reader.py
@@ -133,7 +133,7 @@
         runners: Number of runners whose reports are read.
         now: Time in seconds.
     """
-    if not state.state_known:
+    if not state.is_state_known:
         change_s = state.changing_until - state.ordered_at
         ends_soon = now >= state.ordered_at + CHANGE_BEFORE_END * change_s
         return URGENT_REPORT_S if ends_soon else REPORT_S
--- a/mangoway/policy/scheduling/loads.py
+++ b/mangoway/policy/scheduling/loads.py
@@ -55,7 +55,7 @@
     if runner.open_order is not None:
         return None
     # While a load is under way, reports don't show what will be held.
-    known_s = 0.0 if runner.state_known else REPORT_LAG_S
+    known_s = 0.0 if runner.is_state_known else REPORT_LAG_S
     return max(known_s, runner.changing_until - now)
 
 
--- a/mangoway/policy/scheduling/orders.py
+++ b/mangoway/policy/scheduling/orders.py
@@ -15,7 +15,7 @@
     return (
         runner.open_order is None
         and runner.order_count is not None
-        and runner.state_known
+        and runner.is_state_known
         and now >= runner.changing_until
     )
 
@@ -86,7 +86,7 @@
         _apply(runner, order, duration_s, now)
         return
     # What the runner holds is another than was thought, or may become so.
-    runner.state_known = False
+    runner.is_state_known = False
     _revert(runner, order, set_aside)
 
 
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -90,7 +90,7 @@
     goal: str = ""
     """Model for which room is being made; empty without one."""
 
-    state_known: bool = False
+    is_state_known: bool = False
     """Whether a report showed what the runner holds, with no change under way, and
     what was ordered since is known to have been carried out."""
 
@@ -151,9 +151,9 @@
         self.order_count = report.order_count
         if report.busy:
             # A model on its way takes memory, and the report does not name it.
-            self.state_known = False
+            self.is_state_known = False
             return
-        self.state_known = True
+        self.is_state_known = True
         self.changing_until = min(self.changing_until, now)
         self.take_models(report.models, now, report.pending_adapters)
 
--- a/tests/daemons/test_report_reader.py
+++ b/tests/daemons/test_report_reader.py
@@ -44,14 +44,14 @@
         assert choose_report_period(state, 1, 15.5) == URGENT_REPORT_S
 
     def test_runner_without_orders_is_quiet(self) -> None:
-        state = make_state(state_known=True, ordered_at=10.0)
+        state = make_state(is_state_known=True, ordered_at=10.0)
         assert choose_report_period(state, 1, 10.5) == REPORT_S
         assert choose_report_period(state, 1, 12.0) == QUIET_REPORT_S
         assert choose_report_period(state, 100, 12.0) == QUIET_REPORT_S
 
     @pytest.mark.parametrize("runners", [300, 3000, 12_000])
     def test_reports_of_quiet_runners_do_not_grow_with_them(self, runners: int) -> None:
-        state = make_state(state_known=True, ordered_at=10.0)
+        state = make_state(is_state_known=True, ordered_at=10.0)
         assert runners / choose_report_period(state, runners, 99.0) <= 100.0
 
 
