--- a/mangoway/policy/scheduling/dispatch.py
+++ b/mangoway/policy/scheduling/dispatch.py
@@ -203,7 +203,7 @@
         state, now = self.state, self.now
         cost = runner.reading.measure(now) + reading_s
         cost += RUNNING_S * len(runner.running)
-        place = state.edge_places.get(waiting.asked.edge)
+        place = state.edge_data_centres.get(waiting.asked.edge)
         if place is not None and place != runner.entry.data_centre:
             cost += OTHER_ZONE_S
         if runner.measure_stall(reading_s, now) > STALL_LIMIT_S:
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -105,7 +105,7 @@
     charges: dict[RequestKey, Charge] = field(factory=dict, init=False)
     """What was taken of quotas for requests that still wait."""
 
-    edge_places: dict[str, str] = field(factory=dict, init=False)
+    edge_data_centres: dict[str, str] = field(factory=dict, init=False)
     """Data centre of each edge."""
 
     pace: PaceBook = field(factory=PaceBook, init=False)
@@ -194,7 +194,7 @@
 
     def find_in_need(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited, or at rest, for a while."""
-        edges = RESTING_EDGES * len(self.edge_places)
+        edges = RESTING_EDGES * len(self.edge_data_centres)
         return self.limits.list_long(now) | self.rests.list_long(LONG_S, edges, now)
 
     def measure_rest(
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -250,7 +250,7 @@
         self._links[hello.edge] = link
         if hello.asks:
             self._asking.add(hello.edge)
-            self.core.state.edge_places[hello.edge] = hello.data_centre
+            self.core.state.edge_data_centres[hello.edge] = hello.data_centre
             self.on_edge(hello.edge, True)
         # A heartbeat at once, a reading in its turn: who is greeted late comes anew.
         link.send_frame(encode_frame([self._make_heartbeat()]))
@@ -283,6 +283,6 @@
             if link.edge in self._asking:
                 self._asking.discard(link.edge)
                 self.on_edge(link.edge, False)
-            self.core.state.edge_places.pop(link.edge, None)
+            self.core.state.edge_data_centres.pop(link.edge, None)
             log_event(log.LinkLost(peer=link.edge, reason=reason))
             self.handle(EdgeDisconnected(edge=link.edge))
