--- a/mangoway/edge/plain.py
+++ b/mangoway/edge/plain.py
@@ -14,7 +14,7 @@
 from ..policy.edge.const import RETRY_AFTER_OUTAGE_S
 from ..policy.edge.health import HealthBook
 from ..policy.scheduling.const import MAX_RETRY_AFTER_S, RETRY_SPREAD
-from ..policy.scheduling.core import LIMIT_REACHED
+from ..policy.scheduling.core import RATE_LIMITED_REASON
 from ..policy.scheduling.events import EndKind, Refuse
 
 NO_RUNNER: Final = "no runner of the service is known"
@@ -65,7 +65,7 @@
         if runners and not taking:
             wait_s = min(waits[each.runner_id] for each in runners)
             spread = 1 + RETRY_SPREAD * self.random.random()
-            return _refuse(LIMIT_REACHED, min(MAX_RETRY_AFTER_S, wait_s) * spread)
+            return _refuse(RATE_LIMITED_REASON, min(MAX_RETRY_AFTER_S, wait_s) * spread)
         runners = taking
         left = [each for each in runners if each.runner_id not in excluded] or runners
         usable = set(self.health.list_usable([each.runner_id for each in left], now))
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -44,7 +44,7 @@
 """When to come back for a model that is not offered: a newer configuration may have it
 by then."""
 
-LIMIT_REACHED: Final = "its runners take no more requests now"
+RATE_LIMITED_REASON: Final = "its runners take no more requests now"
 """Why a request is refused that only limited runners could get."""
 
 DESCRIBED_MODELS: Final = 6
@@ -312,7 +312,7 @@
                 edge=event.edge,
                 request_id=event.request_id,
                 retry_after_s=round(limits.promise(*life, now), 3),
-                reason=LIMIT_REACHED,
+                reason=RATE_LIMITED_REASON,
             )
         ]
     limits.take(*life, now)
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -5,7 +5,7 @@
 
 from mangoway.policy.limits.book import LimitSaid
 from mangoway.policy.limits.const import LONG_S
-from mangoway.policy.scheduling.core import LIMIT_REACHED
+from mangoway.policy.scheduling.core import RATE_LIMITED_REASON
 from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
 
 from ...fakes.fleet import make_asked
@@ -179,7 +179,7 @@
         times = [each.retry_after_s for each in refusals if isinstance(each, Refuse)]
         assert times == pytest.approx([0.5, 1.0, 1.5])
         assert {each.reason for each in refusals if isinstance(each, Refuse)} == {
-            LIMIT_REACHED
+            RATE_LIMITED_REASON
         }
 
     def test_new_life_of_a_runner_owes_nothing(self) -> None:
