--- a/mangoway/daemons/gateway_node.py
+++ b/mangoway/daemons/gateway_node.py
@@ -38,7 +38,7 @@
 from ..policy.dispatch.core import DispatchCore
 from ..policy.dispatch.events import (
     DispatchEvent,
-    EngineMet,
+    EngineDescribed,
     EngineReported,
     GatewaysCounted,
     HomesChanged,
@@ -232,7 +232,7 @@
     def async_meet(self, description: EngineDescription) -> None:
         """Take the description of an engine met first, or after a restart."""
         self._upstream_log.note_met(description)
-        self.dispatcher.send(EngineMet(description=description))
+        self.dispatcher.send(EngineDescribed(description=description))
 
     def async_take_report(self, report: EngineReport) -> None:
         """Take a report that this gateway asked for; peers hear of it."""
--- a/mangoway/daemons/placement_driver.py
+++ b/mangoway/daemons/placement_driver.py
@@ -31,7 +31,7 @@
 from ..policy.placement.core import PlacementCore
 from ..policy.placement.events import (
     ConfigurationChanged,
-    EngineMet,
+    EngineDescribed,
     EngineReported,
     EngineSilent,
     LeaseGained,
@@ -143,7 +143,7 @@
     def async_meet(self, description: EngineDescription) -> None:
         """Take the description of an engine met first, or after a restart."""
         self._upstream_log.note_met(description)
-        self._driver.async_handle(EngineMet(description=description))
+        self._driver.async_handle(EngineDescribed(description=description))
 
     def async_take_report(self, report: EngineReport) -> None:
         """Take a report."""
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -22,7 +22,7 @@
     AttemptSucceeded,
     ConfigurationChanged,
     DispatchEvent,
-    EngineMet,
+    EngineDescribed,
     EngineReported,
     GatewaysCounted,
     HomesChanged,
@@ -110,7 +110,7 @@
             KeyClaimed: self.arrivals.end_claim,
             UpstreamsListed: self._on_listed,
             UpstreamLeaving: self._on_leaving,
-            EngineMet: self._on_met,
+            EngineDescribed: self._on_met,
             EngineReported: self._on_reported,
             GatewaysCounted: self._on_counted,
             PeerKeysReceived: self._on_peer_keys,
@@ -173,7 +173,7 @@
     def _on_leaving(self, event: UpstreamLeaving) -> None:
         self.context.fleet.mark_leaving(event.upstream_id)
 
-    def _on_met(self, event: EngineMet) -> None:
+    def _on_met(self, event: EngineDescribed) -> None:
         self.scheduler.pump(self.context.fleet.meet(event.description))
 
     def _on_reported(self, event: EngineReported) -> None:
--- a/mangoway/policy/dispatch/events.py
+++ b/mangoway/policy/dispatch/events.py
@@ -103,7 +103,7 @@
 
 
 @frozen(kw_only=True)
-class EngineMet:
+class EngineDescribed:
     """An engine described itself."""
 
     description: EngineDescription
@@ -205,7 +205,7 @@
     | KeyClaimed
     | UpstreamsListed
     | UpstreamLeaving
-    | EngineMet
+    | EngineDescribed
     | EngineReported
     | GatewaysCounted
     | PeerKeysReceived
--- a/mangoway/policy/placement/core.py
+++ b/mangoway/policy/placement/core.py
@@ -55,7 +55,7 @@
             events.OrderAnswered: self.reservations.orders.take_answer,
             events.OrderFailed: self.reservations.orders.take_failure,
             events.RunnersListed: self._take_runners,
-            events.EngineMet: self._meet_engine,
+            events.EngineDescribed: self._meet_engine,
             events.EngineReported: self._take_report,
             events.EngineSilent: self._take_silence,
             events.DemandReported: self._take_demand,
@@ -147,7 +147,7 @@
         self.reservations.outbox.changed |= set(self.state.copies.list_on(runner.id))
         self.reservations.outbox.dirty.add(runner.id)
 
-    def _meet_engine(self, event: events.EngineMet, now: float) -> None:
+    def _meet_engine(self, event: events.EngineDescribed, now: float) -> None:
         description = event.description
         runner = self.state.runners.get(description.upstream)
         if runner is None:
--- a/mangoway/policy/placement/events.py
+++ b/mangoway/policy/placement/events.py
@@ -91,7 +91,7 @@
 
 
 @frozen(kw_only=True)
-class EngineMet:
+class EngineDescribed:
     """An engine described itself."""
 
     description: EngineDescription
@@ -154,7 +154,7 @@
     | OrderAnswered
     | OrderFailed
     | RunnersListed
-    | EngineMet
+    | EngineDescribed
     | EngineReported
     | EngineSilent
     | DemandReported
--- a/measure/baselines/placement.py
+++ b/measure/baselines/placement.py
@@ -31,7 +31,7 @@
 from mangoway.policy.placement.events import (
     ConfigurationChanged,
     DemandReported,
-    EngineMet,
+    EngineDescribed,
     EngineReported,
     EngineSilent,
     LeaseGained,
@@ -93,7 +93,7 @@
                 self._is_active = False
             case ConfigurationChanged(configuration=configuration):
                 self._configuration = configuration
-            case EngineMet(description=description):
+            case EngineDescribed(description=description):
                 self._runners[description.upstream] = _Runner(description)
             case RunnersListed(runners=runners):
                 listed = {runner.id for runner in runners}
--- a/measure/simulation.py
+++ b/measure/simulation.py
@@ -205,7 +205,9 @@
                 placement_events.RunnersListed(runners=self._list_runners())
             )
             for host in self.engines.values():
-                met = placement_events.EngineMet(description=host.model.describe())
+                met = placement_events.EngineDescribed(
+                    description=host.model.describe()
+                )
                 controller.handle(met)
             controller.handle(placement_events.Ticked())
             self._clock.call_later(0.5 * number, controller.keep_lease)
@@ -224,7 +226,7 @@
         gateway.handle(dispatch_events.UpstreamsListed(upstreams=self._list_all()))
         for host in self.engines.values():
             if not host.model.is_down:
-                met = dispatch_events.EngineMet(description=host.model.describe())
+                met = dispatch_events.EngineDescribed(description=host.model.describe())
                 gateway.handle(met)
         self._tell_members([gateway])
         gateway.handle(dispatch_events.Ticked())
@@ -358,6 +360,6 @@
         """Let everybody meet a restarted engine."""
         description = host.model.describe()
         for gateway in self.gateways.values():
-            gateway.handle(dispatch_events.EngineMet(description=description))
+            gateway.handle(dispatch_events.EngineDescribed(description=description))
         for controller in self.controllers:
-            controller.handle(placement_events.EngineMet(description=description))
+            controller.handle(placement_events.EngineDescribed(description=description))
--- a/tests/policy/dispatch/builders.py
+++ b/tests/policy/dispatch/builders.py
@@ -39,7 +39,7 @@
 from mangoway.policy.dispatch.core import DispatchCore
 from mangoway.policy.dispatch.events import (
     ConfigurationChanged,
-    EngineMet,
+    EngineDescribed,
     EngineReported,
     RequestArrived,
     UpstreamsListed,
@@ -124,14 +124,16 @@
     return EngineReported(report=report)
 
 
-def make_met(name: str, max_running: int = 2, incarnation: str = "1") -> EngineMet:
+def make_met(
+    name: str, max_running: int = 2, incarnation: str = "1"
+) -> EngineDescribed:
     description = EngineDescription(
         upstream=UpstreamId(name),
         incarnation=IncarnationId(incarnation),
         memory_mb=100,
         max_running=max_running,
     )
-    return EngineMet(description=description)
+    return EngineDescribed(description=description)
 
 
 def make_request(
--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -226,7 +226,7 @@
         [engine] = world.engines.values()
         engine.restart(world.now)
         engine.memory[Artifact.parse("x@1")] = 60
-        met = events.EngineMet(description=engine.describe())
+        met = events.EngineDescribed(description=engine.describe())
         world.give(world.controllers[0], met)
         reported = events.EngineReported(report=engine.report(world.now))
         world.give(world.controllers[0], reported)
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -291,7 +291,7 @@
                 for controller in self.controllers:
                     self.give(controller, events.EngineSilent(upstream_id=engine.id))
                 continue
-            met = events.EngineMet(description=engine.describe())
+            met = events.EngineDescribed(description=engine.describe())
             reported = events.EngineReported(report=engine.report(self.now))
             for controller in self.controllers:
                 self._deliver(controller, met, self.report_lag_s)
