--- a/mangoway/daemons/gateway_node.py
+++ b/mangoway/daemons/gateway_node.py
@@ -40,7 +40,7 @@
     DispatchEvent,
     EngineDescribed,
     EngineReported,
-    GatewaysCounted,
+    GatewayCountChanged,
     HomesChanged,
     Successor,
 )
@@ -226,7 +226,7 @@
         # Most changes are other members' versions; these concern no engine.
         if incarnations != self._live:
             self._live = incarnations
-            self.dispatcher.send(GatewaysCounted(count=max(1, len(live))))
+            self.dispatcher.send(GatewayCountChanged(count=max(1, len(live))))
             self._share_engines()
 
     def async_meet(self, description: EngineDescription) -> None:
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -24,7 +24,7 @@
     DispatchEvent,
     EngineDescribed,
     EngineReported,
-    GatewaysCounted,
+    GatewayCountChanged,
     HomesChanged,
     KeyClaimed,
     KeyRecord,
@@ -112,7 +112,7 @@
             UpstreamLeaving: self._on_leaving,
             EngineDescribed: self._on_met,
             EngineReported: self._on_reported,
-            GatewaysCounted: self._on_counted,
+            GatewayCountChanged: self._on_counted,
             PeerKeysReceived: self._on_peer_keys,
             HomesChanged: self._on_homes,
             ConfigurationChanged: self._on_configuration,
@@ -196,7 +196,7 @@
             elif not self.context.fleet.count_loading(artifact):
                 estimates.note_loading(artifact, False, now)
 
-    def _on_counted(self, event: GatewaysCounted) -> None:
+    def _on_counted(self, event: GatewayCountChanged) -> None:
         for upstream in self.context.fleet.count_gateways(event.count):
             self.scheduler.pump(upstream)
 
--- a/mangoway/policy/dispatch/events.py
+++ b/mangoway/policy/dispatch/events.py
@@ -117,7 +117,7 @@
 
 
 @frozen(kw_only=True)
-class GatewaysCounted:
+class GatewayCountChanged:
     """The number of live gateways of the cell changed (this one included)."""
 
     count: int
@@ -207,7 +207,7 @@
     | UpstreamLeaving
     | EngineDescribed
     | EngineReported
-    | GatewaysCounted
+    | GatewayCountChanged
     | PeerKeysReceived
     | HomesChanged
     | ConfigurationChanged
--- a/measure/simulation.py
+++ b/measure/simulation.py
@@ -234,7 +234,7 @@
     def _tell_members(self, gateways: Iterable[GatewayShell]) -> None:
         live = frozenset(gateway.identity.incarnation for gateway in self._known)
         for gateway in gateways:
-            gateway.handle(dispatch_events.GatewaysCounted(count=len(live)))
+            gateway.handle(dispatch_events.GatewayCountChanged(count=len(live)))
             gateway.handle(dispatch_events.HomesChanged(live=live))
 
     def _list_runners(self) -> tuple[UpstreamAddress, ...]:
--- a/tests/policy/dispatch/test_choice.py
+++ b/tests/policy/dispatch/test_choice.py
@@ -11,7 +11,7 @@
 from mangoway.policy.dispatch.events import (
     AttemptFailed,
     EngineReported,
-    GatewaysCounted,
+    GatewayCountChanged,
     UpstreamLeaving,
     UpstreamsListed,
 )
@@ -107,7 +107,7 @@
 
     def test_gateways_share_a_runner(self) -> None:
         core = make_core(engines=1, max_running=6)
-        core.handle(GatewaysCounted(count=3), 1.0)
+        core.handle(GatewayCountChanged(count=3), 1.0)
         assert spread(core, 2, 1.0) == {"engine0": 2}
         assert not pick(arrive(core, make_request("a", 1.0), 1.0), StartAttempt)
 
@@ -120,7 +120,7 @@
 
     def test_rounding_leaves_no_slot_unused(self) -> None:
         core = make_core(engines=1, max_running=8)
-        core.handle(GatewaysCounted(count=3), 1.0)
+        core.handle(GatewayCountChanged(count=3), 1.0)
         window = core.context.fleet.upstreams[UpstreamId("engine0")].window
         total = 0
         for number in range(300):
