--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -43,7 +43,7 @@
     RequestArrived,
     RequestCancelled,
     Ticked,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 from ..util.core_driver import CoreDriver
 from .attempts import AttemptRunner
@@ -152,7 +152,7 @@
     def set_upstreams(self, upstreams: Iterable[UpstreamAddress]) -> None:
         """Set the whole list of known upstreams."""
         self.upstreams = {each.id: each for each in upstreams}
-        self.send(UpstreamsListed(upstreams=tuple(self.upstreams.values())))
+        self.send(UpstreamListChanged(upstreams=tuple(self.upstreams.values())))
 
     def send(self, event: DispatchEvent) -> None:
         """Give the core an event and do what it decides."""
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -34,7 +34,7 @@
     StopRequested,
     Ticked,
     UpstreamLeaving,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 from .fleet import Fleet
 from .homes import Homes
@@ -108,7 +108,7 @@
             AttemptFailed: self.outcomes.fail,
             AttemptCancelled: self.outcomes.end_cancelled,
             KeyClaimed: self.arrivals.end_claim,
-            UpstreamsListed: self._on_listed,
+            UpstreamListChanged: self._on_listed,
             UpstreamLeaving: self._on_leaving,
             EngineDescribed: self._on_met,
             EngineReported: self._on_reported,
@@ -166,7 +166,7 @@
 
     # Upstreams.
 
-    def _on_listed(self, event: UpstreamsListed) -> None:
+    def _on_listed(self, event: UpstreamListChanged) -> None:
         for upstream in self.context.fleet.follow_list(event.upstreams):
             self.scheduler.pump(upstream)
 
--- a/mangoway/policy/dispatch/events.py
+++ b/mangoway/policy/dispatch/events.py
@@ -89,7 +89,7 @@
 
 
 @frozen(kw_only=True)
-class UpstreamsListed:
+class UpstreamListChanged:
     """The whole list of upstreams that are known now."""
 
     upstreams: tuple[UpstreamAddress, ...]
@@ -203,7 +203,7 @@
     | AttemptFailed
     | AttemptCancelled
     | KeyClaimed
-    | UpstreamsListed
+    | UpstreamListChanged
     | UpstreamLeaving
     | EngineDescribed
     | EngineReported
--- a/measure/baselines/dispatch.py
+++ b/measure/baselines/dispatch.py
@@ -37,7 +37,7 @@
     EngineReported,
     RequestArrived,
     Ticked,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 
 _DIGEST_PERIOD_S = 2.0
@@ -100,7 +100,7 @@
                 return self._fail(event, now)
             case EngineReported(report=report):
                 return self._learn(report, now)
-            case UpstreamsListed():
+            case UpstreamListChanged():
                 self._list(event)
             case Ticked():
                 return self._tick(now)
@@ -220,7 +220,7 @@
                 actions.extend(self._send(request_id, now))
         return actions
 
-    def _list(self, event: UpstreamsListed) -> None:
+    def _list(self, event: UpstreamListChanged) -> None:
         self._listed = {upstream.id for upstream in event.upstreams}
         for upstream_id in list(self._ready):
             if upstream_id not in self._listed:
--- a/measure/simulation.py
+++ b/measure/simulation.py
@@ -223,7 +223,7 @@
         gateway.handle(
             dispatch_events.ConfigurationChanged(configuration=self._site.configuration)
         )
-        gateway.handle(dispatch_events.UpstreamsListed(upstreams=self._list_all()))
+        gateway.handle(dispatch_events.UpstreamListChanged(upstreams=self._list_all()))
         for host in self.engines.values():
             if not host.model.is_down:
                 met = dispatch_events.EngineDescribed(description=host.model.describe())
@@ -344,7 +344,7 @@
             *(host.id for host in self.engines.values() if host.model.is_down),
             *(host.id for host in self.services.values() if host.is_down),
         }
-        listed = dispatch_events.UpstreamsListed(upstreams=self._list_all())
+        listed = dispatch_events.UpstreamListChanged(upstreams=self._list_all())
         runners = placement_events.RunnersListed(runners=self._list_runners())
         for gateway in self.gateways.values():
             gateway.handle(listed)
--- a/tests/policy/dispatch/builders.py
+++ b/tests/policy/dispatch/builders.py
@@ -42,7 +42,7 @@
     EngineDescribed,
     EngineReported,
     RequestArrived,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 from mangoway.policy.dispatch.options import DispatchOptions
 
@@ -170,7 +170,7 @@
     core.handle(changed, 0.0)
     addresses = [make_engine(f"engine{number}") for number in range(engines)]
     addresses += [make_host(f"host{number}") for number in range(hosts)]
-    core.handle(UpstreamsListed(upstreams=tuple(addresses)), 0.0)
+    core.handle(UpstreamListChanged(upstreams=tuple(addresses)), 0.0)
     for number in range(engines):
         core.handle(make_met(f"engine{number}", max_running), 0.0)
         core.handle(make_report(f"engine{number}", 0.0, artifacts), 0.0)
--- a/tests/policy/dispatch/test_choice.py
+++ b/tests/policy/dispatch/test_choice.py
@@ -13,7 +13,7 @@
     EngineReported,
     GatewayCountChanged,
     UpstreamLeaving,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 from mangoway.policy.dispatch.options import DispatchOptions
 from mangoway.policy.dispatch.prefixes import PrefixIndex
@@ -72,7 +72,7 @@
         core = make_core(engines=2, max_running=40, options=options)
         near = make_engine("engine1", "south")
         far = make_engine("engine0", "north")
-        core.handle(UpstreamsListed(upstreams=(near, far)), 1.0)
+        core.handle(UpstreamListChanged(upstreams=(near, far)), 1.0)
         assert spread(core, 1, 1.0) == {"engine1": 1}
         assert set(spread(core, 30, 1.5)) == {"engine0", "engine1"}
 
@@ -83,7 +83,7 @@
     def test_no_sign_is_undone_by_a_late_one(self) -> None:
         core = make_core(engines=1)
         core.handle(UpstreamLeaving(upstream_id="engine0"), 1.0)
-        core.handle(UpstreamsListed(upstreams=(make_engine("engine0"),)), 2.0)
+        core.handle(UpstreamListChanged(upstreams=(make_engine("engine0"),)), 2.0)
         core.handle(make_report("engine0", 3.0), 3.0)
         assert not pick(arrive(core, make_request("a", 4.0), 4.0), StartAttempt)
 
--- a/tests/policy/dispatch/test_core.py
+++ b/tests/policy/dispatch/test_core.py
@@ -22,7 +22,7 @@
     RequestCancelled,
     StopRequested,
     Ticked,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 from mangoway.policy.dispatch.options import DispatchOptions
 from mangoway.policy.dispatch.registry import create_dispatch, list_dispatch_names
@@ -253,7 +253,7 @@
         start(core, make_request("a", 1.0), 1.0)
         arrive(core, make_request("b", 1.0, urgent=False), 1.0)
         core.handle(
-            UpstreamsListed(upstreams=(make_engine("engine0", leaving=True),)), 1.0
+            UpstreamListChanged(upstreams=(make_engine("engine0", leaving=True),)), 1.0
         )
         status = describe_dispatch(core)
         (queue,) = status.queues
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -47,7 +47,7 @@
     Successor,
     Ticked,
     UpstreamLeaving,
-    UpstreamsListed,
+    UpstreamListChanged,
 )
 from mangoway.policy.dispatch.options import DispatchOptions
 
@@ -146,7 +146,7 @@
         self.send(identity, ConfigurationChanged(configuration=configuration))
         addresses = [make_engine(name) for name in ENGINES]
         addresses += [make_host(name) for name in HOSTS]
-        self.send(identity, UpstreamsListed(upstreams=tuple(addresses)))
+        self.send(identity, UpstreamListChanged(upstreams=tuple(addresses)))
         for name in ENGINES:
             self.send(identity, make_met(name))
             self.send(identity, make_report(name, self.now))
