--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -29,7 +29,7 @@
     ForwardToHome,
     ForwardToPeer,
     JoinRequest,
-    NoteBreaker,
+    LogBreakerChange,
     Refuse,
     ReplayAnswer,
     ReportDemand,
@@ -270,8 +270,8 @@
             )
         )
 
-    @_handles(NoteBreaker)
-    def _note_breaker(self, action: NoteBreaker) -> None:
+    @_handles(LogBreakerChange)
+    def _note_breaker(self, action: LogBreakerChange) -> None:
         upstream = action.upstream_id
         if action.failures:
             log_event(CircuitOpened(upstream_id=upstream, failures=action.failures))
--- a/mangoway/policy/dispatch/actions.py
+++ b/mangoway/policy/dispatch/actions.py
@@ -130,7 +130,7 @@
 
 
 @frozen(kw_only=True)
-class NoteBreaker:
+class LogBreakerChange:
     """Log that the circuit breaker of an upstream opened or closed."""
 
     upstream_id: UpstreamId
@@ -158,6 +158,6 @@
     | ForwardToPeer
     | ReportDemand
     | Explain
-    | NoteBreaker
+    | LogBreakerChange
     | WakeAt
 )
--- a/mangoway/policy/dispatch/sickness.py
+++ b/mangoway/policy/dispatch/sickness.py
@@ -3,7 +3,7 @@
 from attrs import define
 
 from ...models.errors import ErrorCode, Failure
-from .actions import NoteBreaker
+from .actions import LogBreakerChange
 from .breakers import BreakerState
 from .const import REASON_BREAKER_TRIPPED
 from .context import Context
@@ -41,7 +41,7 @@
             self.context.fleet.refresh(upstream)
         else:
             self.context.fleet.note_breaker(upstream)
-            self.context.emit(NoteBreaker(upstream_id=upstream.id, failures=0))
+            self.context.emit(LogBreakerChange(upstream_id=upstream.id, failures=0))
 
     def record_failure(
         self, upstream: Upstream, attempt: Attempt, failure: Failure
@@ -79,7 +79,7 @@
         self.context.fleet.note_breaker(upstream)
         self.context.explain(attempt.request_id, REASON_BREAKER_TRIPPED, upstream.id)
         failures = upstream.breaker.failures
-        self.context.emit(NoteBreaker(upstream_id=upstream.id, failures=failures))
+        self.context.emit(LogBreakerChange(upstream_id=upstream.id, failures=failures))
         at = self.context.now + open_s * (1.0 + self.context.rng.random() / 4)
         breaker = upstream.breaker
         self.context.timers.schedule(at, lambda: self._probe(upstream, breaker))
--- a/measure/gateways.py
+++ b/measure/gateways.py
@@ -25,7 +25,7 @@
     Explain,
     Finish,
     ForgetAnswer,
-    NoteBreaker,
+    LogBreakerChange,
     Refuse,
     ReportDemand,
     StartAttempt,
@@ -132,7 +132,7 @@
             WakeAt: self._set_wake,
             Explain: lambda _: None,
             ForgetAnswer: lambda _: None,
-            NoteBreaker: lambda _: None,
+            LogBreakerChange: lambda _: None,
         }
 
     def handle(self, event: DispatchEvent) -> None:
