--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -22,10 +22,10 @@
 from ..policy.dispatch.actions import (
     CancelAttempt,
     ClaimKey,
+    DeleteAnswer,
     DispatchAction,
     Explain,
     Finish,
-    ForgetAnswer,
     ForwardToHome,
     ForwardToPeer,
     JoinRequest,
@@ -215,8 +215,8 @@
             leader.followers.append(record.id)
             record.answer.follow(leader.answer)
 
-    @_handles(ForgetAnswer)
-    def _forget(self, action: ForgetAnswer) -> None:
+    @_handles(DeleteAnswer)
+    def _forget(self, action: DeleteAnswer) -> None:
         self.records.forget(action.answer_id)
 
     @_handles(ClaimKey)
--- a/mangoway/policy/dispatch/actions.py
+++ b/mangoway/policy/dispatch/actions.py
@@ -80,7 +80,7 @@
 
 
 @frozen(kw_only=True)
-class ForgetAnswer:
+class DeleteAnswer:
     """Drop a stored answer."""
 
     answer_id: RequestId
@@ -152,7 +152,7 @@
     | Finish
     | ReplayAnswer
     | JoinRequest
-    | ForgetAnswer
+    | DeleteAnswer
     | ClaimKey
     | ForwardToHome
     | ForwardToPeer
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -8,7 +8,7 @@
 from ...models.identifiers import IncarnationId
 from ...models.offer import Configuration
 from ...models.request import WorkClass
-from .actions import DispatchAction, ForgetAnswer, ReportDemand, WakeAt
+from .actions import DeleteAnswer, DispatchAction, ReportDemand, WakeAt
 from .admission import Admission, find_target_fault
 from .arrivals import Arrivals
 from .attempts import Attempts
@@ -157,7 +157,7 @@
         self.requests.schedule_drops(adopted)
         for record in event.keys:
             if record.answer_id is not None and not self.keys.answers_from(record):
-                self.context.emit(ForgetAnswer(answer_id=record.answer_id))
+                self.context.emit(DeleteAnswer(answer_id=record.answer_id))
         if event.last:
             self.keys.end_adoption(event.home, self.context.now)
 
--- a/mangoway/policy/dispatch/requests.py
+++ b/mangoway/policy/dispatch/requests.py
@@ -6,7 +6,7 @@
 from ...models.identifiers import RequestId
 from ...models.request import Request
 from ...models.verdict import Verdict
-from .actions import Finish, ForgetAnswer, JoinRequest, Refuse
+from .actions import DeleteAnswer, Finish, JoinRequest, Refuse
 from .attempts import Attempts
 from .const import REASON_CARRIED_ON
 from .context import Context
@@ -151,4 +151,4 @@
             return
         self.keys.drop(held)
         if held.answer_id is not None:
-            self.context.emit(ForgetAnswer(answer_id=held.answer_id))
+            self.context.emit(DeleteAnswer(answer_id=held.answer_id))
--- a/measure/gateways.py
+++ b/measure/gateways.py
@@ -21,10 +21,10 @@
 from mangoway.policy.core import Core
 from mangoway.policy.dispatch.actions import (
     CancelAttempt,
+    DeleteAnswer,
     DispatchAction,
     Explain,
     Finish,
-    ForgetAnswer,
     LogBreakerChange,
     Refuse,
     ReportDemand,
@@ -131,7 +131,7 @@
             ReportDemand: self._send_demand,
             WakeAt: self._set_wake,
             Explain: lambda _: None,
-            ForgetAnswer: lambda _: None,
+            DeleteAnswer: lambda _: None,
             LogBreakerChange: lambda _: None,
         }
 
--- a/tests/daemons/test_key_hand_over.py
+++ b/tests/daemons/test_key_hand_over.py
@@ -19,7 +19,7 @@
 )
 from mangoway.peers import peers_pb2 as pb
 from mangoway.peers.hand_over import KeyHandOver, make_chunks
-from mangoway.policy.dispatch.actions import ForgetAnswer
+from mangoway.policy.dispatch.actions import DeleteAnswer
 from mangoway.policy.dispatch.core import DispatchCore
 from mangoway.policy.dispatch.events import DispatchEvent, KeyRecord
 
@@ -63,7 +63,7 @@
 
     def send(self, event: DispatchEvent) -> None:
         for action in self.core.handle(event, 200.0):
-            if isinstance(action, ForgetAnswer):
+            if isinstance(action, DeleteAnswer):
                 self.records.forget(action.answer_id)
 
     async def async_take(self, hand_over: KeyHandOver) -> None:
--- a/tests/policy/dispatch/test_keys.py
+++ b/tests/policy/dispatch/test_keys.py
@@ -10,9 +10,9 @@
 from mangoway.models.verdict import Verdict
 from mangoway.policy.dispatch.actions import (
     ClaimKey,
+    DeleteAnswer,
     DispatchAction,
     Finish,
-    ForgetAnswer,
     ForwardToHome,
     JoinRequest,
     Refuse,
@@ -115,7 +115,7 @@
         finish(core, arrive(core, make_keyed("a", 1.0), 1.0), 2.0)
         kept = arrive(core, make_keyed("b", 1.0, within=900.0), 620.0)
         assert pick(kept, ReplayAnswer)
-        assert pick(core.handle(Ticked(), 640.0), ForgetAnswer)
+        assert pick(core.handle(Ticked(), 640.0), DeleteAnswer)
         late = make_keyed("c", 641.0, issued_at=1)
         expired = (ErrorCode.KEY_EXPIRED, Verdict.MAY_HAVE_RUN)
         assert find_refusal(arrive(core, late, 641.0)) == expired
