--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -25,7 +25,7 @@
     DeleteAnswer,
     DispatchAction,
     Explain,
-    Finish,
+    FinishRequest,
     ForwardToHome,
     ForwardToPeer,
     JoinRequest,
@@ -186,8 +186,8 @@
             record.attempt = None
             record.answer.fail(action.failure)
 
-    @_handles(Finish)
-    def _finish(self, action: Finish) -> None:
+    @_handles(FinishRequest)
+    def _finish(self, action: FinishRequest) -> None:
         record = self.records.pop(action.request_id)
         if record is None:
             return
--- a/mangoway/policy/dispatch/actions.py
+++ b/mangoway/policy/dispatch/actions.py
@@ -49,7 +49,7 @@
 
 
 @frozen(kw_only=True)
-class Finish:
+class FinishRequest:
     """A request's answer is whole; the shell ends it.
 
     Where `keep_answer` is set the shell stores the answer under the request's id
@@ -149,7 +149,7 @@
     StartAttempt
     | CancelAttempt
     | Refuse
-    | Finish
+    | FinishRequest
     | ReplayAnswer
     | JoinRequest
     | DeleteAnswer
--- a/mangoway/policy/dispatch/requests.py
+++ b/mangoway/policy/dispatch/requests.py
@@ -6,7 +6,7 @@
 from ...models.identifiers import RequestId
 from ...models.request import Request
 from ...models.verdict import Verdict
-from .actions import DeleteAnswer, Finish, JoinRequest, Refuse
+from .actions import DeleteAnswer, FinishRequest, JoinRequest, Refuse
 from .attempts import Attempts
 from .const import REASON_CARRIED_ON
 from .context import Context
@@ -56,7 +56,9 @@
             self.keys.finish(held)
             self._schedule_drop(held)
         request_id = entry.request.id
-        self.context.emit(Finish(request_id=request_id, keep_answer=held is not None))
+        self.context.emit(
+            FinishRequest(request_id=request_id, keep_answer=held is not None)
+        )
         self._end(entry)
 
     def refuse(self, entry: Entry, failure: Failure) -> None:
--- a/measure/baselines/dispatch.py
+++ b/measure/baselines/dispatch.py
@@ -23,7 +23,7 @@
 from mangoway.models.verdict import Verdict
 from mangoway.policy.dispatch.actions import (
     DispatchAction,
-    Finish,
+    FinishRequest,
     Refuse,
     ReportDemand,
     StartAttempt,
@@ -164,7 +164,7 @@
         if request_id is None:
             return []
         del self._open[request_id]
-        return [Finish(request_id=request_id)]
+        return [FinishRequest(request_id=request_id)]
 
     def _end(self, attempt_id: AttemptId) -> RequestId | None:
         found = self._attempts.pop(attempt_id, None)
--- a/measure/gateways.py
+++ b/measure/gateways.py
@@ -24,7 +24,7 @@
     DeleteAnswer,
     DispatchAction,
     Explain,
-    Finish,
+    FinishRequest,
     LogBreakerChange,
     Refuse,
     ReportDemand,
@@ -127,7 +127,7 @@
             StartAttempt: self._start,
             CancelAttempt: self._cancel,
             Refuse: self._refuse,
-            Finish: self._finish,
+            FinishRequest: self._finish,
             ReportDemand: self._send_demand,
             WakeAt: self._set_wake,
             Explain: lambda _: None,
@@ -302,7 +302,7 @@
         if request is not None:
             request.caller.receive_failure(action.failure)
 
-    def _finish(self, action: Finish) -> None:
+    def _finish(self, action: FinishRequest) -> None:
         request = self._open.pop(action.request_id, None)
         if request is not None:
             request.caller.receive_end()
--- a/tests/policy/dispatch/test_keys.py
+++ b/tests/policy/dispatch/test_keys.py
@@ -12,7 +12,7 @@
     ClaimKey,
     DeleteAnswer,
     DispatchAction,
-    Finish,
+    FinishRequest,
     ForwardToHome,
     JoinRequest,
     Refuse,
@@ -73,7 +73,7 @@
 def finish(core: DispatchCore, actions: list[DispatchAction], at: float) -> None:
     (started,) = pick(actions, StartAttempt)
     ended = core.handle(AttemptSucceeded(attempt_id=started.attempt_id), at)
-    (finished,) = pick(ended, Finish)
+    (finished,) = pick(ended, FinishRequest)
     assert finished.keep_answer
 
 
--- a/tests/policy/dispatch/test_retries.py
+++ b/tests/policy/dispatch/test_retries.py
@@ -10,7 +10,7 @@
     CancelAttempt,
     DispatchAction,
     Explain,
-    Finish,
+    FinishRequest,
     Refuse,
     StartAttempt,
 )
@@ -111,9 +111,9 @@
         first = start(core, make_request("a", 1.0), 1.0)
         (again,) = pick(fail(core, first, 1.1), StartAttempt)
         late = core.handle(AttemptSucceeded(attempt_id=first.attempt_id), 1.6)
-        assert not pick(late, Finish)
+        assert not pick(late, FinishRequest)
         ended = core.handle(AttemptSucceeded(attempt_id=again.attempt_id), 1.7)
-        assert pick(ended, Finish)
+        assert pick(ended, FinishRequest)
 
     def test_brown_out_is_not_doubled(self) -> None:
         core = make_core(engines=4, max_running=1000)
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -21,7 +21,7 @@
     CancelAttempt,
     ClaimKey,
     DispatchAction,
-    Finish,
+    FinishRequest,
     ForwardToHome,
     ForwardToPeer,
     JoinRequest,
@@ -315,7 +315,7 @@
             case Refuse(request_id=request_id, failure=failure):
                 self._end(request_id)
                 self._check_refusal(self.submissions[request_id], failure)
-            case Finish(request_id=request_id):
+            case FinishRequest(request_id=request_id):
                 self._end(request_id)
                 assert self.submissions[request_id].runs > 0
             case ReplayAnswer(request_id=request_id, answer_id=answer_id):
