--- a/mangoway/policy/dispatch/homes.py
+++ b/mangoway/policy/dispatch/homes.py
@@ -27,7 +27,7 @@
         if len(self._adopted) > ADOPTED_MAX:
             del self._adopted[next(iter(self._adopted))]
 
-    def find_adopted(self, home: IncarnationId) -> float | None:
+    def find_adoption_time(self, home: IncarnationId) -> float | None:
         """Return when the records of a home were taken over here."""
         return self._adopted.get(home)
 
--- a/mangoway/policy/dispatch/keys.py
+++ b/mangoway/policy/dispatch/keys.py
@@ -222,7 +222,7 @@
         if key is None:
             detail = "a homed key is <incarnation>:<unix seconds>:<own id>"
             return _refuse(ErrorCode.MALFORMED_REQUEST, detail)
-        adopted_at = self.homes.find_adopted(home)
+        adopted_at = self.homes.find_adoption_time(home)
         # A hand-over whose answer was lost may have been repeated to another gateway,
         # so taking the records is not enough: the home must have named this one.
         named = self.homes.find_answering(home) == self.identity
--- a/tests/daemons/test_key_hand_over.py
+++ b/tests/daemons/test_key_hand_over.py
@@ -89,7 +89,7 @@
         assert turns > 2 * STEPS
         assert len(successor.core.keys) == len(hand_over.records)
         assert len(successor.records.list_kept()) == len(hand_over.records)
-        assert successor.core.homes.find_adopted(HOME) is not None
+        assert successor.core.homes.find_adoption_time(HOME) is not None
 
     async def test_answers_without_room_are_not_kept(self) -> None:
         capacity = ADOPT_STEP_RECORDS
@@ -97,4 +97,4 @@
         await successor.async_take(make_hand_over(3 * capacity))
         assert len(successor.core.keys) == 2 * capacity
         assert len(successor.records.list_kept()) == 2 * capacity
-        assert successor.core.homes.find_adopted(HOME) is None
+        assert successor.core.homes.find_adoption_time(HOME) is None
