--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -92,7 +92,7 @@
 
 
 @define(eq=False)
-class Flight:
+class SentAttempt:
     """An attempt that was sent to an upstream."""
 
     action: StartAttempt
@@ -124,7 +124,7 @@
     successors: list[Successor] = field(factory=list)
     operations: list[Operation] = field(factory=list)
     submissions: dict[RequestId, Submission] = field(factory=dict)
-    flights: dict[AttemptId, Flight] = field(factory=dict)
+    flights: dict[AttemptId, SentAttempt] = field(factory=dict)
     forwards: list[tuple[Operation, IncarnationId]] = field(factory=list)
     named: set[IncarnationId] = field(factory=set)
     claims: dict[tuple[CallerId, IdempotencyKey], RequestId] = field(factory=dict)
@@ -251,7 +251,7 @@
 
     # Upstreams.
 
-    def run(self, flight: Flight) -> None:
+    def run(self, flight: SentAttempt) -> None:
         """Run an attempt at its upstream, which counts it."""
         if flight.ran or flight.refused:
             return
@@ -260,7 +260,7 @@
         submission.runs += 1
         self.runs[submission.operation.number] += 1
 
-    def answer(self, flight: Flight, outcome: str) -> None:
+    def answer(self, flight: SentAttempt, outcome: str) -> None:
         """End an attempt as `outcome` says."""
         attempt_id = flight.action.attempt_id
         first = not flight.answered
@@ -341,7 +341,7 @@
         assert submission.gateway == identity
         assert not submission.endings, "started after its end"
         assert self.now <= submission.request.deadline, "started too late"
-        self.flights[action.attempt_id] = Flight(action, identity)
+        self.flights[action.attempt_id] = SentAttempt(action, identity)
 
     def _end(self, request_id: RequestId) -> None:
         submission = self.submissions[request_id]
--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -13,7 +13,7 @@
 )
 from mangoway.policy.dispatch.options import DispatchOptions
 from tests.policy.dispatch.builders import make_report
-from tests.policy.dispatch.world import Flight, Operation, Submission, World
+from tests.policy.dispatch.world import Operation, SentAttempt, Submission, World
 
 WITHIN_S = 10.0
 
@@ -53,7 +53,7 @@
     def operation(self) -> Operation:
         return self.operations[-1]
 
-    def list_open(self) -> list[Flight]:
+    def list_open(self) -> list[SentAttempt]:
         return [flight for flight in self.flights.values() if not flight.answered]
 
     def add_call(self, key_kind: str, home: str) -> Operation:
