--- a/tests/policy/dispatch/test_machine.py
+++ b/tests/policy/dispatch/test_machine.py
@@ -86,19 +86,21 @@
 
     @rule(place=PLACE, outcome=OUTCOME)
     def answer(self, place: int, outcome: str) -> None:
-        waiting = [item for item in self.world.flights.values() if not item.answered]
+        waiting = [
+            item for item in self.world.sent_attempts.values() if not item.answered
+        ]
         if waiting:
             self.world.answer(waiting[place % len(waiting)], outcome)
 
     @rule(place=PLACE, outcome=OUTCOME)
     def answer_again(self, place: int, outcome: str) -> None:
-        ended = [item for item in self.world.flights.values() if item.answered]
+        ended = [item for item in self.world.sent_attempts.values() if item.answered]
         if ended:
             self.world.answer(ended[-1 - place % len(ended)], outcome)
 
     @rule(place=PLACE, outcome=OUTCOME, seconds=st.sampled_from([0.0, 100.0, 160.0]))
     def answer_all_and_resubmit(self, place: int, outcome: str, seconds: float) -> None:
-        for flight in list(self.world.flights.values()):
+        for flight in list(self.world.sent_attempts.values()):
             if not flight.answered:
                 self.world.answer(flight, outcome)
         self.world.advance(seconds)
@@ -108,9 +110,11 @@
     @rule(place=PLACE)
     def run_late(self, place: int) -> None:
         """Let an upstream run an attempt that was given up as possibly run."""
-        flights = [item for item in self.world.flights.values() if not item.ran]
-        if flights:
-            self.world.run(flights[-1 - place % len(flights)])
+        sent_attempts = [
+            item for item in self.world.sent_attempts.values() if not item.ran
+        ]
+        if sent_attempts:
+            self.world.run(sent_attempts[-1 - place % len(sent_attempts)])
 
     @rule(place=PLACE)
     def deliver_forward(self, place: int) -> None:
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -124,7 +124,7 @@
     successors: list[Successor] = field(factory=list)
     operations: list[Operation] = field(factory=list)
     submissions: dict[RequestId, Submission] = field(factory=dict)
-    flights: dict[AttemptId, SentAttempt] = field(factory=dict)
+    sent_attempts: dict[AttemptId, SentAttempt] = field(factory=dict)
     forwards: list[tuple[Operation, IncarnationId]] = field(factory=list)
     named: set[IncarnationId] = field(factory=set)
     claims: dict[tuple[CallerId, IdempotencyKey], RequestId] = field(factory=dict)
@@ -309,7 +309,7 @@
             case StartAttempt():
                 self._take_start(identity, action)
             case CancelAttempt(attempt_id=attempt_id):
-                assert self.flights[attempt_id].gateway == identity
+                assert self.sent_attempts[attempt_id].gateway == identity
             case ClaimKey():
                 self.claiming.append((identity, action))
             case Refuse(request_id=request_id, failure=failure):
@@ -334,14 +334,14 @@
                 self._end(request_id)
 
     def _take_start(self, identity: IncarnationId, action: StartAttempt) -> None:
-        assert action.attempt_id not in self.flights, "attempt id used twice"
+        assert action.attempt_id not in self.sent_attempts, "attempt id used twice"
         gateway = self.gateways[identity]
         assert action.upstream_id not in gateway.told_leaving, "sent to one that leaves"
         submission = self.submissions[action.request_id]
         assert submission.gateway == identity
         assert not submission.endings, "started after its end"
         assert self.now <= submission.request.deadline, "started too late"
-        self.flights[action.attempt_id] = SentAttempt(action, identity)
+        self.sent_attempts[action.attempt_id] = SentAttempt(action, identity)
 
     def _end(self, request_id: RequestId) -> None:
         submission = self.submissions[request_id]
@@ -381,7 +381,7 @@
         while self.claiming:
             self.settle_claim(0, "up")
         for _ in range(20):
-            for flight in list(self.flights.values()):
+            for flight in list(self.sent_attempts.values()):
                 if not flight.answered:
                     self.answer(flight, "succeed")
             self.advance(15.0)
--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -54,7 +54,7 @@
         return self.operations[-1]
 
     def list_open(self) -> list[SentAttempt]:
-        return [flight for flight in self.flights.values() if not flight.answered]
+        return [flight for flight in self.sent_attempts.values() if not flight.answered]
 
     def add_call(self, key_kind: str, home: str) -> Operation:
         # Even numbers are calls of a plain service, odd ones are completions.
@@ -173,14 +173,14 @@
 @when(parsers.parse("{name} hears that {upstream} leaves"))
 def hear_leaving(stage: Stage, name: str, upstream: str) -> None:
     stage.tell_leaving(stage.names[name], UpstreamId(upstream))
-    stage.starts_before = len(stage.flights)
+    stage.starts_before = len(stage.sent_attempts)
 
 
 @when(parsers.parse("the report of {engine} says that it leaves"))
 def report_leaving(stage: Stage, engine: str) -> None:
     report = make_report(engine, stage.now, leaving=True)
     stage.send(stage.names["A"], report)
-    stage.starts_before = len(stage.flights)
+    stage.starts_before = len(stage.sent_attempts)
 
 
 @when(parsers.parse("{count:d} calls arrive at A"))
@@ -228,7 +228,7 @@
 def check_nothing_sent(stage: Stage, name: str, upstream: str) -> None:
     sent = [
         flight.action.upstream_id
-        for flight in list(stage.flights.values())[stage.starts_before :]
+        for flight in list(stage.sent_attempts.values())[stage.starts_before :]
         if flight.gateway == stage.names[name]
     ]
     assert sent
@@ -237,7 +237,7 @@
 
 @then("every call was sent")
 def check_all_sent(stage: Stage) -> None:
-    assert len(stage.flights) - stage.starts_before == len(stage.submissions)
+    assert len(stage.sent_attempts) - stage.starts_before == len(stage.submissions)
 
 
 @then(parsers.parse("{name} handed it to another gateway"))
