--- a/mangoway/daemons/controller_metrics.py
+++ b/mangoway/daemons/controller_metrics.py
@@ -28,7 +28,7 @@
         return self.metrics.render()
 
     def _list_committed(self) -> dict[LabelValues, int]:
-        status = self.core.take_status(self.clock())
+        status = self.core.build_status(self.clock())
         return {
             (runner.upstream_id,): runner.ledger.committed_mb
             for runner in status.runners
--- a/mangoway/daemons/controller_status.py
+++ b/mangoway/daemons/controller_status.py
@@ -43,7 +43,7 @@
 
     def async_read_status(self) -> pb.StatusReply:
         """Return what this controller knows."""
-        status = self.placement.core.take_status(self.clock())
+        status = self.placement.core.build_status(self.clock())
         members = self.directory.list_all()
         own = self.directory.find_incarnation(self.own)
         engines = {
--- a/mangoway/policy/placement/core.py
+++ b/mangoway/policy/placement/core.py
@@ -16,7 +16,7 @@
 from .reservations import Reservations
 from .runners import Runner
 from .state import PlacementState
-from .status import PlacementStatus, Reason, make_reason, take_status
+from .status import PlacementStatus, Reason, build_status, make_reason
 
 
 class PlacementCore:
@@ -79,10 +79,10 @@
         )
         return actions
 
-    def take_status(self, now: float) -> PlacementStatus:
+    def build_status(self, now: float) -> PlacementStatus:
         """Return a snapshot for operators; it changes nothing."""
         is_active = self.reservations.access.is_active
-        return take_status(self.state, is_active, self._reasons, now)
+        return build_status(self.state, is_active, self._reasons, now)
 
     def _set_alarm(self, now: float) -> None:
         is_due = bool(
--- a/mangoway/policy/placement/status.py
+++ b/mangoway/policy/placement/status.py
@@ -100,7 +100,7 @@
     )
 
 
-def take_status(
+def build_status(
     state: PlacementState, is_active: bool, reasons: deque[Reason], now: float
 ) -> PlacementStatus:
     """Return a snapshot of the placement at time `now`."""
--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -531,7 +531,7 @@
         world = World(configuration=offer_models(a=40, b=200))
         first = world.start(100)
         world.run(20.0)
-        status = first.core.take_status(world.now)
+        status = first.core.build_status(world.now)
         [runner] = status.runners
         assert runner.ledger is not None
         assert runner.ledger.committed_mb == 50
