--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -12,7 +12,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
-from ..policy.limits.book import LimitBook, LimitSaid
+from ..policy.limits.book import LimitSaid, LimitTracker
 from ..policy.limits.const import PAST_S
 from ..policy.limits.rests import RestBook, RestSaid
 
@@ -59,7 +59,7 @@
     """Keeps what runners said of themselves, and tells the scheduler what is new."""
 
     metrics: Metrics
-    limits: LimitBook
+    limits: LimitTracker
     """Those that the core of this process keeps to."""
 
     clock: Callable[[], float]
--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -71,7 +71,7 @@
 
 
 @define(eq=False)
-class LimitBook:
+class LimitTracker:
     """The limits of all runners, as one process knows them."""
 
     get_share: Callable[[str], float] = lambda runner_id: 1.0
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -10,7 +10,7 @@
 from ...models.runner import RunnerEntry
 from ..customers.quota import QuotaBook
 from ..edge.health import HealthBook
-from ..limits.book import LimitBook
+from ..limits.book import LimitTracker
 from ..limits.const import LIMITED_SHARE, LONG_S, RESTING_EDGES
 from ..limits.rests import RestBook
 from .const import (
@@ -112,7 +112,7 @@
     demand: DemandBook = field(factory=DemandBook, init=False)
     returns: Returns = field(factory=Returns, init=False)
     health: HealthBook = field(factory=HealthBook, init=False)
-    limits: LimitBook = field(factory=LimitBook, init=False)
+    limits: LimitTracker = field(factory=LimitTracker, init=False)
     rests: RestBook = field(factory=RestBook, init=False)
     store_loads: dict[str, StoreLoads] = field(factory=dict, init=False)
     _gaps: dict[str, Gaps] = field(factory=dict, init=False)
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -25,7 +25,7 @@
 from mangoway.policy.crashes.book import CrashBook
 from mangoway.policy.edge.retry_budget import RetryLimits
 from mangoway.policy.edge.shares import FleetShare
-from mangoway.policy.limits.book import LimitBook
+from mangoway.policy.limits.book import LimitTracker
 from mangoway.policy.limits.rests import RestBook
 from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
 from mangoway.scheduling.placing import Answer
@@ -305,7 +305,9 @@
             on_crash=screen.note_crash,
         ),
         screen=screen,
-        signal_watch=SignalWatch(metrics, LimitBook(), clock, view, "e1", RestBook()),
+        signal_watch=SignalWatch(
+            metrics, LimitTracker(), clock, view, "e1", RestBook()
+        ),
         random=Random(1),
     )
     options = ServerOptions(
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -9,7 +9,7 @@
 
 from mangoway.policy.customers.const import BEGIN_S
 from mangoway.policy.edge.shares import LoneShare
-from mangoway.policy.limits.book import LimitBook, LimitSaid, forget_past
+from mangoway.policy.limits.book import LimitSaid, LimitTracker, forget_past
 from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, PAST_S
 
 EDGES: Final = 6
@@ -33,7 +33,7 @@
     """A process that grants, with the edges that it hears."""
 
     began_at: float
-    book: LimitBook = field(factory=LimitBook)
+    book: LimitTracker = field(factory=LimitTracker)
     edges: set[str] = field(factory=set)
 
 
@@ -42,7 +42,7 @@
     """One life of an edge."""
 
     key: str
-    book: LimitBook = field(factory=LimitBook)
+    book: LimitTracker = field(factory=LimitTracker)
     scheduler: Scheduler | None = None
     sent: list[float] = field(factory=list)
 
