--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -17,7 +17,7 @@
 from ..platform.runners import RunnerControl
 from ..policy.customers.const import BEGIN_S
 from ..policy.customers.quota import QuotaBook
-from ..policy.limits.book import LimitSaid
+from ..policy.limits.book import LimitReport
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     FleetUpdated,
@@ -223,7 +223,7 @@
             self.server.take_leaving(said)
         if signals.limit is not None:
             # Only answers to requests end a limit: reports may not name it.
-            limit = LimitSaid(
+            limit = LimitReport(
                 runner_id=runner_id,
                 started_ms=entry.started_ms,
                 limit=signals.limit,
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -12,7 +12,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
-from ..policy.limits.book import LimitSaid, LimitTracker
+from ..policy.limits.book import LimitReport, LimitTracker
 from ..policy.limits.const import PAST_S
 from ..policy.limits.rests import RestBook, RestSaid
 
@@ -70,7 +70,7 @@
     rests: RestBook
     """The rests that the core of this process keeps to."""
 
-    tell: Callable[[LimitSaid | LeavingSaid | RestSaid], None] = lambda said: None
+    tell: Callable[[LimitReport | LeavingSaid | RestSaid], None] = lambda said: None
     """Tells the scheduler."""
 
     sends: RecentSends = field(factory=RecentSends, init=False)
@@ -107,7 +107,7 @@
         if signals.limit_known:
             self._note_limit(runner, signals.limit, asked_at)
 
-    def take_told_limit(self, said: LimitSaid) -> None:
+    def take_told_limit(self, said: LimitReport) -> None:
         """Take a limit that another edge has read."""
         if not self._believe_limit(said, "the scheduler"):
             end = self.limits.find_end(said, self.clock())
@@ -128,7 +128,7 @@
         """Take that a runner leaves which another process has heard."""
         self._believe_leaving(said, "the scheduler")
 
-    def list_limits(self) -> list[LimitSaid]:
+    def list_limits(self) -> list[LimitReport]:
         """Return the limits that are known, for a scheduler that begins to grant."""
         now = self.clock()
         return [
@@ -174,7 +174,7 @@
         if limit is None and known is None:
             return
         now = self.clock()
-        said = LimitSaid(
+        said = LimitReport(
             runner_id=runner.runner_id,
             started_ms=runner.started_ms,
             limit=limit,
@@ -187,7 +187,7 @@
         if self._believe_limit(said, None):
             self.tell(said)
 
-    def _believe_limit(self, said: LimitSaid, told_by: str | None) -> bool:
+    def _believe_limit(self, said: LimitReport, told_by: str | None) -> bool:
         """Take a statement; returns whether another limit is believed now."""
         if not self.limits.note(said, self.clock()):
             return False
--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -24,7 +24,7 @@
 
 
 @frozen(kw_only=True)
-class LimitSaid:
+class LimitReport:
     """A runner named a limit of its requests in an answer, or named none any more."""
 
     runner_id: str
@@ -79,7 +79,7 @@
 
     _records: dict[str, RunnerLimit] = field(factory=dict, init=False)
 
-    def note(self, said: LimitSaid, now: float) -> bool:
+    def note(self, said: LimitReport, now: float) -> bool:
         """Take a statement; returns whether another limit is believed now.
 
         What is surely older than what is known changes nothing: an answer without a
@@ -149,7 +149,7 @@
         record.promised_until = min(turn_at + spacing_s, now + MAX_WAIT_S)
         return turn_at - now
 
-    def find_end(self, said: LimitSaid, now: float) -> LimitSaid | None:
+    def find_end(self, said: LimitReport, now: float) -> LimitReport | None:
         """Return the end of a limit that who tells it doesn't know; None without."""
         record = self._records.get(said.runner_id)
         if record is None or record.limit is not None or said.limit is None:
@@ -169,10 +169,10 @@
             if record.limit is not None and now - record.since >= LONG_S
         )
 
-    def list_said(self, now: float) -> list[LimitSaid]:
+    def list_said(self, now: float) -> list[LimitReport]:
         """Return the limits that are known, to tell them to another process."""
         return [
-            LimitSaid(
+            LimitReport(
                 runner_id=runner_id,
                 started_ms=record.started_ms,
                 limit=record.limit,
@@ -206,7 +206,7 @@
             return None
         return None if is_later_life(started_ms, record.started_ms) else record
 
-    def _find_life(self, said: LimitSaid, now: float) -> RunnerLimit | None:
+    def _find_life(self, said: LimitReport, now: float) -> RunnerLimit | None:
         """Return the record of the life that a statement is about.
 
         None for one of an earlier life, and for one that ends no limit.
@@ -242,6 +242,6 @@
         return limit * self.get_share(runner_id)
 
 
-def forget_past(said: LimitSaid) -> LimitSaid:
+def forget_past(said: LimitReport) -> LimitReport:
     """Return a statement without what its teller sent, to pass it on."""
     return evolve(said, sent_lately=0)
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -6,7 +6,7 @@
 from attrs import define, field
 
 from ..customers.const import OVER_QUOTA
-from ..limits.book import LimitSaid
+from ..limits.book import LimitReport
 from ..limits.rests import RestSaid
 from .adapters import plan_adapter, plan_adapters, plan_runner
 from .const import MIN_RETRY_AFTER_S
@@ -287,8 +287,8 @@
     return []
 
 
-@handles(LimitSaid)
-def _take_limit(core: SchedulingCore, event: LimitSaid, now: float) -> list[Action]:
+@handles(LimitReport)
+def _take_limit(core: SchedulingCore, event: LimitReport, now: float) -> list[Action]:
     if not core.state.limits.note(event, now):
         return []
     runner = core.state.runners.get(event.runner_id)
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -8,7 +8,7 @@
 from ...models.routing import RoutingTable
 from ...models.runner import RunnerEntry, RunnerReport
 from ..customers.spending import Spent
-from ..limits.book import LimitSaid
+from ..limits.book import LimitReport
 from ..limits.rests import RestSaid
 
 
@@ -201,7 +201,7 @@
     | RequestEnded
     | QuotaSpent
     | SpendingReported
-    | LimitSaid
+    | LimitReport
     | RestSaid
     | PermitRequest
     | EdgeDisconnected
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -12,7 +12,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.spending import Spending
-from ..policy.limits.book import LimitSaid
+from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
     EndKind,
@@ -75,7 +75,9 @@
     spending: Spending = field(factory=Spending, init=False)
     """What customers have spent at this edge lately, whoever granted it."""
 
-    on_limit: Callable[[LimitSaid], None] = field(default=lambda said: None, init=False)
+    on_limit: Callable[[LimitReport], None] = field(
+        default=lambda said: None, init=False
+    )
     """Told of the limits that the scheduler passes on."""
 
     on_leaving: Callable[[LeavingSaid], None] = field(
@@ -86,7 +88,7 @@
     list_leaving: Callable[[], list[LeavingSaid]] = field(default=list, init=False)
     """Returns the runners of which this edge knows that they leave."""
 
-    list_limits: Callable[[], list[LimitSaid]] = field(default=list, init=False)
+    list_limits: Callable[[], list[LimitReport]] = field(default=list, init=False)
     """Returns the limits of runners that this edge knows."""
 
     _asks: OpenAsks = field(factory=OpenAsks, init=False)
@@ -204,7 +206,7 @@
             del self._permits[request_id]
         return answer.retry_after_s if isinstance(answer, Refuse) else 0.0
 
-    def tell(self, said: LimitSaid | LeavingSaid | RestSaid) -> None:
+    def tell(self, said: LimitReport | LeavingSaid | RestSaid) -> None:
         """Tell the scheduler what a runner said of itself."""
         link = self._find_link()
         if link is not None:
@@ -244,7 +246,7 @@
                 self._note_spent(placed.asked.customer, placed.asked.cost)
 
     def _take(self, message: Message) -> None:
-        if isinstance(message, LimitSaid):
+        if isinstance(message, LimitReport):
             self.on_limit(message)
         elif isinstance(message, LeavingSaid):
             self.on_leaving(message)
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -19,7 +19,7 @@
 from ..models.prompt import Prompt, PromptPart
 from ..models.signals import LeavingSaid
 from ..policy.customers.spending import Spent
-from ..policy.limits.book import LimitSaid
+from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
     EndKind,
@@ -430,8 +430,8 @@
     )
 
 
-@encodes(LimitSaid)
-def _encode_limit(message: LimitSaid) -> list[Any]:
+@encodes(LimitReport)
+def _encode_limit(message: LimitReport) -> list[Any]:
     return [
         "limit",
         message.runner_id,
@@ -445,7 +445,7 @@
 
 @decodes("limit")
 def _decode_limit(fields: list[Any], edge: str) -> Message:
-    return LimitSaid(
+    return LimitReport(
         runner_id=fields[1],
         started_ms=fields[2],
         limit=fields[3],
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -4,7 +4,7 @@
 
 from ..coordination.store import Changes, Item
 from ..models.signals import LeavingSaid
-from ..policy.limits.book import LimitSaid
+from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import RestSaid
 from ..policy.scheduling.events import (
     FirstEventSeen,
@@ -112,7 +112,7 @@
     | RequestEnded
     | QuotaSpent
     | SpendingReported
-    | LimitSaid
+    | LimitReport
     | RestSaid
     | PermitRequest
     | LeavingSaid
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -11,7 +11,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.const import MEMORY_S
-from ..policy.limits.book import LimitSaid, forget_past
+from ..policy.limits.book import LimitReport, forget_past
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     Action,
@@ -159,7 +159,7 @@
         elif isinstance(message, ClockAsked):
             clock_s = self.mirror.boot_clock()
             link.send(ClockTold(asked_at=message.asked_at, clock_s=clock_s))
-        elif isinstance(message, LimitSaid):
+        elif isinstance(message, LimitReport):
             self.take_limit(message, link)
         elif isinstance(message, LeavingSaid):
             self.take_leaving(message, link)
@@ -200,7 +200,7 @@
         self.on_told(message)
         self._pass_on(link, message)
 
-    def take_limit(self, said: LimitSaid, link: Link | None = None) -> None:
+    def take_limit(self, said: LimitReport, link: Link | None = None) -> None:
         """Take what a runner said of its limit, and tell all others if it is new.
 
         Args:
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import evolve
 
-from mangoway.policy.limits.book import LimitSaid
+from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.scheduling.const import RETRY_SPREAD
 
 from ..upstreams.raw_server import RawServer, Script, answer, frame
@@ -17,7 +17,7 @@
 
 def limit(edge: EdgeWorld, runner_id: str, wait_s: float) -> None:
     """Let a runner be limited, with the next request after a time."""
-    said = LimitSaid(
+    said = LimitReport(
         runner_id=runner_id,
         started_ms=0,
         limit=2.0,
@@ -125,7 +125,7 @@
     """What the scheduler hears."""
 
     async def test_new_limit_is_told_with_what_was_sent_before(self) -> None:
-        told: list[LimitSaid] = []
+        told: list[LimitReport] = []
         async with RawServer(answer(make_ok()), answer(NAMED)) as server:
             async with start_edge() as edge:
                 edge.forwarder.signal_watch.tell = told.append
@@ -135,7 +135,7 @@
         assert [(each.limit, each.sent_lately) for each in told] == [(2.0, 2)]
 
     async def test_end_of_a_limit_is_told(self) -> None:
-        told: list[LimitSaid] = []
+        told: list[LimitReport] = []
         async with RawServer(answer(NAMED), answer(make_ok())) as server:
             async with start_edge() as edge:
                 edge.forwarder.signal_watch.tell = told.append
@@ -145,7 +145,7 @@
         assert [each.limit for each in told] == [2.0, None]
 
     async def test_limit_in_a_refusal_or_failure_is_told(self) -> None:
-        told: list[LimitSaid] = []
+        told: list[LimitReport] = []
         fields = "X-Request-Id: q1\r\nServer-Limit: {}\r\n"
         scripts = [
             answer(frame(status, b"", fields.format(number)))
@@ -159,7 +159,7 @@
         assert [each.limit for each in told] == [0.0, 1.0, 2.0]
 
     async def test_limit_that_others_read_is_answered_with_what_was_sent(self) -> None:
-        told: list[LimitSaid] = []
+        told: list[LimitReport] = []
         async with RawServer(answer(make_ok())) as server, start_edge() as edge:
             edge.forwarder.signal_watch.tell = told.append
             edge.add("r1", server, "plain")
@@ -172,7 +172,7 @@
         self,
     ) -> None:
         """Nobody else would: edges that believe no limit have nothing to tell."""
-        told: list[LimitSaid] = []
+        told: list[LimitReport] = []
         async with RawServer(answer(NAMED), answer(make_ok())) as server:
             async with start_edge() as edge:
                 edge.add("r1", server, "plain")
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mangoway.policy.limits.book import LimitSaid, LimitTracker
+from mangoway.policy.limits.book import LimitReport, LimitTracker
 from mangoway.policy.limits.const import (
     BURST_S,
     FORGET_S,
@@ -25,9 +25,9 @@
     read_ago_s: float = 0.0,
     started_ms: int = 0,
     sent_lately: int = 0,
-) -> LimitSaid:
+) -> LimitReport:
     """Return a statement of the runner r1."""
-    return LimitSaid(
+    return LimitReport(
         runner_id="r1",
         started_ms=started_ms,
         limit=limit,
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -9,7 +9,7 @@
 
 from mangoway.policy.customers.const import BEGIN_S
 from mangoway.policy.edge.shares import LoneShare
-from mangoway.policy.limits.book import LimitSaid, LimitTracker, forget_past
+from mangoway.policy.limits.book import LimitReport, LimitTracker, forget_past
 from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, PAST_S
 
 EDGES: Final = 6
@@ -103,7 +103,7 @@
         for said in scheduler.book.list_said(self.now):
             edge.book.note(said, self.now)
 
-    def tell(self, edge: Edge, said: LimitSaid) -> None:
+    def tell(self, edge: Edge, said: LimitReport) -> None:
         """Let a scheduler hear a statement, and tell it to its other edges."""
         scheduler = edge.scheduler
         if scheduler is None or not scheduler.book.note(said, self.now):
@@ -188,7 +188,7 @@
         if self.limit is not None:
             self.told.setdefault(edge.key, self.now)
         known = edge.book.get_limit(*LIFE)
-        said = LimitSaid(
+        said = LimitReport(
             runner_id="r1",
             started_ms=0,
             limit=self.limit,
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -3,7 +3,7 @@
 import pytest
 from attrs import evolve
 
-from mangoway.policy.limits.book import LimitSaid
+from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.const import LONG_S
 from mangoway.policy.scheduling.core import RATE_LIMITED_REASON
 from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
@@ -14,9 +14,9 @@
 LIMIT = 2.0
 
 
-def say(limit: float | None, runner_id: str = "r0") -> LimitSaid:
+def say(limit: float | None, runner_id: str = "r0") -> LimitReport:
     """Return what a runner says to a request that was just sent."""
-    return LimitSaid(
+    return LimitReport(
         runner_id=runner_id,
         started_ms=0,
         limit=limit,
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -12,7 +12,7 @@
 from mangoway.coordination.view import FleetView, Leader
 from mangoway.models.fleet import Member, Role
 from mangoway.models.signals import LeavingSaid
-from mangoway.policy.limits.book import LimitSaid
+from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.const import MAX_WAIT_S
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
@@ -186,7 +186,7 @@
             assert isinstance(await receive(waiting), Refuse)
 
 
-SAID = LimitSaid(
+SAID = LimitReport(
     runner_id="r1", started_ms=0, limit=0.5, asked_ago_s=0.02, read_ago_s=0.0
 )
 
@@ -203,7 +203,7 @@
 
     async def test_other_edges_are_told_once(self) -> None:
         async with connect() as (_, edge):
-            other, heard = Edge("e2"), list[LimitSaid]()
+            other, heard = Edge("e2"), list[LimitReport]()
             other.client.on_limit = heard.append
             other.link.view.take_leader(edge.view.leader)
             await other.async_wait_leading()
@@ -221,7 +221,7 @@
             await async_wait_until(
                 lambda: scheduler.server.core.state.limits.get_limit("r1") == 0.5
             )
-            other, heard = Edge("e2"), list[LimitSaid]()
+            other, heard = Edge("e2"), list[LimitReport]()
             other.client.on_limit = heard.append
             other.link.view.take_leader(edge.view.leader)
             await async_wait_until(lambda: bool(heard))
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -8,7 +8,7 @@
 from mangoway.coordination.store import Change, Changes, Item
 from mangoway.models.signals import LeavingSaid
 from mangoway.policy.customers.spending import Spent
-from mangoway.policy.limits.book import LimitSaid
+from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.rests import RestSaid
 from mangoway.policy.scheduling.events import (
     EndKind,
@@ -56,7 +56,7 @@
     ClockTold(asked_at=3.5, clock_s=9.25),
     QuotaSpent(customer="acme", amount=-150.0),
     SpendingReported(rows=(Spent("acme", 1.5, 300.0),)),
-    LimitSaid(
+    LimitReport(
         runner_id="r1",
         started_ms=5,
         limit=1.5,
@@ -64,7 +64,7 @@
         read_ago_s=0.1,
         sent_lately=3,
     ),
-    LimitSaid(
+    LimitReport(
         runner_id="r1", started_ms=0, limit=None, asked_ago_s=0.2, read_ago_s=0.1
     ),
     RestSaid(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
