--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -14,7 +14,7 @@
 from ..observability.metrics import Metrics
 from ..policy.limits.book import LimitReport, LimitTracker
 from ..policy.limits.const import PAST_S
-from ..policy.limits.rests import RestBook, RestSaid
+from ..policy.limits.rests import CooldownReport, RestBook
 
 LIMIT: Final = "limit"
 LEAVING: Final = "leaving"
@@ -70,7 +70,9 @@
     rests: RestBook
     """The rests that the core of this process keeps to."""
 
-    tell: Callable[[LimitReport | LeavingSaid | RestSaid], None] = lambda said: None
+    tell: Callable[[LimitReport | LeavingSaid | CooldownReport], None] = lambda said: (
+        None
+    )
     """Tells the scheduler."""
 
     sends: RecentSends = field(factory=RecentSends, init=False)
@@ -143,7 +145,7 @@
         self.sends.keep_only(runner_ids)
 
     def _note_rest(self, runner: RunnerEntry, rest_s: float) -> None:
-        said = RestSaid(
+        said = CooldownReport(
             edge=self.edge,
             runner_id=runner.runner_id,
             started_ms=runner.started_ms,
--- a/mangoway/policy/limits/rests.py
+++ b/mangoway/policy/limits/rests.py
@@ -12,7 +12,7 @@
 
 
 @frozen(kw_only=True)
-class RestSaid:
+class CooldownReport:
     """A runner refused a request of an edge, and asked it for rest."""
 
     edge: str
@@ -46,7 +46,7 @@
     _last_end: float = field(default=-math.inf, init=False)
     """End of the rest that lasts longest."""
 
-    def note(self, said: RestSaid, now: float) -> bool:
+    def note(self, said: CooldownReport, now: float) -> bool:
         """Take a statement; returns whether a rest lasts longer than was known.
 
         Each refusal binds for its own time, so that a shorter rest ends no longer one.
@@ -84,10 +84,10 @@
         """Return whether any runner may be resting."""
         return now < self._last_end
 
-    def list_said(self, edge: str, now: float) -> list[RestSaid]:
+    def list_said(self, edge: str, now: float) -> list[CooldownReport]:
         """Return what is left of an edge's rests, to tell it to another process."""
         return [
-            RestSaid(
+            CooldownReport(
                 edge=edge,
                 runner_id=runner_id,
                 started_ms=rests[edge].started_ms,
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -7,7 +7,7 @@
 
 from ..customers.const import OVER_QUOTA
 from ..limits.book import LimitReport
-from ..limits.rests import RestSaid
+from ..limits.rests import CooldownReport
 from .adapters import plan_adapter, plan_adapters, plan_runner
 from .const import MIN_RETRY_AFTER_S
 from .dispatch import Dispatcher, place
@@ -295,8 +295,8 @@
     return [] if runner is None else core.serve_runner(runner, now)
 
 
-@handles(RestSaid)
-def _take_rest(core: SchedulingCore, event: RestSaid, now: float) -> list[Action]:
+@handles(CooldownReport)
+def _take_rest(core: SchedulingCore, event: CooldownReport, now: float) -> list[Action]:
     core.state.rests.note(event, now)
     return []
 
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -9,7 +9,7 @@
 from ...models.runner import RunnerEntry, RunnerReport
 from ..customers.spending import Spent
 from ..limits.book import LimitReport
-from ..limits.rests import RestSaid
+from ..limits.rests import CooldownReport
 
 
 class EndKind(Enum):
@@ -202,7 +202,7 @@
     | QuotaSpent
     | SpendingReported
     | LimitReport
-    | RestSaid
+    | CooldownReport
     | PermitRequest
     | EdgeDisconnected
     | FleetUpdated
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -13,7 +13,7 @@
 from ..observability.event_log import log_event
 from ..policy.customers.spending import Spending
 from ..policy.limits.book import LimitReport
-from ..policy.limits.rests import RestSaid
+from ..policy.limits.rests import CooldownReport
 from ..policy.scheduling.events import (
     EndKind,
     FirstEventSeen,
@@ -206,7 +206,7 @@
             del self._permits[request_id]
         return answer.retry_after_s if isinstance(answer, Refuse) else 0.0
 
-    def tell(self, said: LimitReport | LeavingSaid | RestSaid) -> None:
+    def tell(self, said: LimitReport | LeavingSaid | CooldownReport) -> None:
         """Tell the scheduler what a runner said of itself."""
         link = self._find_link()
         if link is not None:
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -20,7 +20,7 @@
 from ..models.signals import LeavingSaid
 from ..policy.customers.spending import Spent
 from ..policy.limits.book import LimitReport
-from ..policy.limits.rests import RestSaid
+from ..policy.limits.rests import CooldownReport
 from ..policy.scheduling.events import (
     EndKind,
     FirstEventSeen,
@@ -477,14 +477,14 @@
     return LeavingSaid(runner_id=fields[1], started_ms=fields[2])
 
 
-@encodes(RestSaid)
-def _encode_rest(message: RestSaid) -> list[Any]:
+@encodes(CooldownReport)
+def _encode_rest(message: CooldownReport) -> list[Any]:
     rest_s = round(message.rest_s, 4)
     return ["rest", message.runner_id, message.started_ms, rest_s]
 
 
 @decodes("rest")
 def _decode_rest(fields: list[Any], edge: str) -> Message:
-    return RestSaid(
+    return CooldownReport(
         edge=edge, runner_id=fields[1], started_ms=fields[2], rest_s=fields[3]
     )
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -5,7 +5,7 @@
 from ..coordination.store import Changes, Item
 from ..models.signals import LeavingSaid
 from ..policy.limits.book import LimitReport
-from ..policy.limits.rests import RestSaid
+from ..policy.limits.rests import CooldownReport
 from ..policy.scheduling.events import (
     FirstEventSeen,
     Grant,
@@ -113,7 +113,7 @@
     | QuotaSpent
     | SpendingReported
     | LimitReport
-    | RestSaid
+    | CooldownReport
     | PermitRequest
     | LeavingSaid
     | Grant
--- a/tests/edge/test_rests.py
+++ b/tests/edge/test_rests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mangoway.policy.limits.rests import RestSaid
+from mangoway.policy.limits.rests import CooldownReport
 from mangoway.policy.scheduling.const import RETRY_SPREAD
 
 from ..upstreams.raw_server import RawServer, Script, answer, frame
@@ -20,7 +20,7 @@
 
 def let_rest(edge: EdgeWorld, runner_id: str, rest_s: float = 30.0) -> None:
     """Let a runner have asked the edge for rest."""
-    said = RestSaid(edge="e1", runner_id=runner_id, started_ms=0, rest_s=rest_s)
+    said = CooldownReport(edge="e1", runner_id=runner_id, started_ms=0, rest_s=rest_s)
     watch = edge.forwarder.signal_watch
     watch.rests.note(said, watch.clock())
 
@@ -74,7 +74,9 @@
             edge.add("r1", server, "llm")
             edge.placer.drops_refusing = True
             await edge.async_call("/stream/x")
-        assert told == [RestSaid(edge="e1", runner_id="r1", started_ms=0, rest_s=2.5)]
+        assert told == [
+            CooldownReport(edge="e1", runner_id="r1", started_ms=0, rest_s=2.5)
+        ]
 
 
 class TestWays:
--- a/tests/policy/limits/test_rests.py
+++ b/tests/policy/limits/test_rests.py
@@ -1,11 +1,13 @@
 """Tests of the rests that runners ask for."""
 
-from mangoway.policy.limits.rests import RestBook, RestSaid
+from mangoway.policy.limits.rests import CooldownReport, RestBook
 
 
-def say(rest_s: float, edge: str = "e1", started_ms: int = 0) -> RestSaid:
+def say(rest_s: float, edge: str = "e1", started_ms: int = 0) -> CooldownReport:
     """Return what the runner r1 asks an edge for."""
-    return RestSaid(edge=edge, runner_id="r1", started_ms=started_ms, rest_s=rest_s)
+    return CooldownReport(
+        edge=edge, runner_id="r1", started_ms=started_ms, rest_s=rest_s
+    )
 
 
 def measure(book: RestBook, now: float, edge: str = "e1", started_ms: int = 0) -> float:
--- a/tests/policy/scheduling/test_rests.py
+++ b/tests/policy/scheduling/test_rests.py
@@ -1,6 +1,6 @@
 """Tests of how the scheduling core leaves runners alone that asked for rest."""
 
-from mangoway.policy.limits.rests import RestSaid
+from mangoway.policy.limits.rests import CooldownReport
 from mangoway.policy.scheduling.events import EdgeDisconnected
 
 from ...fakes.fleet import make_asked
@@ -20,8 +20,8 @@
     return world
 
 
-def rest(edge: str = "e1", rest_s: float = REST_S) -> RestSaid:
-    return RestSaid(edge=edge, runner_id="r0", started_ms=0, rest_s=rest_s)
+def rest(edge: str = "e1", rest_s: float = REST_S) -> CooldownReport:
+    return CooldownReport(edge=edge, runner_id="r0", started_ms=0, rest_s=rest_s)
 
 
 class TestPlaces:
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -9,7 +9,7 @@
 from mangoway.models.signals import LeavingSaid
 from mangoway.policy.customers.spending import Spent
 from mangoway.policy.limits.book import LimitReport
-from mangoway.policy.limits.rests import RestSaid
+from mangoway.policy.limits.rests import CooldownReport
 from mangoway.policy.scheduling.events import (
     EndKind,
     FirstEventSeen,
@@ -67,7 +67,7 @@
     LimitReport(
         runner_id="r1", started_ms=0, limit=None, asked_ago_s=0.2, read_ago_s=0.1
     ),
-    RestSaid(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
+    CooldownReport(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
     LeavingSaid(runner_id="r1", started_ms=5),
     PermitRequest(request_id="p1", edge="e1", runner_id="r1", started_ms=5),
     make_asked("q1", adapter="x", excluded=("r1",), only=("r2",), repeat=True),
