--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -9,7 +9,7 @@
 from ..models.fleet import Member
 from ..models.routing import RoutingTable
 from ..models.runner import RunnerEntry, is_later_life
-from ..models.signals import LeavingSaid
+from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 
@@ -124,7 +124,7 @@
             )
         self._notify()
 
-    def note_leaving(self, said: LeavingSaid) -> bool:
+    def note_leaving(self, said: LeavingReport) -> bool:
         """Take that a life of a runner leaves, whatever its entry says.
 
         Returns:
@@ -139,10 +139,10 @@
         self._notify()
         return True
 
-    def list_leaving(self) -> list[LeavingSaid]:
+    def list_leaving(self) -> list[LeavingReport]:
         """Return the runners that say that they leave."""
         return [
-            LeavingSaid(runner_id=runner_id, started_ms=started_ms)
+            LeavingReport(runner_id=runner_id, started_ms=started_ms)
             for runner_id, started_ms in self._leaving.items()
         ]
 
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -10,7 +10,7 @@
 from ..coordination.crash_keeper import CrashKeeper
 from ..coordination.leadership import Leadership
 from ..models.fleet import Role
-from ..models.signals import LeavingSaid, RunnerSignals
+from ..models.signals import LeavingReport, RunnerSignals
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..platform.documents import OWN_PREFIX
@@ -210,7 +210,7 @@
 
     def _take_passed_on(self, message: Message) -> None:
         """Take what the leader passes on while this process stands by."""
-        if isinstance(message, LeavingSaid):
+        if isinstance(message, LeavingReport):
             self.server.take_leaving(message)
 
     def _note_signals(self, runner_id: str, signals: RunnerSignals) -> None:
@@ -219,7 +219,7 @@
         if entry is None:
             return
         if signals.leaving:
-            said = LeavingSaid(runner_id=runner_id, started_ms=entry.started_ms)
+            said = LeavingReport(runner_id=runner_id, started_ms=entry.started_ms)
             self.server.take_leaving(said)
         if signals.limit is not None:
             # Only answers to requests end a limit: reports may not name it.
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -8,7 +8,7 @@
 
 from ..coordination.view import FleetView
 from ..models.runner import RunnerEntry
-from ..models.signals import LeavingSaid, RunnerSignals
+from ..models.signals import LeavingReport, RunnerSignals
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
@@ -70,7 +70,7 @@
     rests: RestBook
     """The rests that the core of this process keeps to."""
 
-    tell: Callable[[LimitReport | LeavingSaid | CooldownReport], None] = lambda said: (
+    tell: Callable[[LimitReport | LeavingReport | CooldownReport], None] = lambda said: (
         None
     )
     """Tells the scheduler."""
@@ -126,7 +126,7 @@
         life = (runner.runner_id, runner.started_ms)
         return self.rests.measure_wait(self.edge, *life, self.clock())
 
-    def take_told_leaving(self, said: LeavingSaid) -> None:
+    def take_told_leaving(self, said: LeavingReport) -> None:
         """Take that a runner leaves which another process has heard."""
         self._believe_leaving(said, "the scheduler")
 
@@ -158,11 +158,11 @@
             self.tell(said)
 
     def _note_leaving(self, runner: RunnerEntry) -> None:
-        said = LeavingSaid(runner_id=runner.runner_id, started_ms=runner.started_ms)
+        said = LeavingReport(runner_id=runner.runner_id, started_ms=runner.started_ms)
         if self._believe_leaving(said, None):
             self.tell(said)
 
-    def _believe_leaving(self, said: LeavingSaid, told_by: str | None) -> bool:
+    def _believe_leaving(self, said: LeavingReport, told_by: str | None) -> bool:
         """Take that a runner leaves; returns whether that was not known."""
         if not self.view.note_leaving(said):
             return False
--- a/mangoway/models/signals.py
+++ b/mangoway/models/signals.py
@@ -39,7 +39,7 @@
 
 
 @frozen(kw_only=True)
-class LeavingSaid:
+class LeavingReport:
     """A runner said in an answer that it leaves."""
 
     runner_id: str
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -8,7 +8,7 @@
 from attrs import define, evolve, field
 
 from ..models.runner import RunnerEntry
-from ..models.signals import LeavingSaid
+from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.spending import Spending
@@ -80,12 +80,12 @@
     )
     """Told of the limits that the scheduler passes on."""
 
-    on_leaving: Callable[[LeavingSaid], None] = field(
+    on_leaving: Callable[[LeavingReport], None] = field(
         default=lambda said: None, init=False
     )
     """Told of the runners of which the scheduler passes on that they leave."""
 
-    list_leaving: Callable[[], list[LeavingSaid]] = field(default=list, init=False)
+    list_leaving: Callable[[], list[LeavingReport]] = field(default=list, init=False)
     """Returns the runners of which this edge knows that they leave."""
 
     list_limits: Callable[[], list[LimitReport]] = field(default=list, init=False)
@@ -206,7 +206,7 @@
             del self._permits[request_id]
         return answer.retry_after_s if isinstance(answer, Refuse) else 0.0
 
-    def tell(self, said: LimitReport | LeavingSaid | CooldownReport) -> None:
+    def tell(self, said: LimitReport | LeavingReport | CooldownReport) -> None:
         """Tell the scheduler what a runner said of itself."""
         link = self._find_link()
         if link is not None:
@@ -248,7 +248,7 @@
     def _take(self, message: Message) -> None:
         if isinstance(message, LimitReport):
             self.on_limit(message)
-        elif isinstance(message, LeavingSaid):
+        elif isinstance(message, LeavingReport):
             self.on_leaving(message)
         elif isinstance(message, Grant | Refuse):
             permit = self._permits.get(message.request_id)
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -17,7 +17,7 @@
 
 from ..coordination.store import Change, Changes, Item
 from ..models.prompt import Prompt, PromptPart
-from ..models.signals import LeavingSaid
+from ..models.signals import LeavingReport
 from ..policy.customers.spending import Spent
 from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import CooldownReport
@@ -467,14 +467,14 @@
     )
 
 
-@encodes(LeavingSaid)
-def _encode_leaving(message: LeavingSaid) -> list[Any]:
+@encodes(LeavingReport)
+def _encode_leaving(message: LeavingReport) -> list[Any]:
     return ["leaving", message.runner_id, message.started_ms]
 
 
 @decodes("leaving")
 def _decode_leaving(fields: list[Any], edge: str) -> Message:
-    return LeavingSaid(runner_id=fields[1], started_ms=fields[2])
+    return LeavingReport(runner_id=fields[1], started_ms=fields[2])
 
 
 @encodes(CooldownReport)
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -3,7 +3,7 @@
 from attrs import frozen
 
 from ..coordination.store import Changes, Item
-from ..models.signals import LeavingSaid
+from ..models.signals import LeavingReport
 from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import CooldownReport
 from ..policy.scheduling.events import (
@@ -115,7 +115,7 @@
     | LimitReport
     | CooldownReport
     | PermitRequest
-    | LeavingSaid
+    | LeavingReport
     | Grant
     | Refuse
 )
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -7,7 +7,7 @@
 from attrs import define, field
 
 from ..coordination.mirror import Mirror
-from ..models.signals import LeavingSaid
+from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.const import MEMORY_S
@@ -65,10 +65,10 @@
     on_told: Callable[[Told], None] = lambda message: None
     """Told of statements on crashes."""
 
-    on_leaving: Callable[[LeavingSaid], bool] = lambda message: False
+    on_leaving: Callable[[LeavingReport], bool] = lambda message: False
     """Told of runners that say that they leave; returns whether that is new."""
 
-    list_leaving: Callable[[], list[LeavingSaid]] = list
+    list_leaving: Callable[[], list[LeavingReport]] = list
     """Returns the runners that are known to leave."""
 
     on_edge: Callable[[str, bool], None] = lambda incarnation, connected: None
@@ -161,7 +161,7 @@
             link.send(ClockTold(asked_at=message.asked_at, clock_s=clock_s))
         elif isinstance(message, LimitReport):
             self.take_limit(message, link)
-        elif isinstance(message, LeavingSaid):
+        elif isinstance(message, LeavingReport):
             self.take_leaving(message, link)
         elif isinstance(message, SpendingReported):
             self.handle(self._drop_known(link.edge, message))
@@ -219,7 +219,7 @@
         )
         self._pass_on(link, forget_past(said))
 
-    def take_leaving(self, said: LeavingSaid, link: Link | None = None) -> None:
+    def take_leaving(self, said: LeavingReport, link: Link | None = None) -> None:
         """Take that a runner leaves, and tell all others if it is new.
 
         Args:
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -8,7 +8,7 @@
 from mangoway.daemons.fleet_process import FleetProcess
 from mangoway.daemons.scheduler import SchedulerProcess
 from mangoway.models.fleet import Role
-from mangoway.models.signals import LeavingSaid, RunnerSignals
+from mangoway.models.signals import LeavingReport, RunnerSignals
 from mangoway.policy.customers.const import BEGIN_S
 from mangoway.settings.fleet import SchedulerSettings
 
@@ -92,7 +92,7 @@
 class TestLeaving:
     """Runners that say that they leave."""
 
-    SAID = LeavingSaid(runner_id="r1", started_ms=0)
+    SAID = LeavingReport(runner_id="r1", started_ms=0)
 
     async def test_answer_to_a_report_counts(self) -> None:
         scheduler = SchedulerProcess(make_settings())
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import evolve
 
-from mangoway.models.signals import LeavingSaid
+from mangoway.models.signals import LeavingReport
 
 from ..fakes.fleet import make_runner
 from ..upstreams.raw_server import RawServer, Script, answer, frame
@@ -17,7 +17,7 @@
 
 def leave(edge: EdgeWorld, runner_id: str) -> None:
     """Let an edge hear from others that a runner leaves."""
-    said = LeavingSaid(runner_id=runner_id, started_ms=0)
+    said = LeavingReport(runner_id=runner_id, started_ms=0)
     edge.forwarder.signal_watch.take_told_leaving(said)
 
 
@@ -39,7 +39,7 @@
             for _ in range(3):
                 await edge.async_call("/once/x")
         assert len(leaving.requests) == 1
-        assert told == [LeavingSaid(runner_id="r1", started_ms=0)]
+        assert told == [LeavingReport(runner_id="r1", started_ms=0)]
 
     async def test_stream_says_so_when_it_begins(self) -> None:
         head, *events = make_stream(make_event(1), end=False)
@@ -63,7 +63,7 @@
         async with RawServer(answer(make_ok())) as server, start_edge() as edge:
             entry = make_runner("r1", service="plain", address=server.address)
             edge.view.take_runner(evolve(entry, started_ms=1000))
-            said = LeavingSaid(runner_id="r1", started_ms=1000)
+            said = LeavingReport(runner_id="r1", started_ms=1000)
             edge.forwarder.signal_watch.take_told_leaving(said)
             assert edge.view.find_open_runner("r1") is None
             edge.view.take_runner(evolve(entry, started_ms=2000))
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -11,7 +11,7 @@
 from mangoway.coordination.store import Change, Changes, Item, Snapshot
 from mangoway.coordination.view import FleetView, Leader
 from mangoway.models.fleet import Member, Role
-from mangoway.models.signals import LeavingSaid
+from mangoway.models.signals import LeavingReport
 from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.const import MAX_WAIT_S
 from mangoway.policy.scheduling.core import SchedulingCore
@@ -276,16 +276,16 @@
 class TestLeaving:
     """What edges and a scheduler tell each other of runners that leave."""
 
-    LEAVES = LeavingSaid(runner_id="r1", started_ms=0)
+    LEAVES = LeavingReport(runner_id="r1", started_ms=0)
 
     async def test_other_edges_and_those_that_come_are_told(self) -> None:
         async with connect() as (scheduler, edge):
-            known: list[LeavingSaid] = []
+            known: list[LeavingReport] = []
             scheduler.server.on_leaving = lambda said: (
                 not known and not known.append(said)
             )
             scheduler.server.list_leaving = lambda: known
-            heard = [list[LeavingSaid](), list[LeavingSaid]()]
+            heard = [list[LeavingReport](), list[LeavingReport]()]
             others = [Edge("e2"), Edge("e3")]
             for other, got in zip(others, heard, strict=True):
                 other.client.on_leaving = got.append
@@ -305,7 +305,7 @@
         async with connect() as (scheduler, edge):
             edge.client.list_leaving = lambda: [self.LEAVES]
             following = Scheduler()
-            told: list[LeavingSaid] = []
+            told: list[LeavingReport] = []
             following.server.on_leaving = lambda said: not told.append(said)
             edge.follow(await following.async_start(), fence=2)
             scheduler.stop()
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from mangoway.coordination.store import Change, Changes, Item
-from mangoway.models.signals import LeavingSaid
+from mangoway.models.signals import LeavingReport
 from mangoway.policy.customers.spending import Spent
 from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.rests import CooldownReport
@@ -68,7 +68,7 @@
         runner_id="r1", started_ms=0, limit=None, asked_ago_s=0.2, read_ago_s=0.1
     ),
     CooldownReport(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
-    LeavingSaid(runner_id="r1", started_ms=5),
+    LeavingReport(runner_id="r1", started_ms=5),
     PermitRequest(request_id="p1", edge="e1", runner_id="r1", started_ms=5),
     make_asked("q1", adapter="x", excluded=("r1",), only=("r2",), repeat=True),
     evolve(make_asked("q1"), customer="acme", cost=150.0, route_priority=2),
