--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -227,7 +227,7 @@
                 runner_id=runner_id,
                 started_ms=entry.started_ms,
                 limit=signals.limit,
-                asked_ago_s=0.0,
+                request_age_s=0.0,
                 read_ago_s=0.0,
             )
             self.server.take_limit(limit)
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -180,7 +180,7 @@
             runner_id=runner.runner_id,
             started_ms=runner.started_ms,
             limit=limit,
-            asked_ago_s=now - asked_at,
+            request_age_s=now - asked_at,
             read_ago_s=0.0,
         )
         if known is None:
--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -34,7 +34,7 @@
     limit: float | None
     """Requests a second that it takes from all hosts together; None: no limit."""
 
-    asked_ago_s: float
+    request_age_s: float
     """Time since the request was sent whose answer says so."""
 
     read_ago_s: float
@@ -88,7 +88,7 @@
         record = self._find_life(said, now)
         if record is None:
             return False
-        read_at, asked_at = now - said.read_ago_s, now - said.asked_ago_s
+        read_at, asked_at = now - said.read_ago_s, now - said.request_age_s
         if said.limit is None:
             return self._lift(record, asked_at)
         if read_at < record.lifted_at:
@@ -159,7 +159,7 @@
         if now - said.read_ago_s >= record.lifted_at:
             return None
         ago_s = now - record.lifted_at
-        return evolve(said, limit=None, asked_ago_s=ago_s, read_ago_s=ago_s)
+        return evolve(said, limit=None, request_age_s=ago_s, read_ago_s=ago_s)
 
     def list_long(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited for a while."""
@@ -176,7 +176,7 @@
                 runner_id=runner_id,
                 started_ms=record.started_ms,
                 limit=record.limit,
-                asked_ago_s=now - record.named_at,
+                request_age_s=now - record.named_at,
                 read_ago_s=now - record.named_at,
             )
             for runner_id, record in self._records.items()
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -437,7 +437,7 @@
         message.runner_id,
         message.started_ms,
         message.limit,
-        round(message.asked_ago_s, 4),
+        round(message.request_age_s, 4),
         round(message.read_ago_s, 4),
         message.sent_lately,
     ]
@@ -449,7 +449,7 @@
         runner_id=fields[1],
         started_ms=fields[2],
         limit=fields[3],
-        asked_ago_s=fields[4],
+        request_age_s=fields[4],
         read_ago_s=fields[5],
         sent_lately=fields[6],
     )
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -21,7 +21,7 @@
         runner_id=runner_id,
         started_ms=0,
         limit=2.0,
-        asked_ago_s=0.0,
+        request_age_s=0.0,
         read_ago_s=0.0,
     )
     edge.forwarder.signal_watch.take_told_limit(said)
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -21,7 +21,7 @@
 def say(
     limit: float | None,
     *,
-    asked_ago_s: float = 0.02,
+    request_age_s: float = 0.02,
     read_ago_s: float = 0.0,
     started_ms: int = 0,
     sent_lately: int = 0,
@@ -31,7 +31,7 @@
         runner_id="r1",
         started_ms=started_ms,
         limit=limit,
-        asked_ago_s=asked_ago_s,
+        request_age_s=request_age_s,
         read_ago_s=read_ago_s,
         sent_lately=sent_lately,
     )
@@ -67,20 +67,20 @@
     def test_answer_to_a_later_request_ends_it(self) -> None:
         book = LimitTracker()
         book.note(say(2.0), 10.0)
-        assert book.note(say(None, asked_ago_s=0.1), 10.2)
+        assert book.note(say(None, request_age_s=0.1), 10.2)
         assert book.get_limit("r1") is None
 
     def test_answer_to_a_request_of_before_does_not_end_it(self) -> None:
         """It may have been written before the limit was named."""
         book = LimitTracker()
         book.note(say(2.0), 10.0)
-        assert not book.note(say(None, asked_ago_s=0.5), 10.2)
+        assert not book.note(say(None, request_age_s=0.5), 10.2)
         assert book.get_limit("r1") == 2.0
 
     def test_late_word_of_a_limit_that_has_ended_is_not_believed(self) -> None:
         book = LimitTracker()
         book.note(say(2.0), 10.0)
-        book.note(say(None, asked_ago_s=0.1), 10.2)
+        book.note(say(None, request_age_s=0.1), 10.2)
         assert not book.note(say(2.0, read_ago_s=0.25), 10.3)
         assert book.get_limit("r1") is None
 
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -192,7 +192,7 @@
             runner_id="r1",
             started_ms=0,
             limit=self.limit,
-            asked_ago_s=WAY_S,
+            request_age_s=WAY_S,
             read_ago_s=0.0,
             sent_lately=self.count_lately(edge) if known is None else 0,
         )
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -20,7 +20,7 @@
         runner_id=runner_id,
         started_ms=0,
         limit=limit,
-        asked_ago_s=0.0,
+        request_age_s=0.0,
         read_ago_s=0.0,
     )
 
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -60,12 +60,12 @@
         runner_id="r1",
         started_ms=5,
         limit=1.5,
-        asked_ago_s=0.2,
+        request_age_s=0.2,
         read_ago_s=0.1,
         sent_lately=3,
     ),
     LimitReport(
-        runner_id="r1", started_ms=0, limit=None, asked_ago_s=0.2, read_ago_s=0.1
+        runner_id="r1", started_ms=0, limit=None, request_age_s=0.2, read_ago_s=0.1
     ),
     CooldownReport(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
     LeavingReport(runner_id="r1", started_ms=5),
