--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -228,7 +228,7 @@
                 started_ms=entry.started_ms,
                 limit=signals.limit,
                 request_age_s=0.0,
-                read_ago_s=0.0,
+                response_age_s=0.0,
             )
             self.server.take_limit(limit)
 
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -181,7 +181,7 @@
             started_ms=runner.started_ms,
             limit=limit,
             request_age_s=now - asked_at,
-            read_ago_s=0.0,
+            response_age_s=0.0,
         )
         if known is None:
             sent_lately = self.sends.count(runner.runner_id, now)
--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -37,7 +37,7 @@
     request_age_s: float
     """Time since the request was sent whose answer says so."""
 
-    read_ago_s: float
+    response_age_s: float
     """Time since the answer was read."""
 
     sent_lately: int = 0
@@ -88,7 +88,7 @@
         record = self._find_life(said, now)
         if record is None:
             return False
-        read_at, asked_at = now - said.read_ago_s, now - said.request_age_s
+        read_at, asked_at = now - said.response_age_s, now - said.request_age_s
         if said.limit is None:
             return self._lift(record, asked_at)
         if read_at < record.lifted_at:
@@ -156,10 +156,10 @@
             return None
         if is_later_life(said.started_ms, record.started_ms):
             return None
-        if now - said.read_ago_s >= record.lifted_at:
+        if now - said.response_age_s >= record.lifted_at:
             return None
         ago_s = now - record.lifted_at
-        return evolve(said, limit=None, request_age_s=ago_s, read_ago_s=ago_s)
+        return evolve(said, limit=None, request_age_s=ago_s, response_age_s=ago_s)
 
     def list_long(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited for a while."""
@@ -177,7 +177,7 @@
                 started_ms=record.started_ms,
                 limit=record.limit,
                 request_age_s=now - record.named_at,
-                read_ago_s=now - record.named_at,
+                response_age_s=now - record.named_at,
             )
             for runner_id, record in self._records.items()
             if record.limit is not None
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -438,7 +438,7 @@
         message.started_ms,
         message.limit,
         round(message.request_age_s, 4),
-        round(message.read_ago_s, 4),
+        round(message.response_age_s, 4),
         message.sent_lately,
     ]
 
@@ -450,7 +450,7 @@
         started_ms=fields[2],
         limit=fields[3],
         request_age_s=fields[4],
-        read_ago_s=fields[5],
+        response_age_s=fields[5],
         sent_lately=fields[6],
     )
 
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -22,7 +22,7 @@
         started_ms=0,
         limit=2.0,
         request_age_s=0.0,
-        read_ago_s=0.0,
+        response_age_s=0.0,
     )
     edge.forwarder.signal_watch.take_told_limit(said)
     edge.placer.permit_waits[runner_id] = wait_s
@@ -181,7 +181,7 @@
                 await edge.async_call("/once/x")
                 edge.forwarder.signal_watch.tell = told.append
                 edge.forwarder.signal_watch.take_told_limit(
-                    evolve(said, read_ago_s=0.3)
+                    evolve(said, response_age_s=0.3)
                 )
         assert [each.limit for each in told] == [None]
         assert edge.forwarder.signal_watch.list_limits() == []
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -22,7 +22,7 @@
     limit: float | None,
     *,
     request_age_s: float = 0.02,
-    read_ago_s: float = 0.0,
+    response_age_s: float = 0.0,
     started_ms: int = 0,
     sent_lately: int = 0,
 ) -> LimitReport:
@@ -32,7 +32,7 @@
         started_ms=started_ms,
         limit=limit,
         request_age_s=request_age_s,
-        read_ago_s=read_ago_s,
+        response_age_s=response_age_s,
         sent_lately=sent_lately,
     )
 
@@ -81,13 +81,13 @@
         book = LimitTracker()
         book.note(say(2.0), 10.0)
         book.note(say(None, request_age_s=0.1), 10.2)
-        assert not book.note(say(2.0, read_ago_s=0.25), 10.3)
+        assert not book.note(say(2.0, response_age_s=0.25), 10.3)
         assert book.get_limit("r1") is None
 
     def test_late_word_of_an_earlier_limit_is_not_believed(self) -> None:
         book = LimitTracker()
         book.note(say(2.0), 10.0)
-        assert not book.note(say(9.0, read_ago_s=5.0), 10.1)
+        assert not book.note(say(9.0, response_age_s=5.0), 10.1)
         assert book.get_limit("r1") == 2.0
 
     def test_end_is_found_for_who_does_not_know_it(self) -> None:
@@ -104,9 +104,9 @@
         book = LimitTracker()
         book.note(say(2.0, started_ms=5), 10.0)
         book.note(say(None, started_ms=5), 12.0)
-        later = say(3.0, read_ago_s=0.5, started_ms=5)
+        later = say(3.0, response_age_s=0.5, started_ms=5)
         assert book.find_end(later, 13.0) is None
-        later_life = say(3.0, read_ago_s=5.0, started_ms=9)
+        later_life = say(3.0, response_age_s=5.0, started_ms=9)
         assert book.find_end(later_life, 13.0) is None
 
     def test_new_life_owes_nothing(self) -> None:
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -193,7 +193,7 @@
             started_ms=0,
             limit=self.limit,
             request_age_s=WAY_S,
-            read_ago_s=0.0,
+            response_age_s=0.0,
             sent_lately=self.count_lately(edge) if known is None else 0,
         )
         if edge.book.note(said, self.now):
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -21,7 +21,7 @@
         started_ms=0,
         limit=limit,
         request_age_s=0.0,
-        read_ago_s=0.0,
+        response_age_s=0.0,
     )
 
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -187,7 +187,7 @@
 
 
 SAID = LimitReport(
-    runner_id="r1", started_ms=0, limit=0.5, request_age_s=0.02, read_ago_s=0.0
+    runner_id="r1", started_ms=0, limit=0.5, request_age_s=0.02, response_age_s=0.0
 )
 
 
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -61,11 +61,11 @@
         started_ms=5,
         limit=1.5,
         request_age_s=0.2,
-        read_ago_s=0.1,
+        response_age_s=0.1,
         sent_lately=3,
     ),
     LimitReport(
-        runner_id="r1", started_ms=0, limit=None, request_age_s=0.2, read_ago_s=0.1
+        runner_id="r1", started_ms=0, limit=None, request_age_s=0.2, response_age_s=0.1
     ),
     CooldownReport(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
     LeavingReport(runner_id="r1", started_ms=5),
