--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -117,9 +117,9 @@
                 # It ended while the scheduler was out of reach.
                 self.tell(end)
             return
-        sent_lately = self.sends.count(said.runner_id, self.clock())
-        if said.limit is not None and sent_lately:
-            self.tell(evolve(said, sent_lately=sent_lately))
+        recent_requests = self.sends.count(said.runner_id, self.clock())
+        if said.limit is not None and recent_requests:
+            self.tell(evolve(said, recent_requests=recent_requests))
 
     def measure_rest(self, runner: RunnerEntry) -> float:
         """Return the seconds for which a runner wants nothing of this edge."""
@@ -134,7 +134,7 @@
         """Return the limits that are known, for a scheduler that begins to grant."""
         now = self.clock()
         return [
-            evolve(said, sent_lately=self.sends.count(said.runner_id, now))
+            evolve(said, recent_requests=self.sends.count(said.runner_id, now))
             for said in self.limits.list_said(now)
         ]
 
@@ -184,8 +184,8 @@
             response_age_s=0.0,
         )
         if known is None:
-            sent_lately = self.sends.count(runner.runner_id, now)
-            said = evolve(said, sent_lately=sent_lately)
+            recent_requests = self.sends.count(runner.runner_id, now)
+            said = evolve(said, recent_requests=recent_requests)
         if self._believe_limit(said, None):
             self.tell(said)
 
--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -40,7 +40,7 @@
     response_age_s: float
     """Time since the answer was read."""
 
-    sent_lately: int = 0
+    recent_requests: int = 0
     """Requests that the edge that tells it sent there in the time before."""
 
 
@@ -100,7 +100,7 @@
         if changed:
             record.limit = said.limit
         record.named_at = max(record.named_at, read_at)
-        self._charge(record, said.sent_lately)
+        self._charge(record, said.recent_requests)
         return changed
 
     def get_limit(self, runner_id: str, started_ms: int = 0) -> float | None:
@@ -228,13 +228,13 @@
         record.limit, record.lifted_at = None, asked_at
         return True
 
-    def _charge(self, record: RunnerLimit, sent_lately: int) -> None:
+    def _charge(self, record: RunnerLimit, recent_requests: int) -> None:
         """Count what an edge sent before, beyond what is not held against a runner."""
-        if not sent_lately or record.limit is None:
+        if not recent_requests or record.limit is None:
             return
         free = record.limit * FREE_S + FREE_REQUESTS
         before = max(0.0, record.owed - free)
-        record.owed += sent_lately
+        record.owed += recent_requests
         record.pacer.owe(max(0.0, record.owed - free) - before)
 
     def _get_rate(self, runner_id: str, record: RunnerLimit) -> float:
@@ -244,4 +244,4 @@
 
 def forget_past(said: LimitReport) -> LimitReport:
     """Return a statement without what its teller sent, to pass it on."""
-    return evolve(said, sent_lately=0)
+    return evolve(said, recent_requests=0)
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -439,7 +439,7 @@
         message.limit,
         round(message.request_age_s, 4),
         round(message.response_age_s, 4),
-        message.sent_lately,
+        message.recent_requests,
     ]
 
 
@@ -451,7 +451,7 @@
         limit=fields[3],
         request_age_s=fields[4],
         response_age_s=fields[5],
-        sent_lately=fields[6],
+        recent_requests=fields[6],
     )
 
 
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -132,7 +132,7 @@
                 edge.add("r1", server, "plain")
                 for _ in range(4):
                     await edge.async_call("/once/x")
-        assert [(each.limit, each.sent_lately) for each in told] == [(2.0, 2)]
+        assert [(each.limit, each.recent_requests) for each in told] == [(2.0, 2)]
 
     async def test_end_of_a_limit_is_told(self) -> None:
         told: list[LimitReport] = []
@@ -166,7 +166,7 @@
             for _ in range(3):
                 await edge.async_call("/once/x")
             limit(edge, "r1", 0.0)
-        assert [each.sent_lately for each in told] == [3]
+        assert [each.recent_requests for each in told] == [3]
 
     async def test_end_that_the_scheduler_missed_is_told_when_it_tells_the_limit(
         self,
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -24,7 +24,7 @@
     request_age_s: float = 0.02,
     response_age_s: float = 0.0,
     started_ms: int = 0,
-    sent_lately: int = 0,
+    recent_requests: int = 0,
 ) -> LimitReport:
     """Return a statement of the runner r1."""
     return LimitReport(
@@ -33,7 +33,7 @@
         limit=limit,
         request_age_s=request_age_s,
         response_age_s=response_age_s,
-        sent_lately=sent_lately,
+        recent_requests=recent_requests,
     )
 
 
@@ -190,12 +190,12 @@
         book = LimitTracker()
         free = 2.0 * FREE_S + FREE_REQUESTS
         for edge_sent in (6, 6):
-            book.note(say(2.0, sent_lately=edge_sent), 0.0)
+            book.note(say(2.0, recent_requests=edge_sent), 0.0)
         assert count_sent(book, 0.0, 6.0) == pytest.approx(12 - (12 - free), abs=1)
 
     def test_usual_work_is_not_held_against_a_runner(self) -> None:
         book = LimitTracker()
-        book.note(say(2.0, sent_lately=int(2.0 * FREE_S)), 0.0)
+        book.note(say(2.0, recent_requests=int(2.0 * FREE_S)), 0.0)
         assert count_sent(book, 0.0, 4.0) >= 7
 
     def test_limit_that_ends_frees_at_once(self) -> None:
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -99,7 +99,7 @@
             return
         scheduler.edges.add(edge.key)
         for said in edge.book.list_said(self.now):
-            self.tell(edge, evolve(said, sent_lately=self.count_lately(edge)))
+            self.tell(edge, evolve(said, recent_requests=self.count_lately(edge)))
         for said in scheduler.book.list_said(self.now):
             edge.book.note(said, self.now)
 
@@ -111,8 +111,10 @@
         for key in sorted(scheduler.edges - {edge.key}):
             other = self.edges[key]
             if other.book.note(forget_past(said), self.now):
-                sent_lately = self.count_lately(other)
-                scheduler.book.note(evolve(said, sent_lately=sent_lately), self.now)
+                recent_requests = self.count_lately(other)
+                scheduler.book.note(
+                    evolve(said, recent_requests=recent_requests), self.now
+                )
 
     def count_lately(self, edge: Edge) -> int:
         return sum(1 for at in edge.sent if at >= self.now - PAST_S)
@@ -194,7 +196,7 @@
             limit=self.limit,
             request_age_s=WAY_S,
             response_age_s=0.0,
-            sent_lately=self.count_lately(edge) if known is None else 0,
+            recent_requests=self.count_lately(edge) if known is None else 0,
         )
         if edge.book.note(said, self.now):
             self.tell(edge, said)
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -62,7 +62,7 @@
         limit=1.5,
         request_age_s=0.2,
         response_age_s=0.1,
-        sent_lately=3,
+        recent_requests=3,
     ),
     LimitReport(
         runner_id="r1", started_ms=0, limit=None, request_age_s=0.2, response_age_s=0.1
