--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -14,7 +14,7 @@
 from ..observability.metrics import Metrics
 from ..policy.limits.book import LimitReport, LimitTracker
 from ..policy.limits.const import PAST_S
-from ..policy.limits.rests import CooldownReport, RestBook
+from ..policy.limits.rests import CooldownReport, CooldownTracker
 
 LIMIT: Final = "limit"
 LEAVING: Final = "leaving"
@@ -67,7 +67,7 @@
     edge: str
     """Incarnation of this edge."""
 
-    rests: RestBook
+    rests: CooldownTracker
     """The rests that the core of this process keeps to."""
 
     tell: Callable[[LimitReport | LeavingReport | CooldownReport], None] = lambda said: (
--- a/mangoway/policy/limits/rests.py
+++ b/mangoway/policy/limits/rests.py
@@ -37,7 +37,7 @@
 
 
 @define(eq=False)
-class RestBook:
+class CooldownTracker:
     """The rests of all runners and edges, as one process knows them."""
 
     _rests: dict[str, dict[str, Rest]] = field(factory=dict, init=False)
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -12,7 +12,7 @@
 from ..edge.health import HealthBook
 from ..limits.book import LimitTracker
 from ..limits.const import LIMITED_SHARE, LONG_S, RESTING_EDGES
-from ..limits.rests import RestBook
+from ..limits.rests import CooldownTracker
 from .const import (
     STORE_FIRST_LOADS,
     STORE_FIRST_SHARE,
@@ -113,7 +113,7 @@
     returns: Returns = field(factory=Returns, init=False)
     health: HealthBook = field(factory=HealthBook, init=False)
     limits: LimitTracker = field(factory=LimitTracker, init=False)
-    rests: RestBook = field(factory=RestBook, init=False)
+    rests: CooldownTracker = field(factory=CooldownTracker, init=False)
     store_loads: dict[str, StoreLoads] = field(factory=dict, init=False)
     _gaps: dict[str, Gaps] = field(factory=dict, init=False)
     _stays: dict[str, Stays] = field(factory=dict, init=False)
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -26,7 +26,7 @@
 from mangoway.policy.edge.retry_budget import RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 from mangoway.policy.limits.book import LimitTracker
-from mangoway.policy.limits.rests import RestBook
+from mangoway.policy.limits.rests import CooldownTracker
 from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
 from mangoway.scheduling.placing import Answer
 from mangoway.util.listener import open_listener
@@ -306,7 +306,7 @@
         ),
         screen=screen,
         signal_watch=SignalWatch(
-            metrics, LimitTracker(), clock, view, "e1", RestBook()
+            metrics, LimitTracker(), clock, view, "e1", CooldownTracker()
         ),
         random=Random(1),
     )
