--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -135,7 +135,7 @@
         now = self.clock()
         return [
             evolve(said, recent_requests=self.sends.count(said.runner_id, now))
-            for said in self.limits.list_said(now)
+            for said in self.limits.list_reports(now)
         ]
 
     def keep_only(self, runner_ids: set[str]) -> None:
--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -169,7 +169,7 @@
             if record.limit is not None and now - record.since >= LONG_S
         )
 
-    def list_said(self, now: float) -> list[LimitReport]:
+    def list_reports(self, now: float) -> list[LimitReport]:
         """Return the limits that are known, to tell them to another process."""
         return [
             LimitReport(
--- a/mangoway/policy/limits/rests.py
+++ b/mangoway/policy/limits/rests.py
@@ -84,7 +84,7 @@
         """Return whether any runner may be resting."""
         return now < self._last_end
 
-    def list_said(self, edge: str, now: float) -> list[CooldownReport]:
+    def list_reports(self, edge: str, now: float) -> list[CooldownReport]:
         """Return what is left of an edge's rests, to tell it to another process."""
         return [
             CooldownReport(
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -269,7 +269,7 @@
         for said in self.list_limits():
             link.send(said)
         rests = self.local.core.state.rests
-        for rest in rests.list_said(self.incarnation, self.local.clock()):
+        for rest in rests.list_reports(self.incarnation, self.local.clock()):
             link.send(rest)
         for placed in self._placed.values():
             if placed.runner_id is None:
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -257,7 +257,7 @@
         self.feed.add(link, hello.revision)
         for leaving in self.list_leaving():
             link.send(leaving)
-        for said in self.core.state.limits.list_said(self.clock()):
+        for said in self.core.state.limits.list_reports(self.clock()):
             link.send(said)
         log_event(log.LinkOpened(peer=hello.host))
 
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -95,10 +95,10 @@
         for each in (book, other):
             each.note(say(2.0), 10.0)
         book.note(say(None), 12.0)
-        end = book.find_end(other.list_said(13.0)[0], 13.0)
+        end = book.find_end(other.list_reports(13.0)[0], 13.0)
         assert end is not None
         assert other.note(end, 13.0)
-        assert other.list_said(13.0) == []
+        assert other.list_reports(13.0) == []
 
     def test_no_end_is_found_for_a_later_limit(self) -> None:
         book = LimitTracker()
@@ -134,7 +134,7 @@
         book.note(say(2.0), 10.0)
         book.keep_only(set(), 10.0)
         book.keep_only(set(), 10.0 + FORGET_S)
-        assert book.list_said(80.0) == []
+        assert book.list_reports(80.0) == []
 
     def test_limit_outlasts_an_entry_that_vanishes_and_comes_back(self) -> None:
         """Edges that have told it don't tell it again."""
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -98,9 +98,9 @@
         if scheduler is None:
             return
         scheduler.edges.add(edge.key)
-        for said in edge.book.list_said(self.now):
+        for said in edge.book.list_reports(self.now):
             self.tell(edge, evolve(said, recent_requests=self.count_lately(edge)))
-        for said in scheduler.book.list_said(self.now):
+        for said in scheduler.book.list_reports(self.now):
             edge.book.note(said, self.now)
 
     def tell(self, edge: Edge, said: LimitReport) -> None:
--- a/tests/policy/limits/test_rests.py
+++ b/tests/policy/limits/test_rests.py
@@ -57,8 +57,8 @@
         book = CooldownTracker()
         book.note(say(3.0), 10.0)
         book.note(say(1.0, "e2"), 10.0)
-        assert book.list_said("e1", 12.0) == [say(1.0)]
-        assert book.list_said("e2", 12.0) == []
+        assert book.list_reports("e1", 12.0) == [say(1.0)]
+        assert book.list_reports("e2", 12.0) == []
 
     def test_edge_that_is_gone_is_forgotten(self) -> None:
         book = CooldownTracker()
