--- a/mangoway/policy/limits/rests.py
+++ b/mangoway/policy/limits/rests.py
@@ -80,7 +80,7 @@
             return 0.0
         return rest.until - now
 
-    def has_rests(self, now: float) -> bool:
+    def has_cooldowns(self, now: float) -> bool:
         """Return whether any runner may be resting."""
         return now < self._last_end
 
--- a/mangoway/policy/scheduling/hopeless.py
+++ b/mangoway/policy/scheduling/hopeless.py
@@ -74,7 +74,7 @@
     def _find_start(self, waiting: Waiting) -> tuple[float, str] | None:
         """Return when and where a request would start; nowhere without a holder."""
         asked = waiting.asked
-        if asked.only or asked.excluded or self.state.rests.has_rests(self.now):
+        if asked.only or asked.excluded or self.state.rests.has_cooldowns(self.now):
             return self._find_allowed_start(asked)
         heap = self._get_heap(asked)
         while heap:
