--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -242,6 +242,6 @@
         return limit * self.get_share(runner_id)
 
 
-def forget_past(said: LimitReport) -> LimitReport:
+def strip_recent_requests(said: LimitReport) -> LimitReport:
     """Return a statement without what its teller sent, to pass it on."""
     return evolve(said, recent_requests=0)
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -11,7 +11,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.const import MEMORY_S
-from ..policy.limits.book import LimitReport, forget_past
+from ..policy.limits.book import LimitReport, strip_recent_requests
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     Action,
@@ -217,7 +217,7 @@
         log_event(
             log.RunnerLimitSeen(runner_id=said.runner_id, limit=limit, told_by=told_by)
         )
-        self._pass_on(link, forget_past(said))
+        self._pass_on(link, strip_recent_requests(said))
 
     def take_leaving(self, said: LeavingReport, link: Link | None = None) -> None:
         """Take that a runner leaves, and tell all others if it is new.
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -9,7 +9,7 @@
 
 from mangoway.policy.customers.const import BEGIN_S
 from mangoway.policy.edge.shares import LoneShare
-from mangoway.policy.limits.book import LimitReport, LimitTracker, forget_past
+from mangoway.policy.limits.book import LimitReport, LimitTracker, strip_recent_requests
 from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, PAST_S
 
 EDGES: Final = 6
@@ -110,7 +110,7 @@
             return
         for key in sorted(scheduler.edges - {edge.key}):
             other = self.edges[key]
-            if other.book.note(forget_past(said), self.now):
+            if other.book.note(strip_recent_requests(said), self.now):
                 recent_requests = self.count_lately(other)
                 scheduler.book.note(
                     evolve(said, recent_requests=recent_requests), self.now
