--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -13,7 +13,7 @@
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
 from ..policy.limits.book import LimitReport, LimitTracker
-from ..policy.limits.const import PAST_S
+from ..policy.limits.const import RECENT_REQUESTS_S
 from ..policy.limits.rests import CooldownReport, CooldownTracker
 
 LIMIT: Final = "limit"
@@ -50,7 +50,7 @@
 
 
 def _forget(times: deque[float], now: float) -> None:
-    while times and times[0] < now - PAST_S:
+    while times and times[0] < now - RECENT_REQUESTS_S:
         times.popleft()
 
 
--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -9,7 +9,7 @@
 BURST_S: Final = 0.5
 """Time whose requests a limited runner may get at once, beyond the first one."""
 
-PAST_S: Final = 1.2
+RECENT_REQUESTS_S: Final = 1.2
 """Time before a limit was read whose requests count against it: a runner in need is not
 sent as many again while it still works on these."""
 
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -10,7 +10,7 @@
 from mangoway.policy.customers.const import BEGIN_S
 from mangoway.policy.edge.shares import LoneShare
 from mangoway.policy.limits.book import LimitReport, LimitTracker, strip_recent_requests
-from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, PAST_S
+from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, RECENT_REQUESTS_S
 
 EDGES: Final = 6
 WINDOW_S: Final = 4.0
@@ -117,7 +117,7 @@
                 )
 
     def count_lately(self, edge: Edge) -> int:
-        return sum(1 for at in edge.sent if at >= self.now - PAST_S)
+        return sum(1 for at in edge.sent if at >= self.now - RECENT_REQUESTS_S)
 
     @rule(data=st.data(), alone=st.booleans())
     def move(self, data: Any, alone: bool) -> None:
@@ -147,7 +147,7 @@
     @rule(limit=st.floats(0.0, 8.0))
     def name_limit(self, limit: float) -> None:
         """Let the runner name a limit that what it got just before doesn't exceed."""
-        lately = sum(1 for at, _ in self.arrivals if at > self.now - PAST_S)
+        lately = sum(1 for at, _ in self.arrivals if at > self.now - RECENT_REQUESTS_S)
         if self.limit is None:
             self.spell_began = self.now
             self.named, self.told = [], {}
