--- a/mangoway/policy/limits/book.py
+++ b/mangoway/policy/limits/book.py
@@ -17,8 +17,8 @@
     FREE_REQUESTS,
     FREE_S,
     LEAST_RATE,
-    LONG_S,
     MAX_WAIT_S,
+    MIN_LIMITED_S,
 )
 from .pacer import Pacer
 
@@ -166,7 +166,7 @@
         return frozenset(
             runner_id
             for runner_id, record in self._records.items()
-            if record.limit is not None and now - record.since >= LONG_S
+            if record.limit is not None and now - record.since >= MIN_LIMITED_S
         )
 
     def list_reports(self, now: float) -> list[LimitReport]:
--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -26,7 +26,7 @@
 """Edges that have that part of one runner: shared among hundreds, it would be less than
 a request for each."""
 
-LONG_S: Final = 1.0
+MIN_LIMITED_S: Final = 1.0
 """Time after which a limit counts when models are placed; some last for moments."""
 
 FORGET_S: Final = 60.0
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -11,8 +11,8 @@
     FREE_REQUESTS,
     FREE_S,
     LEAST_RATE,
-    LONG_S,
     MAX_WAIT_S,
+    MIN_LIMITED_S,
 )
 
 LIFE = ("r1", 0)
@@ -228,6 +228,6 @@
         book = LimitTracker()
         book.note(say(2.0), 10.0)
         assert book.list_long(10.0) == frozenset()
-        assert book.list_long(10.0 + LONG_S) == {"r1"}
+        assert book.list_long(10.0 + MIN_LIMITED_S) == {"r1"}
         book.note(say(None), 12.0)
         assert book.list_long(20.0) == frozenset()
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -4,7 +4,7 @@
 from attrs import evolve
 
 from mangoway.policy.limits.book import LimitReport
-from mangoway.policy.limits.const import LONG_S
+from mangoway.policy.limits.const import MIN_LIMITED_S
 from mangoway.policy.scheduling.core import RATE_LIMITED_REASON
 from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
 
@@ -134,21 +134,21 @@
     def test_limit_of_a_moment_moves_nothing(self) -> None:
         world = play([["a", "b", "c"], ["d", "e", "f"]])
         ask_often(world, "a", 1.0, 1.0, 5.0)
-        world.run(1.0 + LONG_S / 2)
+        world.run(1.0 + MIN_LIMITED_S / 2)
         world.feed(say(None))
         world.run(5.0)
         assert not any(each.load for each in world.orders)
 
     def test_no_model_is_loaded_onto_it(self) -> None:
         world = play([["a", "b", "c"], ["d", "e", "f"], ["a", "d", "e"]])
-        world.run(1.0 + LONG_S)
+        world.run(1.0 + MIN_LIMITED_S)
         ask_often(world, "f", 20.0, 2.0, 8.0)
         world.run(8.0)
         assert "r0" not in [each.runner_id for each in world.orders if each.load]
 
     def test_models_stay_where_all_runners_are_limited(self) -> None:
         world = play([["a", "b", "c"]], models="abc")
-        world.run(1.0 + LONG_S)
+        world.run(1.0 + MIN_LIMITED_S)
         ask_often(world, "a", 1.0, 2.0, 6.0)
         world.run(6.0)
         assert world.count_first_in(1.0) == 4
