--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -33,7 +33,7 @@
 """Time for which the limit of a runner is remembered that isn't known any more: longer
 than an outage of the store in which entries lapse."""
 
-LIMITED_SHARE: Final = 0.5
+MAX_LIMITED_SHARE: Final = 0.5
 """Largest part of a service's runners that placement does without since they are
 limited: with more, the others can't take their models."""
 
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -11,7 +11,7 @@
 from ..customers.quota import QuotaBook
 from ..edge.health import HealthBook
 from ..limits.book import LimitTracker
-from ..limits.const import LIMITED_SHARE, MIN_LIMITED_S, RESTING_EDGES
+from ..limits.const import MAX_LIMITED_SHARE, MIN_LIMITED_S, RESTING_EDGES
 from ..limits.rests import CooldownTracker
 from .const import (
     STORE_FIRST_LOADS,
@@ -223,7 +223,7 @@
         usable = self.list_usable(service, now)
         in_need = self.find_in_need(now)
         relied = [each for each in usable if each.runner_id not in in_need]
-        enough = len(relied) >= (1 - LIMITED_SHARE) * len(usable)
+        enough = len(relied) >= (1 - MAX_LIMITED_SHARE) * len(usable)
         return relied if enough and relied else usable
 
     def count_runners(self, service: str) -> int:
