--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -37,7 +37,7 @@
 """Largest part of a service's runners that placement does without since they are
 limited: with more, the others can't take their models."""
 
-RESTING_EDGES: Final = 0.5
+MIN_COOLDOWN_EDGE_SHARE: Final = 0.5
 """Part of the edges that a runner must want nothing of for placement to do without it:
 the others still use what it holds."""
 
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -11,7 +11,7 @@
 from ..customers.quota import QuotaBook
 from ..edge.health import HealthBook
 from ..limits.book import LimitTracker
-from ..limits.const import MAX_LIMITED_SHARE, MIN_LIMITED_S, RESTING_EDGES
+from ..limits.const import MAX_LIMITED_SHARE, MIN_COOLDOWN_EDGE_SHARE, MIN_LIMITED_S
 from ..limits.rests import CooldownTracker
 from .const import (
     STORE_FIRST_LOADS,
@@ -194,7 +194,7 @@
 
     def find_in_need(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited, or at rest, for a while."""
-        edges = RESTING_EDGES * len(self.edge_data_centres)
+        edges = MIN_COOLDOWN_EDGE_SHARE * len(self.edge_data_centres)
         return self.limits.list_long(now) | self.rests.list_long(
             MIN_LIMITED_S, edges, now
         )
