--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -12,7 +12,7 @@
 
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.book import CrashBook
+from ..policy.crashes.book import CrashTracker
 from ..policy.crashes.const import EVIDENCE_S, HELD_S, MAX_CLEARANCES, MAX_HELD
 from .crashes import (
     CLEARED_KEYS,
@@ -59,7 +59,7 @@
 
     store: CoordinationStore
     mirror: Mirror
-    book: CrashBook
+    book: CrashTracker
     clock: Callable[[], float]
     may_write: Callable[[], bool]
     """Whether this process leads."""
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -13,7 +13,7 @@
 from attrs import frozen
 
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
-from ..policy.crashes.book import CrashBook
+from ..policy.crashes.book import CrashTracker
 
 CRASH_KEYS: Final = "crashes/"
 CLEARED_KEYS: Final = "cleared/"
@@ -38,7 +38,7 @@
         """Return its key, without the prefix of the system's keys."""
         return f"{CRASH_KEYS}{self.life}/{self.edge}"
 
-    def take(self, book: CrashBook) -> None:
+    def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
         book.take_crash(self.key, self.charges)
 
@@ -54,7 +54,7 @@
         """Return its key, without the prefix of the system's keys."""
         return CLEARED_KEYS + self.clearance.identity.text
 
-    def take(self, book: CrashBook) -> None:
+    def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
         book.take_clearance(self.key, self.clearance)
 
@@ -71,7 +71,7 @@
         """Return its key, without the prefix of the system's keys."""
         return HELD_KEYS + self.content
 
-    def take(self, book: CrashBook) -> None:
+    def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
         book.take_held(self.key, self.charges)
 
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -20,7 +20,7 @@
 from ..platform.documents import OWN_PREFIX
 from ..platform.receiver import StoreReceiver
 from ..platform.store import PlatformStore
-from ..policy.crashes.book import CrashBook
+from ..policy.crashes.book import CrashTracker
 from ..scheduling.leader import LeaderLink
 from ..scheduling.messages import Hello, Told
 from ..settings.fleet import FleetSettings
@@ -53,7 +53,7 @@
     metrics: Metrics = field(factory=Metrics)
     incarnation: str = field(factory=lambda: secrets.token_hex(6))
     view: FleetView = field(factory=FleetView)
-    crashes: CrashBook = field(factory=CrashBook)
+    crashes: CrashTracker = field(factory=CrashTracker)
     store: PlatformStore = field(init=False)
     presence: Presence = field(init=False)
     mirror: Mirror = field(init=False)
--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -10,7 +10,7 @@
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.book import CrashBook
+from ..policy.crashes.book import CrashTracker
 from ..policy.crashes.const import BEGIN_S
 from ..policy.crashes.memory import ServedMemory
 from .crash_watch import CrashSeen, LostRequest
@@ -40,7 +40,7 @@
     edge: str
     """Incarnation of this edge."""
 
-    book: CrashBook
+    book: CrashTracker
     teller: Teller
     clock: Callable[[], float]
     memory: ServedMemory = field(factory=ServedMemory)
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -11,7 +11,7 @@
 from ..models.fleet import MEMBER_KEYS
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.book import CrashBook
+from ..policy.crashes.book import CrashTracker
 from .documents import (
     CONFIGURATION_KEY,
     OWN_PREFIX,
@@ -34,7 +34,7 @@
     clock: Callable[[], float]
     """Steady time in seconds."""
 
-    crashes: CrashBook = field(factory=CrashBook)
+    crashes: CrashTracker = field(factory=CrashTracker)
     _statements: set[str] = field(factory=set, init=False)
     """Keys of the statements on crashes that were read."""
 
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -119,7 +119,7 @@
 
 
 @define(eq=False)
-class CrashBook:
+class CrashTracker:
     """Knows the crashes that requests were beside."""
 
     most_charges: int = MAX_CHARGES
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -25,7 +25,7 @@
 from mangoway.coordination.view import FleetView
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
 from mangoway.platform.receiver import StoreReceiver
-from mangoway.policy.crashes.book import CrashBook
+from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import EVIDENCE_S, HELD_S
 
 from ..fakes.coordination_store import FakeCoordinationStore
@@ -86,7 +86,7 @@
 
     def __init__(self, store: FakeCoordinationStore) -> None:
         self.clock = asyncio.get_running_loop().time
-        self.book = CrashBook()
+        self.book = CrashTracker()
         receiver = StoreReceiver(FleetView(), self.clock, self.book)
         self.mirror = Mirror(store, receiver, self.clock)
         self.reporter = CrashReporter(store, PREFIX)
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -13,7 +13,7 @@
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
 from mangoway.platform.requests import decode_request
-from mangoway.policy.crashes.book import CrashBook
+from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import BEGIN_S
 from mangoway.policy.scheduling.events import EndKind
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.teller = StubTeller()
-        self.book = CrashBook()
+        self.book = CrashTracker()
         self.screen = CrashScreen(
             edge="e1", book=self.book, teller=self.teller, clock=lambda: self.now
         )
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -22,7 +22,7 @@
 from mangoway.models.routing import CallerLimits, Route, RouteKind
 from mangoway.models.runner import RunnerEntry
 from mangoway.observability.metrics import Metrics
-from mangoway.policy.crashes.book import CrashBook
+from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.edge.retry_budget import RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 from mangoway.policy.limits.book import LimitTracker
@@ -286,7 +286,7 @@
     metrics = Metrics()
     tasks = Tasks(errors.append)
     teller = StubTeller()
-    screen = CrashScreen(edge="e1", book=CrashBook(), teller=teller, clock=clock)
+    screen = CrashScreen(edge="e1", book=CrashTracker(), teller=teller, clock=clock)
     forwarder = Forwarder(
         data_centre="dc1",
         incarnation="e1",
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -17,7 +17,7 @@
 from mangoway.edge.crash_screen import CrashScreen
 from mangoway.edge.crash_watch import CrashSeen, LostRequest
 from mangoway.models.crash import RequestIdentity, RunnerLife
-from mangoway.policy.crashes.book import CrashBook
+from mangoway.policy.crashes.book import CrashTracker
 
 TOLD_AFTER_S = 0.5
 """Time after which all other edges know what one has told."""
@@ -153,7 +153,7 @@
     def _make_screen(self, number: int) -> CrashScreen:
         return CrashScreen(
             edge=f"e{number}",
-            book=CrashBook(),
+            book=CrashTracker(),
             teller=_Teller(self, number),
             clock=lambda: self.now,
         )
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
-from mangoway.policy.crashes.book import CrashBook
+from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import (
     MAX_CLEARANCES,
     MAX_HELD,
@@ -20,11 +20,11 @@
 OTHER = RequestIdentity("o", "v")
 
 
-def crash(book: CrashBook, life: str, *requests: RequestIdentity) -> None:
+def crash(book: CrashTracker, life: str, *requests: RequestIdentity) -> None:
     book.take_crash(f"{life}/e1", [Charge(each, life) for each in requests])
 
 
-def clear(book: CrashBook, identity: RequestIdentity, *lives: str) -> None:
+def clear(book: CrashTracker, identity: RequestIdentity, *lives: str) -> None:
     clearance = Clearance(identity=identity, lives=frozenset(lives))
     book.take_clearance(f"cleared/{identity.text}", clearance)
 
@@ -33,7 +33,7 @@
     """When a request is held back."""
 
     def test_third_crash_holds(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for life in ("l1", "l2"):
             crash(book, life, CULPRIT, OTHER)
         assert not book.is_held_back(CULPRIT)
@@ -42,13 +42,13 @@
         assert not book.is_held_back(OTHER)
 
     def test_edges_that_tell_of_one_crash_count_once(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for edge in ("e1", "e2", "e3"):
             book.take_crash(f"l1/{edge}", [Charge(CULPRIT, "l1")])
         assert not book.is_held_back(CULPRIT)
 
     def test_run_that_ended_well_clears(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         crash(book, "l1", OTHER)
         clear(book, OTHER, "l1")
         for life in ("l2", "l3"):
@@ -56,7 +56,7 @@
         assert not book.is_held_back(OTHER)
 
     def test_clearance_frees_what_is_held_back(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for life in ("l1", "l2", "l3"):
             crash(book, life, OTHER)
         clear(book, OTHER, "l1", "l2", "l3")
@@ -70,7 +70,7 @@
         self, stage: RunStage, crashes: int
     ) -> None:
         """As much of a run does no harm, whichever of its runs it was."""
-        book = CrashBook()
+        book = CrashTracker()
         book.take_crash("l0/e1", [Charge(OTHER, "l0", stage)])
         for number in range(1, crashes):
             assert not book.is_held_back(OTHER)
@@ -79,7 +79,7 @@
 
     def test_edge_whose_run_came_less_far_decides_what_a_crash_counts(self) -> None:
         """Equal requests of two edges may be at one runner."""
-        book = CrashBook()
+        book = CrashTracker()
         for life in ("l1", "l2", "l3"):
             charge = Charge(OTHER, life, RunStage.GOING_ON)
             book.take_crash(f"{life}/e1", [charge])
@@ -89,7 +89,7 @@
 
     def test_each_that_becomes_held_back_is_told_once(self) -> None:
         told: list[str] = []
-        book = CrashBook(on_held=[told.append])
+        book = CrashTracker(on_held=[told.append])
         for life in ("l1", "l2", "l3", "l4"):
             crash(book, life, CULPRIT)
             crash(book, life, CULPRIT)
@@ -100,27 +100,27 @@
     """Requests with one content, of several callers."""
 
     def test_one_that_is_held_back_alone_leaves_others(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for life in ("l1", "l2", "l3"):
             crash(book, life, CULPRIT)
         assert not book.is_held_back(RequestIdentity("c", "w"))
 
     def test_content_that_crashes_for_all_is_held_back_for_all(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for number in range(CRASHES_OF_CONTENT):
             assert not book.is_held_back(RequestIdentity("c", "new"))
             crash(book, f"l{number}", RequestIdentity("c", f"v{number}"))
         assert book.is_held_back(RequestIdentity("c", "new"))
 
     def test_content_that_is_served_to_some_is_not(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for number in range(CRASHES_OF_CONTENT):
             crash(book, f"l{number}", RequestIdentity("c", f"v{number}"))
         clear(book, RequestIdentity("c", "served"))
         assert not book.is_held_back(RequestIdentity("c", "new"))
 
     def test_charge_beside_a_served_one_stands_for_its_variant_alone(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for number in range(CRASHES_OF_CONTENT):
             charge = Charge(
                 RequestIdentity("c", f"v{number}"), f"l{number}", alone=True
@@ -133,14 +133,14 @@
     """What is forgotten."""
 
     def test_oldest_charges_go_first(self) -> None:
-        book = CrashBook(most_charges=10)
+        book = CrashTracker(most_charges=10)
         for number in range(50):
             crash(book, f"l{number}", RequestIdentity(f"c{number}", "v"), OTHER)
         assert book.charge_count <= 10
         assert book.list_crashes(OTHER) == {f"l{number}" for number in range(45, 50)}
 
     def test_what_is_held_back_outlasts_its_charges(self) -> None:
-        book = CrashBook(most_charges=10)
+        book = CrashTracker(most_charges=10)
         for life in ("l1", "l2", "l3"):
             crash(book, life, CULPRIT)
         book.take_held("held/c", book.list_charges("c"))
@@ -151,7 +151,7 @@
         assert not book.is_held_back(CULPRIT)
 
     def test_clearances_and_what_is_held_back_are_bounded(self) -> None:
-        book = CrashBook()
+        book = CrashTracker()
         for number in range(MAX_CLEARANCES + 50):
             clear(book, RequestIdentity(f"c{number}", "v"), "l")
         for number in range(MAX_HELD + 50):
@@ -176,9 +176,9 @@
 )
 
 
-def play(statements: list[tuple[str, object, object]]) -> CrashBook:
+def play(statements: list[tuple[str, object, object]]) -> CrashTracker:
     """Take statements in turn, the last one under each key twice."""
-    book = CrashBook()
+    book = CrashTracker()
     for kind, one, two in statements:
         if kind == "crash":
             for _ in range(2):
@@ -200,7 +200,7 @@
         """A process that starts later reads only the last one under each key."""
         book = play(statements)
         crashes = {key: each for key, each in book._charges.items()}
-        late = CrashBook()
+        late = CrashTracker()
         for key, cleared in book._clearances.items():
             late.take_clearance(key, cleared)
         for key in sorted(crashes, reverse=True):
