--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -40,7 +40,7 @@
 
     def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
-        book.take_crash(self.key, self.charges)
+        book.add_crash(self.key, self.charges)
 
 
 @frozen(kw_only=True)
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -142,7 +142,7 @@
     _count: int = field(default=0, init=False)
     """Charges in `_charges`."""
 
-    def take_crash(self, key: str, charges: Iterable[Charge]) -> None:
+    def add_crash(self, key: str, charges: Iterable[Charge]) -> None:
         """Take a statement on what was beside a crash; one under its key is replaced.
 
         The oldest statements go if there are too many.
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -125,7 +125,7 @@
         world = Screening()
         world.screen.note_served(OTHER)
         for life in ("l1", "l2", "l3"):
-            world.book.take_crash(f"{life}/e2", [Charge(OTHER, life)])
+            world.book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
         assert not world.screen.is_held_back(OTHER)
         assert len(world.list_told(ClearedStatement)) >= 1
 
@@ -134,7 +134,7 @@
         world = Screening()
         world.screen.note_served(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3"):
-            world.book.take_crash(f"{life}/e2", [Charge(CULPRIT, life)])
+            world.book.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
         assert world.screen.is_held_back(CULPRIT)
         assert world.teller.posted == []
 
@@ -143,7 +143,7 @@
         world.screen.note_served(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3", "l4", "l5"):
             charge = Charge(RequestIdentity("c", life), life)
-            world.book.take_crash(f"{life}/e2", [charge])
+            world.book.add_crash(f"{life}/e2", [charge])
         assert not world.screen.is_held_back(RequestIdentity("c", "new"))
 
 
@@ -163,7 +163,7 @@
     identity = make_identity(path)
     for life in ("l1", "l2", "l3"):
         charge = Charge(identity, life)
-        edge.forwarder.screen.book.take_crash(f"{life}/e9", [charge])
+        edge.forwarder.screen.book.add_crash(f"{life}/e9", [charge])
 
 
 class TestAnswers:
@@ -192,7 +192,7 @@
             [known] = edge.forwarder.screen.memory._served_at
             other = RequestIdentity(known.content, "other")
             for life in ("l1", "l2", "l3"):
-                book.take_crash(f"{life}/e9", [Charge(other, life)])
+                book.add_crash(f"{life}/e9", [Charge(other, life)])
             reply = await edge.async_call("/safe/x", headers="Authorization: a\r\n")
         assert reply.status == 200
 
@@ -267,7 +267,7 @@
             book = edge.forwarder.screen.book
             for life in ("l1", "l2"):
                 charge = Charge(make_identity("/safe/x"), life)
-                book.take_crash(f"{life}/e9", [charge])
+                book.add_crash(f"{life}/e9", [charge])
             async with RawServer() as runner:
 
                 async def crash(_: bytes, writer: asyncio.StreamWriter) -> None:
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -21,7 +21,7 @@
 
 
 def crash(book: CrashTracker, life: str, *requests: RequestIdentity) -> None:
-    book.take_crash(f"{life}/e1", [Charge(each, life) for each in requests])
+    book.add_crash(f"{life}/e1", [Charge(each, life) for each in requests])
 
 
 def clear(book: CrashTracker, identity: RequestIdentity, *lives: str) -> None:
@@ -44,7 +44,7 @@
     def test_edges_that_tell_of_one_crash_count_once(self) -> None:
         book = CrashTracker()
         for edge in ("e1", "e2", "e3"):
-            book.take_crash(f"l1/{edge}", [Charge(CULPRIT, "l1")])
+            book.add_crash(f"l1/{edge}", [Charge(CULPRIT, "l1")])
         assert not book.is_held_back(CULPRIT)
 
     def test_run_that_ended_well_clears(self) -> None:
@@ -71,7 +71,7 @@
     ) -> None:
         """As much of a run does no harm, whichever of its runs it was."""
         book = CrashTracker()
-        book.take_crash("l0/e1", [Charge(OTHER, "l0", stage)])
+        book.add_crash("l0/e1", [Charge(OTHER, "l0", stage)])
         for number in range(1, crashes):
             assert not book.is_held_back(OTHER)
             crash(book, f"l{number}", OTHER)
@@ -82,9 +82,9 @@
         book = CrashTracker()
         for life in ("l1", "l2", "l3"):
             charge = Charge(OTHER, life, RunStage.GOING_ON)
-            book.take_crash(f"{life}/e1", [charge])
+            book.add_crash(f"{life}/e1", [charge])
             assert not book.is_held_back(OTHER)
-            book.take_crash(f"{life}/e2", [Charge(OTHER, life)])
+            book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
         assert book.is_held_back(OTHER)
 
     def test_each_that_becomes_held_back_is_told_once(self) -> None:
@@ -125,7 +125,7 @@
             charge = Charge(
                 RequestIdentity("c", f"v{number}"), f"l{number}", alone=True
             )
-            book.take_crash(f"l{number}/e1", [charge])
+            book.add_crash(f"l{number}/e1", [charge])
         assert not book.is_held_back(RequestIdentity("c", "new"))
 
 
@@ -204,7 +204,7 @@
         for key, cleared in book._clearances.items():
             late.take_clearance(key, cleared)
         for key in sorted(crashes, reverse=True):
-            late.take_crash(key, crashes[key])
+            late.add_crash(key, crashes[key])
         everything = [RequestIdentity(c, v) for c in "ab" for v in "vwx"]
         for identity in everything:
             assert late.is_held_back(identity) == book.is_held_back(identity)
