--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -73,7 +73,7 @@
 
     def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
-        book.take_held(self.key, self.charges)
+        book.add_block(self.key, self.charges)
 
 
 Statement = CrashStatement | ClearedStatement | HeldStatement
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -152,7 +152,7 @@
         while self._count > self.most_charges and len(self._charges) > 1:
             self.withdraw(next(iter(self._charges)))
 
-    def take_held(self, key: str, charges: Iterable[Charge]) -> None:
+    def add_block(self, key: str, charges: Iterable[Charge]) -> None:
         """Take a statement on why a request is held back."""
         self._replace(self._held_for, key, charges)
         if len(self._held_for) > MAX_HELD:
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -143,7 +143,7 @@
         book = CrashTracker(most_charges=10)
         for life in ("l1", "l2", "l3"):
             crash(book, life, CULPRIT)
-        book.take_held("held/c", book.list_charges("c"))
+        book.add_block("held/c", book.list_charges("c"))
         for number in range(50):
             crash(book, f"m{number}", RequestIdentity(f"d{number}", "v"))
         assert book.is_held_back(CULPRIT)
@@ -157,7 +157,7 @@
         for number in range(MAX_HELD + 50):
             lives = [f"l{number}-{each}" for each in range(CRASHES)]
             identity = RequestIdentity(f"h{number}", "v")
-            book.take_held(f"held/{number}", [Charge(identity, each) for each in lives])
+            book.add_block(f"held/{number}", [Charge(identity, each) for each in lives])
         assert len(book.list_held()) == MAX_HELD
         assert len(book._records) <= MAX_CLEARANCES + MAX_HELD
 
