--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -56,7 +56,7 @@
 
     def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
-        book.take_clearance(self.key, self.clearance)
+        book.add_clearance(self.key, self.clearance)
 
 
 @frozen(kw_only=True)
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -158,7 +158,7 @@
         if len(self._held_for) > MAX_HELD:
             self.withdraw(next(iter(self._held_for)))
 
-    def take_clearance(self, key: str, clearance: Clearance) -> None:
+    def add_clearance(self, key: str, clearance: Clearance) -> None:
         """Take a statement on crashes that a request has not caused."""
         self._clearances[key] = clearance
         if len(self._clearances) > MAX_CLEARANCES:
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -26,7 +26,7 @@
 
 def clear(book: CrashTracker, identity: RequestIdentity, *lives: str) -> None:
     clearance = Clearance(identity=identity, lives=frozenset(lives))
-    book.take_clearance(f"cleared/{identity.text}", clearance)
+    book.add_clearance(f"cleared/{identity.text}", clearance)
 
 
 class TestHolding:
@@ -202,7 +202,7 @@
         crashes = {key: each for key, each in book._charges.items()}
         late = CrashTracker()
         for key, cleared in book._clearances.items():
-            late.take_clearance(key, cleared)
+            late.add_clearance(key, cleared)
         for key in sorted(crashes, reverse=True):
             late.add_crash(key, crashes[key])
         everything = [RequestIdentity(c, v) for c in "ab" for v in "vwx"]
