--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -53,7 +53,7 @@
     """Requests that wait for a runner, by content."""
 
     def __attrs_post_init__(self) -> None:
-        self.book.on_held.append(self._note_held)
+        self.book.on_blocked.append(self._note_held)
 
     def is_held_back(self, identity: RequestIdentity) -> bool:
         """Return whether a request must go to no runner."""
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -123,7 +123,7 @@
     """Knows the crashes that requests were beside."""
 
     most_charges: int = MAX_CHARGES
-    on_held: list[Callable[[str], None]] = field(factory=list)
+    on_blocked: list[Callable[[str], None]] = field(factory=list)
     """Told of each content of which a request is held back from now on."""
 
     _records: dict[str, ContentRecord] = field(factory=dict, init=False)
@@ -273,5 +273,5 @@
             self._held.pop(content, None)
         elif content not in self._held:
             self._held[content] = None
-            for call in self.on_held:
+            for call in self.on_blocked:
                 call(content)
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -89,7 +89,7 @@
 
     def test_each_that_becomes_held_back_is_told_once(self) -> None:
         told: list[str] = []
-        book = CrashTracker(on_held=[told.append])
+        book = CrashTracker(on_blocked=[told.append])
         for life in ("l1", "l2", "l3", "l4"):
             crash(book, life, CULPRIT)
             crash(book, life, CULPRIT)
