--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -55,9 +55,9 @@
     def __attrs_post_init__(self) -> None:
         self.book.on_blocked.append(self._note_held)
 
-    def is_held_back(self, identity: RequestIdentity) -> bool:
+    def is_blocked(self, identity: RequestIdentity) -> bool:
         """Return whether a request must go to no runner."""
-        return self.book.is_held_back(identity)
+        return self.book.is_blocked(identity)
 
     def is_suspected(self, identity: RequestIdentity) -> bool:
         """Return whether one more crash holds a request back."""
@@ -138,7 +138,7 @@
         if served and self.book.holds_all(content):
             # Others with this content are served, so it takes one of them by itself.
             self._clear(RequestIdentity(content, ""), frozenset(), told=True)
-        held = [each for each in identities if self.book.is_held_back(each)]
+        held = [each for each in identities if self.book.is_blocked(each)]
         if not held:
             return
         log_event(
@@ -148,7 +148,7 @@
             )
         )
         for identity, call in tuple(self._waiting.get(content, ())):
-            if self.book.is_held_back(identity):
+            if self.book.is_blocked(identity):
                 call()
 
 
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -202,7 +202,7 @@
         return None
 
     def _is_held_back(self) -> bool:
-        return self.tools.screen.is_held_back(self.log.identity)
+        return self.tools.screen.is_blocked(self.log.identity)
 
     def _refuse_held(self) -> Refuse:
         return self._make_refusal(HELD_BACK, RETRY_AFTER_HELD_S)
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -176,7 +176,7 @@
         if clearance is not None:
             self._forget_clearance(clearance)
 
-    def is_held_back(self, identity: RequestIdentity) -> bool:
+    def is_blocked(self, identity: RequestIdentity) -> bool:
         """Return whether a request goes to no runner any more."""
         if identity.content not in self._held:
             return False
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -65,16 +65,16 @@
         world = Screening()
         for life in ("l1", "l2", "l3"):
             world.crash(life, CULPRIT)
-        assert world.screen.is_held_back(CULPRIT)
+        assert world.screen.is_blocked(CULPRIT)
         assert len(world.list_told(CrashStatement)) == 3
 
     def test_what_had_run_for_a_while_is_a_weaker_suspect(self) -> None:
         world = Screening()
         for number in range(4):
             world.crash(f"l{number}", CULPRIT, ran_s=BEGIN_S)
-        assert not world.screen.is_held_back(CULPRIT)
+        assert not world.screen.is_blocked(CULPRIT)
         world.crash("l4", CULPRIT, ran_s=BEGIN_S)
-        assert world.screen.is_held_back(CULPRIT)
+        assert world.screen.is_blocked(CULPRIT)
 
     def test_request_that_breaks_later_is_added(self) -> None:
         world = Screening()
@@ -90,7 +90,7 @@
         for life in ("l1", "l2", "l3"):
             world.screen.note_served(OTHER)
             world.crash(life, OTHER)
-        assert not world.screen.is_held_back(OTHER)
+        assert not world.screen.is_blocked(OTHER)
         assert world.teller.posted == []
 
     def test_content_that_others_are_served_is_not_held_back_for_all(self) -> None:
@@ -98,7 +98,7 @@
         world.screen.note_served(RequestIdentity("c", "served"))
         for number in range(9):
             world.crash(f"l{number}", RequestIdentity("c", f"v{number}"))
-        assert not world.screen.is_held_back(RequestIdentity("c", "new"))
+        assert not world.screen.is_blocked(RequestIdentity("c", "new"))
 
 
 class TestClearance:
@@ -126,7 +126,7 @@
         world.screen.note_served(OTHER)
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
-        assert not world.screen.is_held_back(OTHER)
+        assert not world.screen.is_blocked(OTHER)
         assert len(world.list_told(ClearedStatement)) >= 1
 
     def test_edge_that_serves_others_says_nothing_of_one_that_crashes(self) -> None:
@@ -135,7 +135,7 @@
         world.screen.note_served(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
-        assert world.screen.is_held_back(CULPRIT)
+        assert world.screen.is_blocked(CULPRIT)
         assert world.teller.posted == []
 
     def test_edge_that_serves_the_content_to_others_objects(self) -> None:
@@ -144,7 +144,7 @@
         for life in ("l1", "l2", "l3", "l4", "l5"):
             charge = Charge(RequestIdentity("c", life), life)
             world.book.add_crash(f"{life}/e2", [charge])
-        assert not world.screen.is_held_back(RequestIdentity("c", "new"))
+        assert not world.screen.is_blocked(RequestIdentity("c", "new"))
 
 
 def make_identity(path: str) -> RequestIdentity:
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -198,7 +198,7 @@
 
     def _place(self, request: Request) -> None:
         screen = self.screens[request.edge]
-        if self.holding and screen.is_held_back(request.identity):
+        if self.holding and screen.is_blocked(request.identity):
             if not request.crashes:
                 self.figures.held_back += 1
                 self.figures.held_back_early += request.crashed < 3
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -36,16 +36,16 @@
         book = CrashTracker()
         for life in ("l1", "l2"):
             crash(book, life, CULPRIT, OTHER)
-        assert not book.is_held_back(CULPRIT)
+        assert not book.is_blocked(CULPRIT)
         crash(book, "l3", CULPRIT)
-        assert book.is_held_back(CULPRIT)
-        assert not book.is_held_back(OTHER)
+        assert book.is_blocked(CULPRIT)
+        assert not book.is_blocked(OTHER)
 
     def test_edges_that_tell_of_one_crash_count_once(self) -> None:
         book = CrashTracker()
         for edge in ("e1", "e2", "e3"):
             book.add_crash(f"l1/{edge}", [Charge(CULPRIT, "l1")])
-        assert not book.is_held_back(CULPRIT)
+        assert not book.is_blocked(CULPRIT)
 
     def test_run_that_ended_well_clears(self) -> None:
         book = CrashTracker()
@@ -53,14 +53,14 @@
         clear(book, OTHER, "l1")
         for life in ("l2", "l3"):
             crash(book, life, OTHER)
-        assert not book.is_held_back(OTHER)
+        assert not book.is_blocked(OTHER)
 
     def test_clearance_frees_what_is_held_back(self) -> None:
         book = CrashTracker()
         for life in ("l1", "l2", "l3"):
             crash(book, life, OTHER)
         clear(book, OTHER, "l1", "l2", "l3")
-        assert not book.is_held_back(OTHER)
+        assert not book.is_blocked(OTHER)
         assert book.list_held() == ()
 
     @pytest.mark.parametrize(
@@ -73,9 +73,9 @@
         book = CrashTracker()
         book.add_crash("l0/e1", [Charge(OTHER, "l0", stage)])
         for number in range(1, crashes):
-            assert not book.is_held_back(OTHER)
+            assert not book.is_blocked(OTHER)
             crash(book, f"l{number}", OTHER)
-        assert book.is_held_back(OTHER)
+        assert book.is_blocked(OTHER)
 
     def test_edge_whose_run_came_less_far_decides_what_a_crash_counts(self) -> None:
         """Equal requests of two edges may be at one runner."""
@@ -83,9 +83,9 @@
         for life in ("l1", "l2", "l3"):
             charge = Charge(OTHER, life, RunStage.GOING_ON)
             book.add_crash(f"{life}/e1", [charge])
-            assert not book.is_held_back(OTHER)
+            assert not book.is_blocked(OTHER)
             book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
-        assert book.is_held_back(OTHER)
+        assert book.is_blocked(OTHER)
 
     def test_each_that_becomes_held_back_is_told_once(self) -> None:
         told: list[str] = []
@@ -103,21 +103,21 @@
         book = CrashTracker()
         for life in ("l1", "l2", "l3"):
             crash(book, life, CULPRIT)
-        assert not book.is_held_back(RequestIdentity("c", "w"))
+        assert not book.is_blocked(RequestIdentity("c", "w"))
 
     def test_content_that_crashes_for_all_is_held_back_for_all(self) -> None:
         book = CrashTracker()
         for number in range(CRASHES_OF_CONTENT):
-            assert not book.is_held_back(RequestIdentity("c", "new"))
+            assert not book.is_blocked(RequestIdentity("c", "new"))
             crash(book, f"l{number}", RequestIdentity("c", f"v{number}"))
-        assert book.is_held_back(RequestIdentity("c", "new"))
+        assert book.is_blocked(RequestIdentity("c", "new"))
 
     def test_content_that_is_served_to_some_is_not(self) -> None:
         book = CrashTracker()
         for number in range(CRASHES_OF_CONTENT):
             crash(book, f"l{number}", RequestIdentity("c", f"v{number}"))
         clear(book, RequestIdentity("c", "served"))
-        assert not book.is_held_back(RequestIdentity("c", "new"))
+        assert not book.is_blocked(RequestIdentity("c", "new"))
 
     def test_charge_beside_a_served_one_stands_for_its_variant_alone(self) -> None:
         book = CrashTracker()
@@ -126,7 +126,7 @@
                 RequestIdentity("c", f"v{number}"), f"l{number}", alone=True
             )
             book.add_crash(f"l{number}/e1", [charge])
-        assert not book.is_held_back(RequestIdentity("c", "new"))
+        assert not book.is_blocked(RequestIdentity("c", "new"))
 
 
 class TestBounds:
@@ -146,9 +146,9 @@
         book.add_block("held/c", book.list_charges("c"))
         for number in range(50):
             crash(book, f"m{number}", RequestIdentity(f"d{number}", "v"))
-        assert book.is_held_back(CULPRIT)
+        assert book.is_blocked(CULPRIT)
         book.withdraw("held/c")
-        assert not book.is_held_back(CULPRIT)
+        assert not book.is_blocked(CULPRIT)
 
     def test_clearances_and_what_is_held_back_are_bounded(self) -> None:
         book = CrashTracker()
@@ -207,7 +207,7 @@
             late.add_crash(key, crashes[key])
         everything = [RequestIdentity(c, v) for c in "ab" for v in "vwx"]
         for identity in everything:
-            assert late.is_held_back(identity) == book.is_held_back(identity)
+            assert late.is_blocked(identity) == book.is_blocked(identity)
 
     @given(STATEMENTS)
     def test_nothing_is_left_once_all_is_withdrawn(
