--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -13,7 +13,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.crashes.book import CrashTracker
-from ..policy.crashes.const import EVIDENCE_S, HELD_S, MAX_CLEARANCES, MAX_HELD
+from ..policy.crashes.const import EVIDENCE_S, HELD_S, MAX_BLOCKED, MAX_CLEARANCES
 from .crashes import (
     CLEARED_KEYS,
     CRASH_KEYS,
@@ -40,7 +40,7 @@
 
 MOST: Final = {
     CRASH_KEYS: MAX_CRASH_KEYS,
-    HELD_KEYS: MAX_HELD,
+    HELD_KEYS: MAX_BLOCKED,
     CLEARED_KEYS: MAX_CLEARANCES,
 }
 """Keys of each kind that are kept."""
@@ -111,7 +111,7 @@
     def _list_missing(self) -> tuple[Write, ...]:
         """Return what is to be written of requests that are held back."""
         missing = []
-        for content in self.book.list_held()[-MAX_HELD:]:
+        for content in self.book.list_held()[-MAX_BLOCKED:]:
             statement = HeldStatement(
                 content=content, charges=self.book.list_charges(content)
             )
--- a/mangoway/policy/crashes/book.py
+++ b/mangoway/policy/crashes/book.py
@@ -17,9 +17,9 @@
 
 from ...models.crash import Charge, Clearance, RequestIdentity, RunStage
 from .const import (
+    MAX_BLOCKED,
     MAX_CHARGES,
     MAX_CLEARANCES,
-    MAX_HELD,
     MOST_POINTS,
     POINTS,
     POINTS_TO_HOLD,
@@ -155,7 +155,7 @@
     def add_block(self, key: str, charges: Iterable[Charge]) -> None:
         """Take a statement on why a request is held back."""
         self._replace(self._held_for, key, charges)
-        if len(self._held_for) > MAX_HELD:
+        if len(self._held_for) > MAX_BLOCKED:
             self.withdraw(next(iter(self._held_for)))
 
     def add_clearance(self, key: str, clearance: Clearance) -> None:
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -38,7 +38,7 @@
 """Clearances that are kept: a quarter of the charges, since a request needs two crashes
 for its clearance to be told to others."""
 
-MAX_HELD: Final = 256
+MAX_BLOCKED: Final = 256
 """Requests that are held back at once; the oldest go first. One such request in a day
 is an incident."""
 
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -7,8 +7,8 @@
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
 from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import (
+    MAX_BLOCKED,
     MAX_CLEARANCES,
-    MAX_HELD,
     MOST_POINTS,
     POINTS_TO_HOLD,
     POINTS_TO_HOLD_CONTENT,
@@ -154,12 +154,12 @@
         book = CrashTracker()
         for number in range(MAX_CLEARANCES + 50):
             clear(book, RequestIdentity(f"c{number}", "v"), "l")
-        for number in range(MAX_HELD + 50):
+        for number in range(MAX_BLOCKED + 50):
             lives = [f"l{number}-{each}" for each in range(CRASHES)]
             identity = RequestIdentity(f"h{number}", "v")
             book.add_block(f"held/{number}", [Charge(identity, each) for each in lives])
-        assert len(book.list_held()) == MAX_HELD
-        assert len(book._records) <= MAX_CLEARANCES + MAX_HELD
+        assert len(book.list_held()) == MAX_BLOCKED
+        assert len(book._records) <= MAX_CLEARANCES + MAX_BLOCKED
 
 
 IDENTITIES = st.sampled_from(
