--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -11,7 +11,7 @@
 from ..models.routing import Route, ServiceProfile
 from ..models.runner import RunnerEntry
 from ..platform.requests import RequestFields
-from ..policy.crashes.const import RETRY_AFTER_HELD_S
+from ..policy.crashes.const import RETRY_AFTER_BLOCK_S
 from ..policy.customers.const import OVER_QUOTA
 from ..policy.edge.const import MIN_RETRY_TIME_S, RETRY_AFTER_OUTAGE_S
 from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
@@ -205,7 +205,7 @@
         return self.tools.screen.is_blocked(self.log.identity)
 
     def _refuse_held(self) -> Refuse:
-        return self._make_refusal(HELD_BACK, RETRY_AFTER_HELD_S)
+        return self._make_refusal(HELD_BACK, RETRY_AFTER_BLOCK_S)
 
     async def _async_place(self) -> RunnerEntry | Refuse:
         """Return the runner to send to, or why there is none."""
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -52,7 +52,7 @@
 """Time for which a request is held back: by then its runners have been mended. Each
 such hour costs up to three runners."""
 
-RETRY_AFTER_HELD_S: Final = HELD_S
+RETRY_AFTER_BLOCK_S: Final = HELD_S
 """When to come back: no process knows how much of that time is over."""
 
 EVIDENCE_S: Final = 600.0
