--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -13,7 +13,12 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.crashes.book import CrashTracker
-from ..policy.crashes.const import EVIDENCE_S, HELD_S, MAX_BLOCKED, MAX_CLEARANCES
+from ..policy.crashes.const import (
+    CRASH_RETENTION_S,
+    HELD_S,
+    MAX_BLOCKED,
+    MAX_CLEARANCES,
+)
 from .crashes import (
     CLEARED_KEYS,
     CRASH_KEYS,
@@ -46,9 +51,9 @@
 """Keys of each kind that are kept."""
 
 STAY_S: Final = {
-    CRASH_KEYS: EVIDENCE_S,
+    CRASH_KEYS: CRASH_RETENTION_S,
     HELD_KEYS: HELD_S,
-    CLEARED_KEYS: EVIDENCE_S + CLEARED_MARGIN_S,
+    CLEARED_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
 }
 """Time for which a key of each kind is kept after this process has seen it."""
 
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -55,6 +55,6 @@
 RETRY_AFTER_BLOCK_S: Final = HELD_S
 """When to come back: no process knows how much of that time is over."""
 
-EVIDENCE_S: Final = 600.0
+CRASH_RETENTION_S: Final = 600.0
 """Time for which crashes are counted: a caller that sends such a request by hand does
 so within some minutes."""
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -26,7 +26,7 @@
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
 from mangoway.platform.receiver import StoreReceiver
 from mangoway.policy.crashes.book import CrashTracker
-from mangoway.policy.crashes.const import EVIDENCE_S, HELD_S
+from mangoway.policy.crashes.const import CRASH_RETENTION_S, HELD_S
 
 from ..fakes.coordination_store import FakeCoordinationStore
 from ..fakes.polling import async_wait_until
@@ -274,11 +274,11 @@
             await node.keeper.async_check()
             await async_wait_until(lambda: len(node.mirror.items) == 4)
             await node.keeper.async_check()
-            node.shift_s = EVIDENCE_S + 1
+            node.shift_s = CRASH_RETENTION_S + 1
             await node.keeper.async_check()
             await async_wait_until(lambda: len(node.mirror.items) == 1)
             assert node.book.is_blocked(CULPRIT)
-            node.shift_s = HELD_S + EVIDENCE_S + 2
+            node.shift_s = HELD_S + CRASH_RETENTION_S + 2
             await node.keeper.async_check()
             await async_wait_until(lambda: not node.mirror.items)
             assert not node.book.is_blocked(CULPRIT)
@@ -292,7 +292,7 @@
             await async_wait_until(lambda: held in store.items)
             store.remove(held)
             await async_wait_until(lambda: held not in node.mirror.items)
-            node.shift_s = EVIDENCE_S + 1
+            node.shift_s = CRASH_RETENTION_S + 1
             await node.keeper.async_check()
             assert held in store.items
             assert len(store.items) == 4
@@ -322,7 +322,7 @@
             await async_wait_until(lambda: node.mirror.revision == store.revision)
             await node.keeper.async_check()
             assert store.calls.count("commit") == calls
-            node.shift_s = EVIDENCE_S + 1
+            node.shift_s = CRASH_RETENTION_S + 1
             await node.keeper.async_check()
             await async_wait_until(lambda: len(node.mirror.items) == 1)
             assert node.book.is_blocked(CULPRIT)
@@ -334,7 +334,7 @@
             await self.async_hold(node)
             node.leads = False
             await node.keeper.async_check()
-            node.shift_s = EVIDENCE_S + 1
+            node.shift_s = CRASH_RETENTION_S + 1
             await node.keeper.async_check()
             assert len(store.items) == 3
 
