--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -12,7 +12,7 @@
 from ..observability.event_log import log_event
 from ..policy.crashes.book import CrashTracker
 from ..policy.crashes.const import BEGIN_S
-from ..policy.crashes.memory import ServedMemory
+from ..policy.crashes.memory import ServedRequests
 from .crash_watch import CrashSeen, LostRequest
 
 TOLD_FROM: Final = 2
@@ -43,7 +43,7 @@
     book: CrashTracker
     teller: Teller
     clock: Callable[[], float]
-    memory: ServedMemory = field(factory=ServedMemory)
+    memory: ServedRequests = field(factory=ServedRequests)
     _own: dict[str, dict[RequestIdentity, Charge]] = field(factory=dict, init=False)
     """What this edge had at each life that crashed, oldest first."""
 
--- a/mangoway/policy/crashes/memory.py
+++ b/mangoway/policy/crashes/memory.py
@@ -13,7 +13,7 @@
 
 
 @define(eq=False)
-class ServedMemory:
+class ServedRequests:
     """Requests that were served of late."""
 
     most: int = MAX_REMEMBERED
--- a/tests/policy/crashes/test_memory.py
+++ b/tests/policy/crashes/test_memory.py
@@ -2,7 +2,7 @@
 
 from mangoway.models.crash import RequestIdentity
 from mangoway.policy.crashes.const import REMEMBERED_S
-from mangoway.policy.crashes.memory import ServedMemory
+from mangoway.policy.crashes.memory import ServedRequests
 
 SERVED = RequestIdentity("c", "v")
 
@@ -11,20 +11,20 @@
     """What is known of earlier runs."""
 
     def test_request_is_known_for_a_while(self) -> None:
-        memory = ServedMemory()
+        memory = ServedRequests()
         assert not memory.knows(SERVED, 5.0)
         memory.note(SERVED, 5.0)
         assert memory.knows(SERVED, 5.0 + REMEMBERED_S - 1)
         assert not memory.knows(SERVED, 5.0 + REMEMBERED_S)
 
     def test_content_is_known_whoever_sent_it(self) -> None:
-        memory = ServedMemory()
+        memory = ServedRequests()
         memory.note(SERVED, 5.0)
         assert memory.knows_content("c", 6.0)
         assert not memory.knows(RequestIdentity("c", "w"), 6.0)
 
     def test_oldest_are_forgotten_first(self) -> None:
-        memory = ServedMemory(most=10)
+        memory = ServedRequests(most=10)
         for number in range(50):
             memory.note(SERVED, float(number))
             memory.note(RequestIdentity(f"c{number}", "v"), float(number))
