--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -108,7 +108,7 @@
             lost.identity,
             life,
             _get_stage(lost.ran_s),
-            alone=self.memory.knows_content(content, self.clock()),
+            alone=self.memory.contains_content(content, self.clock()),
         )
 
     def _clear(
@@ -134,7 +134,7 @@
         for identity in identities:
             if self._has_just_ended_well(identity):
                 self._clear(identity, self.book.list_crashes(identity), told=True)
-        served = self.memory.knows_content(content, self.clock())
+        served = self.memory.contains_content(content, self.clock())
         if served and self.book.holds_all(content):
             # Others with this content are served, so it takes one of them by itself.
             self._clear(RequestIdentity(content, ""), frozenset(), told=True)
--- a/mangoway/policy/crashes/memory.py
+++ b/mangoway/policy/crashes/memory.py
@@ -35,7 +35,7 @@
         """Return whether a request was served of late."""
         return now - self._served_at.get(identity, -math.inf) < REMEMBERED_S
 
-    def knows_content(self, content: str, now: float) -> bool:
+    def contains_content(self, content: str, now: float) -> bool:
         """Return whether any request with a content was served of late."""
         return now - self._contents.get(content, -math.inf) < REMEMBERED_S
 
--- a/tests/policy/crashes/test_memory.py
+++ b/tests/policy/crashes/test_memory.py
@@ -20,7 +20,7 @@
     def test_content_is_known_whoever_sent_it(self) -> None:
         memory = ServedRequests()
         memory.note(SERVED, 5.0)
-        assert memory.knows_content("c", 6.0)
+        assert memory.contains_content("c", 6.0)
         assert not memory.knows(RequestIdentity("c", "w"), 6.0)
 
     def test_oldest_are_forgotten_first(self) -> None:
