--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -24,7 +24,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..platform.documents import OWN_PREFIX
-from ..policy.customers.quota import QuotaBook
+from ..policy.customers.quota import QuotaTracker
 from ..policy.edge.const import LOOK_S, SHARE_WINDOWS
 from ..policy.edge.retry_budget import RetryLimits
 from ..policy.edge.shares import FleetShare, LoneShare
@@ -213,7 +213,7 @@
     def _make_client(self) -> SchedulerClient:
         state = SchedulingState(
             random=self._random,
-            quotas=QuotaBook(slack=self.settings.quota_slack),
+            quotas=QuotaTracker(slack=self.settings.quota_slack),
         )
         core = SchedulingCore(state)
         process = self.process
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -16,7 +16,7 @@
 from ..platform.documents import OWN_PREFIX
 from ..platform.runners import RunnerControl
 from ..policy.customers.const import BEGIN_S
-from ..policy.customers.quota import QuotaBook
+from ..policy.customers.quota import QuotaTracker
 from ..policy.limits.book import LimitReport
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
@@ -196,7 +196,7 @@
 
     def _make_core(self) -> SchedulingCore:
         settings = self.settings
-        quotas = QuotaBook(slack=settings.quota_slack, starts_full=False)
+        quotas = QuotaTracker(slack=settings.quota_slack, starts_full=False)
         quotas.begin(self.process.clock())
         state = SchedulingState(random=Random(), quotas=quotas)
         state.limits.get_share = lambda runner_id: quotas.share
--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -35,7 +35,7 @@
 
 
 @define(eq=False)
-class QuotaBook:
+class QuotaTracker:
     """The accounts of all customers, as far as one process grants."""
 
     slack: float = 0.0
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -8,7 +8,7 @@
 
 from ...models.routing import EngineProfile, ModelProfile, RoutingTable
 from ...models.runner import RunnerEntry
-from ..customers.quota import QuotaBook
+from ..customers.quota import QuotaTracker
 from ..edge.health import HealthBook
 from ..limits.book import LimitTracker
 from ..limits.const import MAX_LIMITED_SHARE, MIN_COOLDOWN_EDGE_SHARE, MIN_LIMITED_S
@@ -94,7 +94,7 @@
     """Part of each runner's limits that this process may use; 1 if it sees all."""
 
     table: RoutingTable | None = None
-    quotas: QuotaBook = field(factory=QuotaBook)
+    quotas: QuotaTracker = field(factory=QuotaTracker)
     runners: dict[str, RunnerState] = field(factory=dict, init=False)
     queues: dict[str, ServiceQueue] = field(factory=dict, init=False)
     """What waits for each service."""
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -7,7 +7,7 @@
 
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
 from mangoway.policy.customers.const import LENT_S, MEMORY_S, SLACK_USED
-from mangoway.policy.customers.quota import QuotaBook
+from mangoway.policy.customers.quota import QuotaTracker
 from mangoway.policy.customers.spending import Spending, Spent
 
 RATE = 10_000.0
@@ -34,8 +34,8 @@
 
 def make_book(
     *, slack: float = 0.0, starts_full: bool = True, share: float = 1.0
-) -> QuotaBook:
-    book = QuotaBook(slack=slack, starts_full=starts_full, share=share)
+) -> QuotaTracker:
+    book = QuotaTracker(slack=slack, starts_full=starts_full, share=share)
     book.registry = make_registry()
     book.begin(0.0)
     return book
@@ -212,8 +212,8 @@
     demand: float
     """Tokens a second that the customer asks for."""
 
-    scheduler: QuotaBook = field(init=False)
-    alone: dict[int, QuotaBook] = field(factory=dict, init=False)
+    scheduler: QuotaTracker = field(init=False)
+    alone: dict[int, QuotaTracker] = field(factory=dict, init=False)
     spent: dict[int, Spending] = field(factory=dict, init=False)
     arrivals: list[tuple[float, float]] = field(factory=list, init=False)
     refused: int = field(default=0, init=False)
@@ -222,8 +222,8 @@
         self.scheduler = self.make_scheduler(0.0)
         self.spent = {each: Spending() for each in range(self.hosts)}
 
-    def make_scheduler(self, now: float) -> QuotaBook:
-        book = QuotaBook(slack=SLACK, starts_full=False)
+    def make_scheduler(self, now: float) -> QuotaTracker:
+        book = QuotaTracker(slack=SLACK, starts_full=False)
         book.registry = make_registry()
         book.begin(now)
         return book
@@ -232,7 +232,7 @@
         """Let hosts be alone; the scheduler hears the others only."""
         exhausted = [name for name, _ in self.scheduler.list_exhausted(now)]
         for host in hosts:
-            book = QuotaBook(slack=SLACK, share=1 / self.hosts)
+            book = QuotaTracker(slack=SLACK, share=1 / self.hosts)
             book.registry = make_registry()
             book.lend(exhausted, now)
             self.alone[host] = book
@@ -323,7 +323,7 @@
         fleet = Fleet(Random(1), hosts=73, demand=3.3 * RATE)
         for index in range(600):
             if index % 20 == 0:
-                fleet.scheduler = QuotaBook(slack=SLACK)
+                fleet.scheduler = QuotaTracker(slack=SLACK)
                 fleet.scheduler.registry = make_registry()
             fleet.step(index * STEP_S, STEP_S)
         assert fleet.find_most() > ALLOWED
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -11,7 +11,7 @@
     rule,
 )
 
-from mangoway.policy.customers.quota import QuotaBook
+from mangoway.policy.customers.quota import QuotaTracker
 from mangoway.policy.customers.spending import Spending
 
 from .test_quota import ALLOWED, RATE, SLACK, WINDOW_S, make_registry
@@ -29,7 +29,7 @@
 class Host:
     """What a host counts by itself, and whom it asks."""
 
-    book: QuotaBook
+    book: QuotaTracker
     spending: Spending = field(factory=Spending)
     scheduler: int | None = 0
     """The scheduler that it hears; None: it is alone."""
@@ -37,8 +37,10 @@
     alone_since: float = 0.0
 
 
-def make_book(now: float, *, alone: bool) -> QuotaBook:
-    book = QuotaBook(slack=SLACK, starts_full=alone, share=1 / HOSTS if alone else 1.0)
+def make_book(now: float, *, alone: bool) -> QuotaTracker:
+    book = QuotaTracker(
+        slack=SLACK, starts_full=alone, share=1 / HOSTS if alone else 1.0
+    )
     book.registry = make_registry()
     book.begin(now)
     return book
@@ -76,7 +78,7 @@
             )
         host.scheduler = scheduler
 
-    def choose(self, host: Host) -> QuotaBook | None:
+    def choose(self, host: Host) -> QuotaTracker | None:
         if host.scheduler is not None:
             return self.schedulers[host.scheduler]
         if self.now - host.alone_since > LONGEST_ALONE_S:
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -5,7 +5,7 @@
 from attrs import evolve
 
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
-from mangoway.policy.customers.quota import QuotaBook
+from mangoway.policy.customers.quota import QuotaTracker
 from mangoway.policy.customers.spending import Spent
 from mangoway.policy.scheduling.events import (
     EndKind,
@@ -41,7 +41,7 @@
 def limit(scheduler: Scheduler, *edges: Edge) -> None:
     """Let all know the customers; the scheduler has just started."""
     state = scheduler.server.core.state
-    state.quotas = QuotaBook(starts_full=False, registry=make_registry())
+    state.quotas = QuotaTracker(starts_full=False, registry=make_registry())
     state.quotas.begin(scheduler.server.clock() - 1.0)
     for edge in edges:
         edge.local.core.state.quotas.registry = make_registry()
