--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -106,7 +106,7 @@
             self._fill(name, quota, now).balance -= amount
         self.spending.add(name, amount, now)
 
-    def take_told(self, rows: Iterable[Spent], now: float) -> None:
+    def add_reported_spending(self, rows: Iterable[Spent], now: float) -> None:
         """Take what a host spent before this process granted its requests."""
         for each in rows:
             self.spending.add(each.customer, each.amount, now - each.age_s)
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -283,7 +283,7 @@
 def _take_told(
     core: SchedulingCore, event: SpendingReported, now: float
 ) -> list[Action]:
-    core.state.quotas.take_told(event.rows, now)
+    core.state.quotas.add_reported_spending(event.rows, now)
     return []
 
 
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -173,19 +173,19 @@
     def test_links_tell_what_was_spent(self) -> None:
         book = make_book(starts_full=False)
         rows = [Spent("acme", age_s, RATE) for age_s in (0.5, 1.5, 2.5, 3.5)]
-        book.take_told(rows, 1.0)
+        book.add_reported_spending(rows, 1.0)
         wait_s = book.take("acme", BURST, 1.0)
         assert 0.3 <= wait_s <= 1.0
 
     def test_links_tell_that_little_was_spent(self) -> None:
         book = make_book(starts_full=False)
-        book.take_told([Spent("acme", 1.0, 100.0)], 0.2)
+        book.add_reported_spending([Spent("acme", 1.0, 100.0)], 0.2)
         assert book.take("acme", 0.9 * BURST, 0.2) == 0.0
 
     def test_late_word_of_spending_counts_as_well(self) -> None:
         book = make_book()
         book.take("acme", 100.0, 5.0)
-        book.take_told([Spent("acme", 0.1, BURST)], 5.0)
+        book.add_reported_spending([Spent("acme", 0.1, BURST)], 5.0)
         assert book.take("acme", 2000.0, 5.0) > 0
 
     def test_spending_comes_back_with_time(self) -> None:
@@ -241,7 +241,7 @@
     def rejoin(self, now: float) -> None:
         """Let all hosts hear the scheduler again."""
         for host in self.alone:
-            self.scheduler.take_told(self.spent[host].list_all(now), now)
+            self.scheduler.add_reported_spending(self.spent[host].list_all(now), now)
         self.alone = {}
         self.scheduler.share = 1.0
 
@@ -249,7 +249,7 @@
         """Let another scheduler grant, which hosts tell what was spent."""
         self.scheduler = self.make_scheduler(now)
         for spending in self.spent.values():
-            self.scheduler.take_told(spending.list_all(now), now)
+            self.scheduler.add_reported_spending(spending.list_all(now), now)
 
     def step(self, now: float, seconds: float) -> None:
         tokens = self.demand * seconds
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -69,7 +69,7 @@
             return
         if scheduler is not None:
             rows = list(host.spending.list_all(self.now))
-            self.schedulers[scheduler].take_told(rows, self.now)
+            self.schedulers[scheduler].add_reported_spending(rows, self.now)
         elif host.scheduler is not None:
             host.alone_since = self.now
             lost = self.schedulers[host.scheduler]
@@ -134,7 +134,7 @@
         for host in self.hosts:
             if host.scheduler == scheduler:
                 rows = list(host.spending.list_all(self.now))
-                self.schedulers[scheduler].take_told(rows, self.now)
+                self.schedulers[scheduler].add_reported_spending(rows, self.now)
         self.share()
 
     @invariant()
