--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -68,7 +68,7 @@
         if self._began_at is None:
             self._began_at = now
 
-    def lend(self, exhausted: Iterable[str], now: float) -> None:
+    def allow_overdraft(self, exhausted: Iterable[str], now: float) -> None:
         """Let customers come into debt for a moment, as the one who granted is lost.
 
         Args:
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -293,7 +293,7 @@
         """Hold what the lost scheduler was asked until another one is reached."""
         loop = asyncio.get_running_loop()
         if link is self._granting:
-            self.local.lend(self.leader.list_exhausted())
+            self.local.allow_overdraft(self.leader.list_exhausted())
         if link is self._granting and self._holding is None:
             self._holding = loop.call_later(HOLD_S, self._choose_alone)
         for placed in self._placed.values():
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -80,9 +80,9 @@
         limits.take(*life, now)
         return 0.0
 
-    def lend(self, exhausted: list[str]) -> None:
+    def allow_overdraft(self, exhausted: list[str]) -> None:
         """Let customers come into debt for a moment, unless they had nothing left."""
-        self.core.state.quotas.lend(exhausted, self.clock())
+        self.core.state.quotas.allow_overdraft(exhausted, self.clock())
 
     def adopt(self, asked: GrantRequest, runner_id: str, reading: bool) -> None:
         """Count a request that runs at a runner which another chose."""
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -143,7 +143,7 @@
 
     def test_customer_who_had_something_left_goes_on_for_a_moment(self) -> None:
         book = make_book(share=1 / 73)
-        book.lend(["other"], 0.0)
+        book.allow_overdraft(["other"], 0.0)
         assert all(book.take("acme", 1500.0, 0.1) == 0.0 for _ in range(5))
         book.take("other", 1500.0, 0.1)
         assert book.take("other", 1500.0, 0.1) > 0
@@ -151,7 +151,7 @@
 
     def test_what_was_lent_is_a_debt(self) -> None:
         book = make_book(share=1 / 73)
-        book.lend([], 0.0)
+        book.allow_overdraft([], 0.0)
         for _ in range(5):
             book.take("acme", 1500.0, 0.1)
         assert book.take("acme", 100.0, 40.0) > 0
@@ -234,7 +234,7 @@
         for host in hosts:
             book = QuotaTracker(slack=SLACK, share=1 / self.hosts)
             book.registry = make_registry()
-            book.lend(exhausted, now)
+            book.allow_overdraft(exhausted, now)
             self.alone[host] = book
         self.scheduler.share = 1 - len(self.alone) / self.hosts
 
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -73,7 +73,7 @@
         elif host.scheduler is not None:
             host.alone_since = self.now
             lost = self.schedulers[host.scheduler]
-            host.book.lend(
+            host.book.allow_overdraft(
                 [name for name, _ in lost.list_exhausted(self.now)], self.now
             )
         host.scheduler = scheduler
