--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -13,7 +13,7 @@
 
 from ...models.customer import Customer, CustomerRegistry, Quota
 from .const import LENT_S, MEMORY_S, SLACK_USED
-from .spending import Spending, Spent
+from .spending import SpendingHistory, Spent
 
 
 @define(eq=False)
@@ -55,7 +55,7 @@
     _not_lent: frozenset[str] = field(default=frozenset(), init=False)
     """Customers who may not, since they had nothing left."""
 
-    spending: Spending = field(factory=Spending, init=False)
+    spending: SpendingHistory = field(factory=SpendingHistory, init=False)
     _accounts: dict[str, Account] = field(factory=dict, init=False)
     _began_at: float | None = field(default=None, init=False)
     """When this book was first used."""
--- a/mangoway/policy/customers/spending.py
+++ b/mangoway/policy/customers/spending.py
@@ -20,7 +20,7 @@
 
 
 @define(eq=False)
-class Spending:
+class SpendingHistory:
     """Amounts by customer and time, for as long as they matter.
 
     An amount counts as spent at the end of its slot: taken as earlier, what the rate
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -11,7 +11,7 @@
 from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.customers.spending import Spending
+from ..policy.customers.spending import SpendingHistory
 from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import CooldownReport
 from ..policy.scheduling.events import (
@@ -72,7 +72,7 @@
     leader: LeaderLink
     local: LocalPlacer
     incarnation: str
-    spending: Spending = field(factory=Spending, init=False)
+    spending: SpendingHistory = field(factory=SpendingHistory, init=False)
     """What customers have spent at this edge lately, whoever granted it."""
 
     on_limit: Callable[[LimitReport], None] = field(
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -8,7 +8,7 @@
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
 from mangoway.policy.customers.const import LENT_S, MEMORY_S, SLACK_USED
 from mangoway.policy.customers.quota import QuotaTracker
-from mangoway.policy.customers.spending import Spending, Spent
+from mangoway.policy.customers.spending import SpendingHistory, Spent
 
 RATE = 10_000.0
 BURST = 10_000.0
@@ -189,7 +189,7 @@
         assert book.take("acme", 2000.0, 5.0) > 0
 
     def test_spending_comes_back_with_time(self) -> None:
-        spending = Spending()
+        spending = SpendingHistory()
         spending.add("acme", 100.0, 1.0)
         spending.add("acme", 50.0, 1.2)
         spending.add("acme", -50.0, 3.0)
@@ -214,13 +214,13 @@
 
     scheduler: QuotaTracker = field(init=False)
     alone: dict[int, QuotaTracker] = field(factory=dict, init=False)
-    spent: dict[int, Spending] = field(factory=dict, init=False)
+    spent: dict[int, SpendingHistory] = field(factory=dict, init=False)
     arrivals: list[tuple[float, float]] = field(factory=list, init=False)
     refused: int = field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
         self.scheduler = self.make_scheduler(0.0)
-        self.spent = {each: Spending() for each in range(self.hosts)}
+        self.spent = {each: SpendingHistory() for each in range(self.hosts)}
 
     def make_scheduler(self, now: float) -> QuotaTracker:
         book = QuotaTracker(slack=SLACK, starts_full=False)
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -12,7 +12,7 @@
 )
 
 from mangoway.policy.customers.quota import QuotaTracker
-from mangoway.policy.customers.spending import Spending
+from mangoway.policy.customers.spending import SpendingHistory
 
 from .test_quota import ALLOWED, RATE, SLACK, WINDOW_S, make_registry
 
@@ -30,7 +30,7 @@
     """What a host counts by itself, and whom it asks."""
 
     book: QuotaTracker
-    spending: Spending = field(factory=Spending)
+    spending: SpendingHistory = field(factory=SpendingHistory)
     scheduler: int | None = 0
     """The scheduler that it hears; None: it is alone."""
 
