--- a/mangoway/edge/plain.py
+++ b/mangoway/edge/plain.py
@@ -12,7 +12,7 @@
 from ..observability.event_log import log_event
 from ..policy.edge.choice import InFlight, choose_runner
 from ..policy.edge.const import RETRY_AFTER_OUTAGE_S
-from ..policy.edge.health import HealthBook
+from ..policy.edge.health import HealthTracker
 from ..policy.scheduling.const import MAX_RETRY_AFTER_S, RETRY_SPREAD
 from ..policy.scheduling.core import RATE_LIMITED_REASON
 from ..policy.scheduling.events import EndKind, Refuse
@@ -31,7 +31,7 @@
     clock: Callable[[], float]
     random: Random
     in_flight: InFlight = field(factory=InFlight, init=False)
-    health: HealthBook = field(factory=HealthBook, init=False)
+    health: HealthTracker = field(factory=HealthTracker, init=False)
 
     def forget_gone(self) -> None:
         """Forget the failures of runners that are gone."""
--- a/mangoway/policy/edge/health.py
+++ b/mangoway/policy/edge/health.py
@@ -23,7 +23,7 @@
 
 
 @define(eq=False)
-class HealthBook:
+class HealthTracker:
     """Records of all runners, by their ids."""
 
     _records: dict[str, RunnerHealth] = field(factory=dict, init=False)
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -9,7 +9,7 @@
 from ...models.routing import EngineProfile, ModelProfile, RoutingTable
 from ...models.runner import RunnerEntry
 from ..customers.quota import QuotaTracker
-from ..edge.health import HealthBook
+from ..edge.health import HealthTracker
 from ..limits.book import LimitTracker
 from ..limits.const import MAX_LIMITED_SHARE, MIN_COOLDOWN_EDGE_SHARE, MIN_LIMITED_S
 from ..limits.rests import CooldownTracker
@@ -111,7 +111,7 @@
     pace: PaceBook = field(factory=PaceBook, init=False)
     demand: DemandBook = field(factory=DemandBook, init=False)
     returns: Returns = field(factory=Returns, init=False)
-    health: HealthBook = field(factory=HealthBook, init=False)
+    health: HealthTracker = field(factory=HealthTracker, init=False)
     limits: LimitTracker = field(factory=LimitTracker, init=False)
     rests: CooldownTracker = field(factory=CooldownTracker, init=False)
     store_loads: dict[str, StoreLoads] = field(factory=dict, init=False)
