--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -16,7 +16,7 @@
 from ..platform.requests import RequestFields, encode_for_runner
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
-from ..policy.edge.retries import FailedTry, Next, RepeatCause, decide_next
+from ..policy.edge.retries import FailedTry, Next, RepeatCause, decide_retry
 from ..policy.scheduling.events import EndKind, Refuse
 from .admission import Admission, Caller, Denial
 from .answers import (
@@ -240,11 +240,11 @@
             was_sent=result.was_sent,
             time_left_s=self._deadline - self._clock(),
         )
-        decision = decide_next(self.route, failed, budget_left=True)
+        decision = decide_retry(self.route, failed, budget_left=True)
         needs_credit = decision is Next.RETRY and result.was_sent
         if needs_credit and not self._finder.payment.pay():
             self._budget_spent = True
-            decision = decide_next(self.route, failed, budget_left=False)
+            decision = decide_retry(self.route, failed, budget_left=False)
         if result.verdict is not Verdict.NOT_RUN:
             self._may_have_run = True
         return decision
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -55,7 +55,7 @@
     time_left_s: float
 
 
-def decide_next(route: Route, failed: FailedTry, *, budget_left: bool) -> Next:
+def decide_retry(route: Route, failed: FailedTry, *, budget_left: bool) -> Next:
     """Return what follows a failed try.
 
     What may have run goes out again only on a route whose requests may be repeated;
