--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -16,7 +16,7 @@
 from ..platform.requests import RequestFields, encode_for_runner
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
-from ..policy.edge.retries import FailedTry, Next, RepeatCause, decide_retry
+from ..policy.edge.retries import FailedAttempt, Next, RepeatCause, decide_retry
 from ..policy.scheduling.events import EndKind, Refuse
 from .admission import Admission, Caller, Denial
 from .answers import (
@@ -233,7 +233,7 @@
         return bool(objective_s and alone and self.delivery.longest_gap_s > objective_s)
 
     def _decide(self, result: AttemptResult) -> Next:
-        failed = FailedTry(
+        failed = FailedAttempt(
             verdict=result.verdict,
             ran_before=self._may_have_run,
             runners_reached=len(self._finder.reached),
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -37,7 +37,7 @@
 
 
 @frozen(kw_only=True)
-class FailedTry:
+class FailedAttempt:
     """A try that failed, and what came before it."""
 
     verdict: Verdict
@@ -55,7 +55,7 @@
     time_left_s: float
 
 
-def decide_retry(route: Route, failed: FailedTry, *, budget_left: bool) -> Next:
+def decide_retry(route: Route, failed: FailedAttempt, *, budget_left: bool) -> Next:
     """Return what follows a failed try.
 
     What may have run goes out again only on a route whose requests may be repeated;
--- a/tests/policy/edge/test_retries.py
+++ b/tests/policy/edge/test_retries.py
@@ -4,7 +4,7 @@
 
 from mangoway.models.routing import RouteKind
 from mangoway.models.verdict import Verdict
-from mangoway.policy.edge.retries import FailedTry, Next, decide_retry
+from mangoway.policy.edge.retries import FailedAttempt, Next, decide_retry
 
 from ...fakes.fleet import make_route
 
@@ -12,7 +12,7 @@
 SAFE = make_route(RouteKind.SAFE, max_attempts=2)
 
 
-def fail(verdict: Verdict, **changes: object) -> FailedTry:
+def fail(verdict: Verdict, **changes: object) -> FailedAttempt:
     fields = {
         "verdict": verdict,
         "ran_before": False,
@@ -21,7 +21,7 @@
         "time_left_s": 2.0,
         **changes,
     }
-    return FailedTry(**fields)  # type: ignore[arg-type]
+    return FailedAttempt(**fields)  # type: ignore[arg-type]
 
 
 class TestDecideNext:
