--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -236,7 +236,7 @@
         failed = FailedAttempt(
             verdict=result.verdict,
             ran_before=self._may_have_run,
-            runners_reached=len(self._finder.reached),
+            runners_tried=len(self._finder.reached),
             was_sent=result.was_sent,
             time_left_s=self._deadline - self._clock(),
         )
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -46,7 +46,7 @@
     ran_before: bool
     """Whether an earlier try of the request may have run."""
 
-    runners_reached: int
+    runners_tried: int
     """Runners that the request was sent to, this one included."""
 
     was_sent: bool
@@ -65,7 +65,7 @@
     allowed = not may_have_run or route.idempotent
     # What was not run may go to a runner again that it was sent to before.
     attempts_left = (
-        failed.runners_reached < route.max_attempts or failed.verdict is Verdict.NOT_RUN
+        failed.runners_tried < route.max_attempts or failed.verdict is Verdict.NOT_RUN
     )
     in_time = failed.time_left_s > MIN_RETRY_TIME_S
     if allowed and attempts_left and in_time and (budget_left or not failed.was_sent):
--- a/tests/policy/edge/test_retries.py
+++ b/tests/policy/edge/test_retries.py
@@ -44,7 +44,7 @@
         assert decide_retry(SAFE, failed, budget_left=True) is Next.RETRY
 
     def test_runners_are_bounded(self) -> None:
-        failed = fail(Verdict.MAY_HAVE_RUN, runners_reached=2)
+        failed = fail(Verdict.MAY_HAVE_RUN, runners_tried=2)
         assert decide_retry(SAFE, failed, budget_left=True) is Next.FAIL
 
     def test_spent_budget_refuses_what_did_not_run(self) -> None:
