--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -16,7 +16,7 @@
 from ..platform.requests import RequestFields, encode_for_runner
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
-from ..policy.edge.retries import FailedAttempt, Next, RepeatCause, decide_retry
+from ..policy.edge.retries import FailedAttempt, Next, RetryCause, decide_retry
 from ..policy.scheduling.events import EndKind, Refuse
 from .admission import Admission, Caller, Denial
 from .answers import (
@@ -58,7 +58,7 @@
     _finder: RunnerFinder = field(init=False)
     _may_have_run: bool = field(default=False, init=False)
     _in_attempt: bool = field(default=False, init=False)
-    _cause: RepeatCause = field(default=RepeatCause.FAILED, init=False)
+    _cause: RetryCause = field(default=RetryCause.FAILED, init=False)
     """Why the request is sent once more, if it is."""
 
     _budget_spent: bool = field(default=False, init=False)
@@ -249,12 +249,12 @@
             self._may_have_run = True
         return decision
 
-    def _find_cause(self, result: AttemptResult) -> RepeatCause:
+    def _find_cause(self, result: AttemptResult) -> RetryCause:
         if result.verdict is Verdict.NOT_RUN:
-            return RepeatCause.REFUSED
+            return RetryCause.REFUSED
         if self._finder.has_next:
-            return RepeatCause.SILENT
-        return RepeatCause.RESUMED if self.delivery.events else RepeatCause.FAILED
+            return RetryCause.SILENT
+        return RetryCause.RESUMED if self.delivery.events else RetryCause.FAILED
 
     def _give_up(self, result: AttemptResult, decision: Next) -> None:
         reason, retry_after_s = result.reason, RETRY_AFTER_OUTAGE_S
--- a/mangoway/edge/request_log.py
+++ b/mangoway/edge/request_log.py
@@ -11,7 +11,7 @@
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
 from ..platform.requests import RequestFields
-from ..policy.edge.retries import Next, RepeatCause
+from ..policy.edge.retries import Next, RetryCause
 from .attempt import AttemptResult
 from .delivery import Delivery
 
@@ -144,7 +144,7 @@
             )
         )
 
-    def note_repeat(self, runner: RunnerEntry, cause: RepeatCause) -> None:
+    def note_repeat(self, runner: RunnerEntry, cause: RetryCause) -> None:
         """Log that the request is sent to a runner once more."""
         self.metrics.edge_repeats.add(runner.service, cause.value)
         log_event(
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -20,7 +20,7 @@
     """Answer that it may have run."""
 
 
-class RepeatCause(Enum):
+class RetryCause(Enum):
     """Why a request is sent to a runner once more."""
 
     FAILED = "failed"
