--- a/mangoway/edge/retry_budgets.py
+++ b/mangoway/edge/retry_budgets.py
@@ -50,7 +50,7 @@
                     requests=budget.requests,
                     repeats=budget.repeats,
                     refused=budget.refused,
-                    left=round(budget.measure_left(self.clock(), share), 2),
+                    left=round(budget.measure_available(self.clock(), share), 2),
                     share=round(share, 4),
                 )
             )
--- a/mangoway/policy/edge/retry_budget.py
+++ b/mangoway/policy/edge/retry_budget.py
@@ -153,7 +153,7 @@
         self._release(credit)
         self.balance += credit.saved
 
-    def measure_left(self, now: float, share: float) -> float:
+    def measure_available(self, now: float, share: float) -> float:
         """Return the repeats that may be sent now."""
         self._fill(now, share)
         return max(0.0, self.balance) + self._measure_window(now)
--- a/tests/policy/edge/test_retry_budget.py
+++ b/tests/policy/edge/test_retry_budget.py
@@ -137,13 +137,13 @@
         budget = make_budget()
         if saves:
             save_up(budget, 10.0)
-        before = budget.measure_left(10.0, 1.0)
+        before = budget.measure_available(10.0, 1.0)
         credit = budget.take(10.0, 1.0)
         assert credit is not None
-        assert budget.measure_left(10.0, 1.0) == pytest.approx(before - 1)
+        assert budget.measure_available(10.0, 1.0) == pytest.approx(before - 1)
         credit.give_back()
         credit.give_back()
-        assert budget.measure_left(10.0, 1.0) == pytest.approx(before)
+        assert budget.measure_available(10.0, 1.0) == pytest.approx(before)
         assert budget.held == pytest.approx(0)
 
     def test_repeat_on_its_way_counts_as_saved(self) -> None:
