--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -27,7 +27,7 @@
 from ..policy.customers.quota import QuotaTracker
 from ..policy.edge.const import LOOK_S, SHARE_WINDOWS
 from ..policy.edge.retry_budget import RetryLimits
-from ..policy.edge.shares import FleetShare, LoneShare
+from ..policy.edge.shares import DisconnectedShare, FleetShare
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import FleetUpdated
 from ..policy.scheduling.state import SchedulingState
@@ -94,7 +94,7 @@
     admission: Admission = field(init=False)
     retry_budgets: RetryBudgets = field(init=False)
     signal_watch: SignalWatch = field(init=False)
-    lone_share: LoneShare = field(factory=LoneShare, init=False)
+    lone_share: DisconnectedShare = field(factory=DisconnectedShare, init=False)
     forwarder: Forwarder = field(init=False)
     callers: ServerOptions = field(init=False)
     pages: list[ServerOptions] = field(factory=list, init=False)
--- a/mangoway/policy/edge/shares.py
+++ b/mangoway/policy/edge/shares.py
@@ -107,7 +107,7 @@
 
 
 @define(eq=False)
-class LoneShare:
+class DisconnectedShare:
     """The part of a runner's limit that an edge uses while it reaches no scheduler."""
 
     _choice: Choice = field(factory=Choice, init=False)
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from mangoway.policy.customers.const import BEGIN_S
-from mangoway.policy.edge.shares import LoneShare
+from mangoway.policy.edge.shares import DisconnectedShare
 from mangoway.policy.limits.book import LimitReport, LimitTracker, strip_recent_requests
 from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, RECENT_REQUESTS_S
 
@@ -69,7 +69,7 @@
 
     def add(self, key: str) -> None:
         edge = Edge(key)
-        lone = LoneShare()
+        lone = DisconnectedShare()
         lone.update(key, [f"e{number}" for number in range(EDGES)])
         edge.book.get_share = lone.measure
         self.edges[key] = edge
