--- a/mangoway/policy/edge/const.py
+++ b/mangoway/policy/edge/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-SAVED_PART: Final = 0.45
+SAVED_SHARE: Final = 0.45
 ADDED_PART: Final = 0.05
 WINDOW_PART: Final = 0.45
 """Parts of a service's fixed allowance of repeats: what edges may save up, what time
--- a/mangoway/policy/edge/retry_budget.py
+++ b/mangoway/policy/edge/retry_budget.py
@@ -15,7 +15,7 @@
 
 from attrs import define, field, frozen
 
-from .const import ADDED_PART, SAVED_PART, WINDOW_PART
+from .const import ADDED_PART, SAVED_SHARE, WINDOW_PART
 
 WHOLE_CREDIT: Final = 1 - 1e-9
 """One credit, as it is where fractions were added up."""
@@ -189,5 +189,5 @@
         self._filled_at = max(self._filled_at, now)
 
     def _add(self, credits: float) -> None:
-        part = self.divide("saved", SAVED_PART * self.limits.slack, self._share)
+        part = self.divide("saved", SAVED_SHARE * self.limits.slack, self._share)
         self.balance = min(self.balance + credits, part - self._held_saved)
--- a/tests/edge/test_retry_budget.py
+++ b/tests/edge/test_retry_budget.py
@@ -6,7 +6,7 @@
 
 from mangoway.edge.const import BUDGET_SPENT
 from mangoway.models.routing import RouteKind
-from mangoway.policy.edge.const import SAVED_PART
+from mangoway.policy.edge.const import SAVED_SHARE
 from mangoway.policy.edge.retry_budget import RetryLimits
 
 from ..fakes.fleet import make_route
@@ -22,7 +22,7 @@
     start_edge,
 )
 
-SAVED = RETRY_LIMITS.slack * SAVED_PART
+SAVED = RETRY_LIMITS.slack * SAVED_SHARE
 NO_REPEATS = RetryLimits(ratio=0.0, slack=0.0, window_s=10.0)
 
 
--- a/tests/policy/edge/test_retry_budget.py
+++ b/tests/policy/edge/test_retry_budget.py
@@ -4,14 +4,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mangoway.policy.edge.const import ADDED_PART, SAVED_PART, WINDOW_PART
+from mangoway.policy.edge.const import ADDED_PART, SAVED_SHARE, WINDOW_PART
 from mangoway.policy.edge.retry_budget import RetryBudget, RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 
 from .repeat_window import RepeatWindows
 
 LIMITS = RetryLimits(ratio=0.2, slack=60.0, window_s=10.0)
-SAVED = LIMITS.slack * SAVED_PART
+SAVED = LIMITS.slack * SAVED_SHARE
 IN_WINDOW = LIMITS.slack * WINDOW_PART
 
 
@@ -225,7 +225,7 @@
     def test_failures_far_below_the_ratio_are_repeated(
         self, edges: int, slack: float
     ) -> None:
-        whole_credits = int(SAVED_PART * slack)
+        whole_credits = int(SAVED_SHARE * slack)
         assert self.play(edges, slack) >= min(0.9, whole_credits / edges)
 
     def test_whole_credits_are_no_more_than_the_allowance(self) -> None:
