--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -25,7 +25,7 @@
 from ..observability.event_log import log_event
 from ..platform.documents import OWN_PREFIX
 from ..policy.customers.quota import QuotaTracker
-from ..policy.edge.const import LOOK_S, SHARE_WINDOWS
+from ..policy.edge.const import LOOK_S, SHARE_HORIZON_WINDOWS
 from ..policy.edge.retry_budget import RetryLimits
 from ..policy.edge.shares import DisconnectedShare, FleetShare
 from ..policy.scheduling.core import SchedulingCore
@@ -120,7 +120,7 @@
                 slack=settings.retry_slack,
                 window_s=settings.retry_window_s,
             ),
-            share=FleetShare(SHARE_WINDOWS * settings.retry_window_s),
+            share=FleetShare(SHARE_HORIZON_WINDOWS * settings.retry_window_s),
             clock=self.process.clock,
             boot_clock=read_boot_clock,
         )
--- a/mangoway/policy/edge/const.py
+++ b/mangoway/policy/edge/const.py
@@ -9,7 +9,7 @@
 adds to that over a window, and what they may send in each window. The rest covers
 requests that are counted later than they were sent, and hosts that are added."""
 
-SHARE_WINDOWS: Final = 6.0
+SHARE_HORIZON_WINDOWS: Final = 6.0
 """Windows for which an edge has its share without hearing of the fleet, and for which
 one that has gone is counted. Stores are down for long, and an edge without a share
 sends no repeat."""
--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from mangoway.policy.edge.const import LOOK_S, SHARE_WINDOWS
+from mangoway.policy.edge.const import LOOK_S, SHARE_HORIZON_WINDOWS
 from mangoway.policy.edge.retry_budget import RetryBudget, RetryCredit, RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 
@@ -116,7 +116,7 @@
 
     def add(self, key: str) -> None:
         self.lives += 1
-        share = FleetShare(SHARE_WINDOWS * WINDOW_S, key)
+        share = FleetShare(SHARE_HORIZON_WINDOWS * WINDOW_S, key)
         budget = RetryBudget(self.limits, self.now, share.make_divider("plain"))
         self.edges[key] = Edge(key, self.lives, budget, share)
 
