--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -25,7 +25,7 @@
 from ..observability.event_log import log_event
 from ..platform.documents import OWN_PREFIX
 from ..policy.customers.quota import QuotaTracker
-from ..policy.edge.const import LOOK_S, SHARE_HORIZON_WINDOWS
+from ..policy.edge.const import MEMBERS_POLL_S, SHARE_HORIZON_WINDOWS
 from ..policy.edge.retry_budget import RetryLimits
 from ..policy.edge.shares import DisconnectedShare, FleetShare
 from ..policy.scheduling.core import SchedulingCore
@@ -337,7 +337,7 @@
                 now=read_boot_clock(),
                 joined=self.process.is_announced(),
             )
-            await async_sleep_to_tick(LOOK_S)
+            await async_sleep_to_tick(MEMBERS_POLL_S)
 
     async def _async_sum_up(self) -> None:
         while True:
--- a/mangoway/policy/edge/const.py
+++ b/mangoway/policy/edge/const.py
@@ -14,7 +14,7 @@
 one that has gone is counted. Stores are down for long, and an edge without a share
 sends no repeat."""
 
-LOOK_S: Final = 0.5
+MEMBERS_POLL_S: Final = 0.5
 """Time between two looks at the members."""
 
 RETRY_AFTER_BUDGET_S: Final = 0.5
--- a/mangoway/policy/edge/shares.py
+++ b/mangoway/policy/edge/shares.py
@@ -13,7 +13,7 @@
 
 from ...util.rendezvous import is_chosen
 from ..limits.const import LONE_EDGES, LONE_PART
-from .const import LOOK_S
+from .const import MEMBERS_POLL_S
 from .retry_budget import Divider
 
 
@@ -78,7 +78,7 @@
         for key in members:
             self._seen_at[key] = now
         # Members are looked at now and then: one that left was seen up to a look ago.
-        counted_from = now - self.horizon_s - 2 * LOOK_S
+        counted_from = now - self.horizon_s - 2 * MEMBERS_POLL_S
         self._seen_at = {k: at for k, at in self._seen_at.items() if at > counted_from}
         self._known_at = known_at
         self._choice.set_members(self.own, self._seen_at)
--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from mangoway.policy.edge.const import LOOK_S, SHARE_HORIZON_WINDOWS
+from mangoway.policy.edge.const import MEMBERS_POLL_S, SHARE_HORIZON_WINDOWS
 from mangoway.policy.edge.retry_budget import RetryBudget, RetryCredit, RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 
@@ -124,7 +124,7 @@
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
-            self.now = min(end, self.now + LOOK_S)
+            self.now = min(end, self.now + MEMBERS_POLL_S)
             self.renew()
             for edge in self.edges.values():
                 if not edge.paused:
