--- a/mangoway/daemons/controller.py
+++ b/mangoway/daemons/controller.py
@@ -12,7 +12,7 @@
 from ..observability.event_log import log_event, start_log
 from ..observability.library_log import capture_library_logs
 from ..observability.metrics import Metrics
-from ..policy.membership.events import HostListed
+from ..policy.membership.events import ListedHost
 from ..settings.process import ControllerSettings
 from ..util.address import split_address
 from ..util.collector import exempt_start
@@ -94,7 +94,7 @@
 
 def _list_hosts(node: ControllerNode, listing: HostListing) -> None:
     hosts = (
-        HostListed(peer_address=each.peer_address, leaving=each.leaving)
+        ListedHost(peer_address=each.peer_address, leaving=each.leaving)
         for each in listing.processes
     )
     node.async_list_hosts(listing.upstreams, hosts)
--- a/mangoway/daemons/controller_node.py
+++ b/mangoway/daemons/controller_node.py
@@ -23,7 +23,7 @@
 from ..peers.reports import ReportBook
 from ..peers.server import PeerReceivers, PeerServer
 from ..policy.membership.core import MembershipCore
-from ..policy.membership.events import HostListed
+from ..policy.membership.events import ListedHost
 from ..policy.placement.core import PlacementCore
 from ..settings.process import ControllerSettings
 from ..util.address import split_address
@@ -92,7 +92,7 @@
         self._lease_task = self.tasks.async_start(self.lease.async_run())
 
     def async_list_hosts(
-        self, upstreams: Iterable[UpstreamAddress], hosts: Iterable[HostListed]
+        self, upstreams: Iterable[UpstreamAddress], hosts: Iterable[ListedHost]
     ) -> None:
         """Take the runners and processes that the host list names."""
         runners = tuple(
--- a/mangoway/daemons/gateway.py
+++ b/mangoway/daemons/gateway.py
@@ -19,7 +19,7 @@
 from ..observability.metrics import Metrics
 from ..peers.network import PeerNetwork
 from ..policy.membership.core import MembershipCore
-from ..policy.membership.events import HostListed
+from ..policy.membership.events import ListedHost
 from ..settings.process import GatewaySettings
 from ..util.collector import exempt_start
 from ..util.signals import StopSignals
@@ -186,6 +186,6 @@
     def _list_hosts(self, listing: HostListing) -> None:
         self.node.set_upstreams(listing.upstreams)
         self.network.async_list_hosts(
-            HostListed(peer_address=each.peer_address, leaving=each.leaving)
+            ListedHost(peer_address=each.peer_address, leaving=each.leaving)
             for each in listing.processes
         )
--- a/mangoway/peers/membership.py
+++ b/mangoway/peers/membership.py
@@ -19,9 +19,9 @@
 )
 from ..policy.membership.events import (
     HeartbeatReceived,
-    HostListed,
     HostsListed,
     LeaveRequested,
+    ListedHost,
     MembershipEvent,
     SelfChanged,
     SendFailed,
@@ -73,14 +73,14 @@
 
     def async_start(self, seeds: Iterable[str]) -> None:
         """Begin with the peer addresses that the settings name."""
-        self.async_list_hosts(HostListed(peer_address=seed) for seed in seeds)
+        self.async_list_hosts(ListedHost(peer_address=seed) for seed in seeds)
         self._driver.async_handle(Ticked())
 
     def async_stop(self) -> None:
         """Send nothing further."""
         self._driver.async_stop()
 
-    def async_list_hosts(self, hosts: Iterable[HostListed]) -> None:
+    def async_list_hosts(self, hosts: Iterable[ListedHost]) -> None:
         """Take the processes that the host list or the settings name."""
         self._driver.async_handle(HostsListed(hosts=tuple(hosts)))
 
--- a/mangoway/peers/network.py
+++ b/mangoway/peers/network.py
@@ -15,7 +15,7 @@
 from ..policy.configuration.core import ConfigurationCore
 from ..policy.core import Core
 from ..policy.membership.actions import MembershipAction
-from ..policy.membership.events import HostListed, MembershipEvent
+from ..policy.membership.events import ListedHost, MembershipEvent
 from ..util.tasks import Tasks
 from .client import PeerClients
 from .configuration import ConfigurationDriver
@@ -90,7 +90,7 @@
         self.membership.async_stop()
         self.configuration.async_stop()
 
-    def async_list_hosts(self, hosts: Iterable[HostListed]) -> None:
+    def async_list_hosts(self, hosts: Iterable[ListedHost]) -> None:
         """Take the processes that the host list names."""
         self.membership.async_list_hosts(hosts)
 
--- a/mangoway/policy/membership/events.py
+++ b/mangoway/policy/membership/events.py
@@ -24,7 +24,7 @@
 
 
 @frozen(kw_only=True)
-class HostListed:
+class ListedHost:
     """One process that the host list or the settings name as a seed."""
 
     peer_address: str
@@ -35,7 +35,7 @@
 class HostsListed:
     """The host list as it was read; it may lag."""
 
-    hosts: tuple[HostListed, ...]
+    hosts: tuple[ListedHost, ...]
 
 
 @frozen(kw_only=True)
--- a/mangoway/policy/membership/listing.py
+++ b/mangoway/policy/membership/listing.py
@@ -4,7 +4,7 @@
 
 from ...models.identifiers import IncarnationId
 from ...models.member import Member
-from .events import HostListed
+from .events import ListedHost
 
 
 @define
@@ -16,7 +16,7 @@
     """By address, the life that leaves; None while no process is known there."""
 
     def update(
-        self, hosts: tuple[HostListed, ...], lives: dict[str, IncarnationId]
+        self, hosts: tuple[ListedHost, ...], lives: dict[str, IncarnationId]
     ) -> None:
         """Take the list as it was read; `lives` are the known ones by address.
 
--- a/tests/policy/membership/cell.py
+++ b/tests/policy/membership/cell.py
@@ -19,9 +19,9 @@
 from mangoway.policy.membership.core import MembershipCore
 from mangoway.policy.membership.events import (
     HeartbeatReceived,
-    HostListed,
     HostsListed,
     LeaveRequested,
+    ListedHost,
     MembershipEvent,
     SendFailed,
     Ticked,
@@ -70,7 +70,7 @@
     left_at: dict[str, float] = field(factory=dict)
     lives: int = 0
     sent: int = 0
-    _listed: tuple[HostListed, ...] = ()
+    _listed: tuple[ListedHost, ...] = ()
     _queue: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _order: "count[int]" = field(factory=count)
 
@@ -183,7 +183,7 @@
     def _read_list(self) -> None:
         if not self.list_lags:
             self._listed = tuple(
-                HostListed(peer_address=f"{host}:1", leaving=host in self.left_at)
+                ListedHost(peer_address=f"{host}:1", leaving=host in self.left_at)
                 for host in self.hosts
             )
         for host in list(self.processes):
