--- a/mangoway/peers/membership.py
+++ b/mangoway/peers/membership.py
@@ -19,7 +19,7 @@
 )
 from ..policy.membership.events import (
     HeartbeatReceived,
-    HostsListed,
+    HostListUpdated,
     LeaveRequested,
     ListedHost,
     MembershipEvent,
@@ -82,7 +82,7 @@
 
     def async_list_hosts(self, hosts: Iterable[ListedHost]) -> None:
         """Take the processes that the host list or the settings name."""
-        self._driver.async_handle(HostsListed(hosts=tuple(hosts)))
+        self._driver.async_handle(HostListUpdated(hosts=tuple(hosts)))
 
     def async_set_self(self, config_version: ConfigVersion, ready: bool) -> None:
         """Tell the peers which version is in force here, and whether it serves."""
--- a/mangoway/policy/membership/core.py
+++ b/mangoway/policy/membership/core.py
@@ -23,7 +23,7 @@
 )
 from .events import (
     HeartbeatReceived,
-    HostsListed,
+    HostListUpdated,
     LeaveRequested,
     MembershipEvent,
     SelfChanged,
@@ -75,7 +75,7 @@
                 actions += self._receive(event, now)
             case SendFailed():
                 self._forget_sent(event.peer)
-            case HostsListed():
+            case HostListUpdated():
                 self._note_listing(event)
             case SelfChanged():
                 self._change_own(
@@ -122,7 +122,7 @@
         self._own = evolve(own, beat=own.beat + 1)
         self._put_own(now)
 
-    def _note_listing(self, event: HostsListed) -> None:
+    def _note_listing(self, event: HostListUpdated) -> None:
         before = self.members
         lives = {
             entry.member.peer_address: entry.member.incarnation
--- a/mangoway/policy/membership/events.py
+++ b/mangoway/policy/membership/events.py
@@ -32,7 +32,7 @@
 
 
 @frozen(kw_only=True)
-class HostsListed:
+class HostListUpdated:
     """The host list as it was read; it may lag."""
 
     hosts: tuple[ListedHost, ...]
@@ -59,5 +59,10 @@
 
 
 MembershipEvent = (
-    HeartbeatReceived | SendFailed | HostsListed | SelfChanged | LeaveRequested | Ticked
+    HeartbeatReceived
+    | SendFailed
+    | HostListUpdated
+    | SelfChanged
+    | LeaveRequested
+    | Ticked
 )
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -31,7 +31,7 @@
 )
 from mangoway.policy.membership.core import MembershipCore
 from mangoway.policy.membership.events import (
-    HostsListed,
+    HostListUpdated,
     MembershipEvent,
     SendFailed,
     Ticked,
@@ -103,7 +103,7 @@
         self.told.append(event)
         if isinstance(event, Ticked):
             return [SendHeartbeat(peer_address="n1", members=(self.own,))]
-        if isinstance(event, HostsListed):
+        if isinstance(event, HostListUpdated):
             other = make_member("n1")
             return [MembersChanged(members=(self.own, other))]
         return []
--- a/tests/policy/membership/cell.py
+++ b/tests/policy/membership/cell.py
@@ -19,7 +19,7 @@
 from mangoway.policy.membership.core import MembershipCore
 from mangoway.policy.membership.events import (
     HeartbeatReceived,
-    HostsListed,
+    HostListUpdated,
     LeaveRequested,
     ListedHost,
     MembershipEvent,
@@ -85,7 +85,7 @@
         self.left_at.pop(host, None)
         member = make_member(host, self.lives)
         self.processes[host] = Process(MembershipCore(member, Random(self.lives)))
-        self.deliver(host, HostsListed(hosts=self._listed))
+        self.deliver(host, HostListUpdated(hosts=self._listed))
 
     def stop(self, host: str) -> None:
         """Kill the process of a host."""
@@ -187,7 +187,7 @@
                 for host in self.hosts
             )
         for host in list(self.processes):
-            self.deliver(host, HostsListed(hosts=self._listed))
+            self.deliver(host, HostListUpdated(hosts=self._listed))
         self._at(self.now + LIST_PERIOD_S, self._read_list)
 
     def _at(self, time: float, step: Callable[[], None]) -> None:
--- a/tests/policy/membership/test_core.py
+++ b/tests/policy/membership/test_core.py
@@ -14,7 +14,7 @@
 from mangoway.policy.membership.core import MembershipCore
 from mangoway.policy.membership.events import (
     HeartbeatReceived,
-    HostsListed,
+    HostListUpdated,
     ListedHost,
     Ticked,
 )
@@ -101,7 +101,7 @@
     def test_listed_as_leaving_until_restarted(self) -> None:
         core = MembershipCore(make_member("a"), Random(0))
         self.receive(core, 0, life=1)
-        listing = HostsListed(hosts=(ListedHost(peer_address="b:1", leaving=True),))
+        listing = HostListUpdated(hosts=(ListedHost(peer_address="b:1", leaving=True),))
         core.handle(listing, 0)
         assert self.find_state(core) is MemberState.LEAVING
         self.receive(core, 0, life=2)
