--- a/mangoway/peers/membership.py
+++ b/mangoway/peers/membership.py
@@ -23,7 +23,7 @@
     LeaveRequested,
     ListedHost,
     MembershipEvent,
-    SelfChanged,
+    OwnMemberChanged,
     SendFailed,
     Ticked,
 )
@@ -86,7 +86,7 @@
 
     def async_set_self(self, config_version: ConfigVersion, ready: bool) -> None:
         """Tell the peers which version is in force here, and whether it serves."""
-        changed = SelfChanged(config_version=config_version, ready=ready)
+        changed = OwnMemberChanged(config_version=config_version, ready=ready)
         self._driver.async_handle(changed)
 
     def async_announce(self, successor: IncarnationId | None) -> None:
--- a/mangoway/policy/membership/core.py
+++ b/mangoway/policy/membership/core.py
@@ -26,7 +26,7 @@
     HostListUpdated,
     LeaveRequested,
     MembershipEvent,
-    SelfChanged,
+    OwnMemberChanged,
     SendFailed,
     Ticked,
 )
@@ -77,7 +77,7 @@
                 self._forget_sent(event.peer)
             case HostListUpdated():
                 self._note_listing(event)
-            case SelfChanged():
+            case OwnMemberChanged():
                 self._change_own(
                     evolve(
                         self._own,
--- a/mangoway/policy/membership/events.py
+++ b/mangoway/policy/membership/events.py
@@ -39,7 +39,7 @@
 
 
 @frozen(kw_only=True)
-class SelfChanged:
+class OwnMemberChanged:
     """This process's own version or readiness changed."""
 
     config_version: ConfigVersion
@@ -62,7 +62,7 @@
     HeartbeatReceived
     | SendFailed
     | HostListUpdated
-    | SelfChanged
+    | OwnMemberChanged
     | LeaveRequested
     | Ticked
 )
