--- a/mangoway/peers/configuration.py
+++ b/mangoway/peers/configuration.py
@@ -29,7 +29,7 @@
     ConfigurationEvent,
     DocumentReceived,
     FetchFailed,
-    HeadSeen,
+    HeadVersionReceived,
     PeerAdvertised,
     PeersChanged,
     Ticked,
@@ -152,7 +152,7 @@
         except MangowayError as error:
             self._fail(None, None, error)
         else:
-            self._driver.async_handle(HeadSeen(version=head.version))
+            self._driver.async_handle(HeadVersionReceived(version=head.version))
 
     async def _async_watch(self) -> None:
         """Follow the head key; the core's slow reads cover a watch that stalls."""
@@ -168,7 +168,7 @@
         if value is None:
             return
         head = decode_record(value, HeadRecord)
-        self._driver.async_handle(HeadSeen(version=head.version))
+        self._driver.async_handle(HeadVersionReceived(version=head.version))
 
     def _stop_watch(self) -> None:
         if self._watch is not None:
--- a/mangoway/policy/configuration/core.py
+++ b/mangoway/policy/configuration/core.py
@@ -31,7 +31,7 @@
     ConfigurationEvent,
     DocumentReceived,
     FetchFailed,
-    HeadSeen,
+    HeadVersionReceived,
     PeerAdvertised,
     PeersChanged,
     Ticked,
@@ -107,7 +107,7 @@
 
     def _note(self, event: ConfigurationEvent, now: float) -> None:
         match event:
-            case HeadSeen():
+            case HeadVersionReceived():
                 self._sources.succeed(None)
                 self._head = max(self._head, event.version)
             case PeerAdvertised():
--- a/mangoway/policy/configuration/events.py
+++ b/mangoway/policy/configuration/events.py
@@ -7,7 +7,7 @@
 
 
 @frozen(kw_only=True)
-class HeadSeen:
+class HeadVersionReceived:
     """The key-value service showed the head version (watch or slow read)."""
 
     version: ConfigVersion
@@ -52,5 +52,10 @@
 
 
 ConfigurationEvent = (
-    HeadSeen | PeerAdvertised | DocumentReceived | FetchFailed | PeersChanged | Ticked
+    HeadVersionReceived
+    | PeerAdvertised
+    | DocumentReceived
+    | FetchFailed
+    | PeersChanged
+    | Ticked
 )
--- a/tests/policy/configuration/fleet.py
+++ b/tests/policy/configuration/fleet.py
@@ -24,7 +24,7 @@
     ConfigurationEvent,
     DocumentReceived,
     FetchFailed,
-    HeadSeen,
+    HeadVersionReceived,
     PeerAdvertised,
     PeersChanged,
     Ticked,
@@ -111,7 +111,7 @@
             return
         for host, process in self.processes.items():
             if process.watching and host not in self.cut:
-                self._later(host, HeadSeen(version=ConfigVersion(self.head)))
+                self._later(host, HeadVersionReceived(version=ConfigVersion(self.head)))
 
     def heal(self) -> None:
         """End all faults."""
@@ -153,7 +153,9 @@
             case WatchHead():
                 process.watching = action.enabled
             case ReadHead():
-                self._call_service(host, HeadSeen(version=ConfigVersion(self.head)))
+                self._call_service(
+                    host, HeadVersionReceived(version=ConfigVersion(self.head))
+                )
             case FetchFromService():
                 assert action.version <= self.head
                 document = Configuration(version=ConfigVersion(self.head))
--- a/tests/policy/configuration/test_core.py
+++ b/tests/policy/configuration/test_core.py
@@ -14,7 +14,7 @@
 from mangoway.policy.configuration.events import (
     DocumentReceived,
     FetchFailed,
-    HeadSeen,
+    HeadVersionReceived,
     PeerAdvertised,
     PeersChanged,
     Ticked,
@@ -59,7 +59,7 @@
 
     def test_older_document_is_never_applied(self) -> None:
         core = ConfigurationCore(HOSTS[0], Random(0))
-        core.handle(HeadSeen(version=ConfigVersion(5)), 0.0)
+        core.handle(HeadVersionReceived(version=ConfigVersion(5)), 0.0)
         core.handle(make_document(5, None), 0.1)
         for source in (None, "host-1"):
             actions = core.handle(make_document(4, source), 0.2)
@@ -71,16 +71,16 @@
         core.handle(PeersChanged(peers=(HOSTS[1],)), 0.0)
         core.handle(make_document(4, "host-1"), 0.1)
         assert not core.is_ready
-        core.handle(HeadSeen(version=ConfigVersion(5)), 0.2)
+        core.handle(HeadVersionReceived(version=ConfigVersion(5)), 0.2)
         assert not core.is_ready
         core.handle(make_document(5, None), 0.3)
         assert core.version == 5
 
     def test_stale_head_causes_no_fetch(self) -> None:
         core = ConfigurationCore(HOSTS[0], Random(0))
-        core.handle(HeadSeen(version=ConfigVersion(5)), 0.0)
+        core.handle(HeadVersionReceived(version=ConfigVersion(5)), 0.0)
         core.handle(make_document(5, None), 0.1)
-        actions = core.handle(HeadSeen(version=ConfigVersion(4)), 0.2)
+        actions = core.handle(HeadVersionReceived(version=ConfigVersion(4)), 0.2)
         assert not any(isinstance(action, FetchFromService) for action in actions)
 
     def test_start_in_an_outage_waits_for_a_version_it_heard_of(self) -> None:
