--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -33,7 +33,7 @@
 from ..policy.scheduling.state import SchedulingState
 from ..scheduling.client import SchedulerClient
 from ..scheduling.local import LocalPlacer
-from ..scheduling.messages import Told
+from ..scheduling.messages import RelayedStatement
 from ..settings.fleet import EdgeSettings
 from ..util.clock import read_boot_clock
 from ..util.collector import exempt_start
@@ -275,7 +275,7 @@
         )
 
     def _tell(self, key: str, value: bytes) -> bool:
-        return self.process.leader_link.tell(Told(key=key, value=value))
+        return self.process.leader_link.tell(RelayedStatement(key=key, value=value))
 
     def _note_view(self) -> None:
         """Note that the fleet changed; the first configuration makes the edge ready."""
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -22,7 +22,7 @@
 from ..platform.store import PlatformStore
 from ..policy.crashes.book import CrashTracker
 from ..scheduling.leader import LeaderLink
-from ..scheduling.messages import Hello, Told
+from ..scheduling.messages import Hello, RelayedStatement
 from ..settings.fleet import FleetSettings
 from ..util.address import split_address
 from ..util.clock import read_boot_clock
@@ -119,7 +119,7 @@
             )
         )
 
-    def take_told(self, message: Told) -> None:
+    def take_told(self, message: RelayedStatement) -> None:
         """Take a statement on a crash that another process tells."""
         try:
             decode_statement(message.key, message.value).take(self.crashes)
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -39,9 +39,9 @@
     Heartbeat,
     Hello,
     Message,
+    RelayedStatement,
     StateChanged,
     StateRead,
-    Told,
 )
 
 MS_PER_S: Final = 1000.0
@@ -278,14 +278,14 @@
     return Item(key=row[0], revision=row[1], lease_id=row[2], value=value)
 
 
-@encodes(Told)
-def _encode_told(message: Told) -> list[Any]:
+@encodes(RelayedStatement)
+def _encode_told(message: RelayedStatement) -> list[Any]:
     return ["told", message.key, message.value.decode()]
 
 
 @decodes("told")
 def _decode_told(fields: list[Any], edge: str) -> Message:
-    return Told(key=fields[1], value=fields[2].encode())
+    return RelayedStatement(key=fields[1], value=fields[2].encode())
 
 
 @encodes(GrantRequest)
--- a/mangoway/scheduling/leader.py
+++ b/mangoway/scheduling/leader.py
@@ -20,9 +20,9 @@
     Heartbeat,
     Hello,
     Message,
+    RelayedStatement,
     StateChanged,
     StateRead,
-    Told,
 )
 from .patience import Patience
 from .remote_clock import RemoteClock
@@ -57,7 +57,7 @@
     on_message: Callable[[Message], None] = lambda message: None
     """Told of messages that are not about the store."""
 
-    on_told: Callable[[Told], None] = lambda message: None
+    on_told: Callable[[RelayedStatement], None] = lambda message: None
     """Told of statements on crashes."""
 
     on_leading: Callable[[Link], None] = lambda link: None
@@ -119,7 +119,7 @@
         if self.link is not None:
             self.link.close(reason)
 
-    def tell(self, message: Told) -> bool:
+    def tell(self, message: RelayedStatement) -> bool:
         """Tell the other end, which tells all others; False if there is none."""
         if self.link is None or not self.link.is_open:
             return False
@@ -269,7 +269,7 @@
         elif isinstance(message, ClockTold):
             if self._remote_clock is not None:
                 self._remote_clock.take(message)
-        elif isinstance(message, Told):
+        elif isinstance(message, RelayedStatement):
             self.on_told(message)
         else:
             self.on_message(message)
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -91,7 +91,7 @@
 
 
 @frozen(kw_only=True)
-class Told:
+class RelayedStatement:
     """A statement on a crash, while the store doesn't answer who makes it."""
 
     key: str
@@ -103,7 +103,7 @@
     | Heartbeat
     | ClockAsked
     | ClockTold
-    | Told
+    | RelayedStatement
     | StateRead
     | StateChanged
     | GrantRequest
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -33,7 +33,7 @@
     Heartbeat,
     Hello,
     Message,
-    Told,
+    RelayedStatement,
 )
 from .store_feed import StoreFeed
 
@@ -62,7 +62,7 @@
     get_kept_s: Callable[[], float]
     """Seconds for which keys that vanish are still kept, after an outage."""
 
-    on_told: Callable[[Told], None] = lambda message: None
+    on_told: Callable[[RelayedStatement], None] = lambda message: None
     """Told of statements on crashes."""
 
     on_leaving: Callable[[LeavingReport], bool] = lambda message: False
@@ -154,7 +154,7 @@
     def _take(self, link: Link, message: Message) -> None:
         if isinstance(message, Hello):
             self._welcome(link, message)
-        elif isinstance(message, Told):
+        elif isinstance(message, RelayedStatement):
             self._pass_told(link, message)
         elif isinstance(message, ClockAsked):
             clock_s = self.mirror.boot_clock()
@@ -195,7 +195,7 @@
         }
         self._lost_at[edge] = now
 
-    def _pass_told(self, link: Link, message: Told) -> None:
+    def _pass_told(self, link: Link, message: RelayedStatement) -> None:
         """Take a statement on a crash, and tell it to all others."""
         self.on_told(message)
         self._pass_on(link, message)
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -26,7 +26,7 @@
 from mangoway.scheduling.client import RETRY_AFTER_PERMIT_S, SchedulerClient
 from mangoway.scheduling.leader import CHECK_S, SILENCE_S, LeaderLink
 from mangoway.scheduling.local import LocalPlacer
-from mangoway.scheduling.messages import Hello, Told
+from mangoway.scheduling.messages import Hello, RelayedStatement
 from mangoway.scheduling.placing import Answer
 from mangoway.scheduling.server import SchedulerServer
 from mangoway.util.listener import open_listener
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         self.leading = True
-        self.told: list[Told] = []
+        self.told: list[RelayedStatement] = []
         self.orders: list[SendOrder] = []
         clock = asyncio.get_running_loop().time
         self.mirror = Mirror(FakeCoordinationStore(), Recorder(), clock)
@@ -111,7 +111,7 @@
     def __init__(self, name: str = "e1") -> None:
         clock = asyncio.get_running_loop().time
         self.view = FleetView()
-        self.told: list[Told] = []
+        self.told: list[RelayedStatement] = []
         self.recorder = Recorder()
         mirror = Mirror(FakeCoordinationStore(), self.recorder, clock)
         hello = Hello(edge=name, host="h1", data_centre="dc1", asks=True, revision=0)
@@ -435,7 +435,7 @@
         scheduler = Scheduler()
         address = await scheduler.async_start()
         edges = [Edge(name) for name in ("e1", "e2", "e3")]
-        message = Told(key="crashes/i-1@0/e1", value=b"{}")
+        message = RelayedStatement(key="crashes/i-1@0/e1", value=b"{}")
         try:
             for edge in edges:
                 edge.follow(address)
@@ -453,6 +453,6 @@
 
     async def test_without_a_scheduler_the_store_has_to_do(self) -> None:
         edge = Edge()
-        edge.link.tell(Told(key="crashes/i-1@0/e1", value=b"{}"))
+        edge.link.tell(RelayedStatement(key="crashes/i-1@0/e1", value=b"{}"))
         edge.task.cancel()
         assert edge.told == []
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -34,9 +34,9 @@
     Heartbeat,
     Hello,
     Message,
+    RelayedStatement,
     StateChanged,
     StateRead,
-    Told,
 )
 
 from ..fakes.fleet import make_asked
@@ -76,7 +76,7 @@
     FirstEventSeen(edge="e1", request_id="q1"),
     RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
     Grant(edge="e1", request_id="q1", runner_id="r1"),
-    Told(key="crashes/i-1@0/e1", value=b'{"charges": []}'),
+    RelayedStatement(key="crashes/i-1@0/e1", value=b'{"charges": []}'),
     Refuse(edge="e1", request_id="q1", retry_after_s=0.5, reason="why"),
     Refuse(
         edge="e1", request_id="q1", retry_after_s=0.5, reason="why", over_quota=True
