--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -89,7 +89,7 @@
             seeds=self._list_seeds(),
         )
         self.mirror.feed = self.leader_link
-        self.leader_link.on_told = self.take_told
+        self.leader_link.on_statement = self.take_told
         self.tasks = Tasks(_log_failure)
 
     def _list_seeds(self) -> tuple[str, ...]:
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -144,7 +144,7 @@
             prefix=OWN_PREFIX,
         )
         self.server.on_edge = self._note_edge
-        self.server.on_told = process.take_told
+        self.server.on_statement = process.take_told
         self.server.on_leaving = process.view.note_leaving
         self.server.list_leaving = process.view.list_leaving
         process.leader_link.on_message = self._take_passed_on
--- a/mangoway/scheduling/leader.py
+++ b/mangoway/scheduling/leader.py
@@ -57,7 +57,7 @@
     on_message: Callable[[Message], None] = lambda message: None
     """Told of messages that are not about the store."""
 
-    on_told: Callable[[RelayedStatement], None] = lambda message: None
+    on_statement: Callable[[RelayedStatement], None] = lambda message: None
     """Told of statements on crashes."""
 
     on_leading: Callable[[Link], None] = lambda link: None
@@ -270,7 +270,7 @@
             if self._remote_clock is not None:
                 self._remote_clock.take(message)
         elif isinstance(message, RelayedStatement):
-            self.on_told(message)
+            self.on_statement(message)
         else:
             self.on_message(message)
 
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -62,7 +62,7 @@
     get_kept_s: Callable[[], float]
     """Seconds for which keys that vanish are still kept, after an outage."""
 
-    on_told: Callable[[RelayedStatement], None] = lambda message: None
+    on_statement: Callable[[RelayedStatement], None] = lambda message: None
     """Told of statements on crashes."""
 
     on_leaving: Callable[[LeavingReport], bool] = lambda message: False
@@ -197,7 +197,7 @@
 
     def _pass_told(self, link: Link, message: RelayedStatement) -> None:
         """Take a statement on a crash, and tell it to all others."""
-        self.on_told(message)
+        self.on_statement(message)
         self._pass_on(link, message)
 
     def take_limit(self, said: LimitReport, link: Link | None = None) -> None:
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -91,7 +91,7 @@
             get_kept_s=lambda: 0.0,
         )
         self.mirror.follower = self.server.feed
-        self.server.on_told = self.told.append
+        self.server.on_statement = self.told.append
 
     async def async_start(self) -> str:
         listener = open_listener("127.0.0.1", 0)
@@ -116,7 +116,7 @@
         mirror = Mirror(FakeCoordinationStore(), self.recorder, clock)
         hello = Hello(edge=name, host="h1", data_centre="dc1", asks=True, revision=0)
         self.link = LeaderLink(hello=hello, view=self.view, clock=clock, mirror=mirror)
-        self.link.on_told = self.told.append
+        self.link.on_statement = self.told.append
         self.local = LocalPlacer(make_core(), name, clock)
         self.client = SchedulerClient(self.link, self.local, name)
         self.task = asyncio.create_task(self.link.async_run())
