--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -143,7 +143,7 @@
             may_write=lambda: self.leadership.fence is not None,
             prefix=OWN_PREFIX,
         )
-        self.server.on_edge = self._note_edge
+        self.server.on_edge_connection = self._note_edge
         self.server.on_statement = process.take_told
         self.server.on_leaving = process.view.note_leaving
         self.server.list_leaving = process.view.list_leaving
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -71,7 +71,9 @@
     list_leaving: Callable[[], list[LeavingReport]] = list
     """Returns the runners that are known to leave."""
 
-    on_edge: Callable[[str, bool], None] = lambda incarnation, connected: None
+    on_edge_connection: Callable[[str, bool], None] = lambda incarnation, connected: (
+        None
+    )
     """Told of each edge that connects, and of each whose connection breaks."""
 
     _links: dict[str, Link] = field(factory=dict, init=False)
@@ -251,7 +253,7 @@
         if hello.asks:
             self._asking.add(hello.edge)
             self.core.state.edge_data_centres[hello.edge] = hello.data_centre
-            self.on_edge(hello.edge, True)
+            self.on_edge_connection(hello.edge, True)
         # A heartbeat at once, a reading in its turn: who is greeted late comes anew.
         link.send_frame(encode_frame([self._make_heartbeat()]))
         self.feed.add(link, hello.revision)
@@ -282,7 +284,7 @@
             self._note_lost(link.edge)
             if link.edge in self._asking:
                 self._asking.discard(link.edge)
-                self.on_edge(link.edge, False)
+                self.on_edge_connection(link.edge, False)
             self.core.state.edge_data_centres.pop(link.edge, None)
             log_event(log.LinkLost(peer=link.edge, reason=reason))
             self.handle(EdgeDisconnected(edge=link.edge))
