--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -90,7 +90,7 @@
         """Return the processes of the system that are known, this one included."""
         ...
 
-    def note_outage_ended(self, kept_s: float | None = None) -> None:
+    def note_outage_ended(self, retention_s: float | None = None) -> None:
         """Note that the store answers again after an outage in which keys may lapse.
 
         Args:
--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -79,14 +79,14 @@
             if self._changed:
                 self._notify()
 
-    def note_outage_ended(self, now: float, kept_s: float = RETURN_TIME_S) -> None:
+    def note_outage_ended(self, now: float, retention_s: float = RETURN_TIME_S) -> None:
         """Note that the store answers again after an outage in which keys lapsed.
 
         Args:
             now: Time in seconds.
             kept_s: Seconds from now for which entries that vanish are kept.
         """
-        self._kept_until = max(self._kept_until, now + kept_s)
+        self._kept_until = max(self._kept_until, now + retention_s)
 
     def get_kept_s(self, now: float) -> float:
         """Return for how much longer entries that vanish are kept."""
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -89,16 +89,16 @@
         """Return the processes of the system that are known, this one included."""
         return max(1, len(self.view.members))
 
-    def note_outage_ended(self, kept_s: float | None = None) -> None:
+    def note_outage_ended(self, retention_s: float | None = None) -> None:
         """Note that the store answers again after an outage.
 
         Args:
             kept_s: Seconds for which entries that vanish are kept; None: the usual.
         """
-        if kept_s is None:
+        if retention_s is None:
             self.view.note_outage_ended(self.clock())
         else:
-            self.view.note_outage_ended(self.clock(), kept_s)
+            self.view.note_outage_ended(self.clock(), retention_s)
 
     def _take_change(self, change: Change, now: float) -> None:
         if change.item is None:
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -222,7 +222,13 @@
 @encodes(StateRead)
 def _encode_state_read(message: StateRead) -> list[Any]:
     items = [_encode_item(each) for each in message.items]
-    return ["state", message.revision, message.keys, items, round(message.kept_s, 3)]
+    return [
+        "state",
+        message.revision,
+        message.keys,
+        items,
+        round(message.retention_s, 3),
+    ]
 
 
 @decodes("state")
@@ -231,7 +237,7 @@
         revision=fields[1],
         keys=tuple(fields[2]),
         items=tuple(_decode_item(each) for each in fields[3]),
-        kept_s=fields[4],
+        retention_s=fields[4],
     )
 
 
@@ -245,7 +251,7 @@
         ]
         for each in message.changes.changes
     ]
-    return ["changes", message.changes.revision, rows, round(message.kept_s, 3)]
+    return ["changes", message.changes.revision, rows, round(message.retention_s, 3)]
 
 
 @decodes("changes")
@@ -259,7 +265,7 @@
         for row in fields[2]
     )
     return StateChanged(
-        changes=Changes(changes=changes, revision=fields[1]), kept_s=fields[3]
+        changes=Changes(changes=changes, revision=fields[1]), retention_s=fields[3]
     )
 
 
--- a/mangoway/scheduling/leader.py
+++ b/mangoway/scheduling/leader.py
@@ -292,8 +292,8 @@
     def _take_state(self, message: StateRead | StateChanged) -> None:
         if self.mirror is None:
             return
-        if message.kept_s > 0:
-            self.mirror.receiver.note_outage_ended(message.kept_s)
+        if message.retention_s > 0:
+            self.mirror.receiver.note_outage_ended(message.retention_s)
         if isinstance(message, StateRead):
             self.mirror.take_reading(message.keys, message.items, message.revision)
             self._has_state = True
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -78,7 +78,7 @@
     keys: tuple[str, ...]
     items: tuple[Item, ...]
     revision: int
-    kept_s: float
+    retention_s: float
     """Seconds for which keys that vanish are still kept, after an outage; 0 without."""
 
 
@@ -87,7 +87,7 @@
     """Changes of the store's keys, each after those before."""
 
     changes: Changes
-    kept_s: float
+    retention_s: float
 
 
 @frozen(kw_only=True)
--- a/mangoway/scheduling/store_feed.py
+++ b/mangoway/scheduling/store_feed.py
@@ -133,7 +133,7 @@
         changes = tuple(each for each in self._recent if each.revision > known)
         return StateChanged(
             changes=Changes(changes=changes, revision=snapshot.revision),
-            kept_s=self.get_kept_s(),
+            retention_s=self.get_kept_s(),
         )
 
     def _serve(self) -> None:
@@ -179,7 +179,7 @@
             keys=tuple(item.key for item in snapshot.items),
             items=tuple(item for item in snapshot.items if item.revision > known),
             revision=snapshot.revision,
-            kept_s=self.get_kept_s(),
+            retention_s=self.get_kept_s(),
         )
 
     def _keep_recent(self, changes: Changes) -> None:
@@ -194,7 +194,7 @@
         self._unpassed.clear()
         message = StateChanged(
             changes=Changes(changes=changes, revision=self.mirror.revision or 0),
-            kept_s=self.get_kept_s(),
+            retention_s=self.get_kept_s(),
         )
         self._send_to_all(message)
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -59,7 +59,7 @@
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, kept_s: float | None = None) -> None:
+    def note_outage_ended(self, retention_s: float | None = None) -> None:
         """Nothing depends on it here."""
 
 
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -81,7 +81,7 @@
     Refuse(
         edge="e1", request_id="q1", retry_after_s=0.5, reason="why", over_quota=True
     ),
-    StateRead(keys=("k", "l"), items=(ITEM,), revision=5, kept_s=0.0),
+    StateRead(keys=("k", "l"), items=(ITEM,), revision=5, retention_s=0.0),
     StateChanged(
         changes=Changes(
             changes=(
@@ -90,7 +90,7 @@
             ),
             revision=4,
         ),
-        kept_s=1.5,
+        retention_s=1.5,
     ),
 ]
 
@@ -115,7 +115,7 @@
             keys=tuple(each.key for each in items),
             items=items,
             revision=100,
-            kept_s=0.0,
+            retention_s=0.0,
         )
         data = encode_frame([state])
         assert COMPRESSED_FROM_BYTES < len(data) * 8 < 100 * 300
--- a/tests/scheduling/test_crowd.py
+++ b/tests/scheduling/test_crowd.py
@@ -165,7 +165,9 @@
     async def test_values_that_are_no_text_pass_as_well(self) -> None:
         item = Item(key="k", value=b"\xff\x00", revision=3, lease_id=4)
         text = Item(key="t", value="é1".encode(), revision=3)
-        message = StateRead(keys=("k", "t"), items=(item, text), revision=3, kept_s=0.0)
+        message = StateRead(
+            keys=("k", "t"), items=(item, text), revision=3, retention_s=0.0
+        )
         assert decode_payload(encode_frame([message])[4:], "") == [message]
 
 
