--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -88,7 +88,7 @@
         """
         self._kept_until = max(self._kept_until, now + retention_s)
 
-    def get_kept_s(self, now: float) -> float:
+    def get_retention_s(self, now: float) -> float:
         """Return for how much longer entries that vanish are kept."""
         return max(0.0, self._kept_until - now)
 
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -115,7 +115,7 @@
             is_leading=self._is_granting,
             give_order=lambda order: self.orders.give(order),
             mirror=process.mirror,
-            get_kept_s=lambda: process.view.get_kept_s(process.clock()),
+            get_retention_s=lambda: process.view.get_retention_s(process.clock()),
         )
         self.orders = OrderSender(
             process, self.leadership, self.control, self.server.handle
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -59,7 +59,7 @@
     mirror: Mirror
     """What this process knows of the store, which it passes on."""
 
-    get_kept_s: Callable[[], float]
+    get_retention_s: Callable[[], float]
     """Seconds for which keys that vanish are still kept, after an outage."""
 
     on_statement: Callable[[RelayedStatement], None] = lambda message: None
@@ -87,7 +87,7 @@
     _server: asyncio.AbstractServer | None = field(default=None, init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.feed = StoreFeed(self.mirror, self.clock, self.get_kept_s)
+        self.feed = StoreFeed(self.mirror, self.clock, self.get_retention_s)
 
     async def async_start(self, listener: Any) -> None:
         """Listen for edges."""
--- a/mangoway/scheduling/store_feed.py
+++ b/mangoway/scheduling/store_feed.py
@@ -45,7 +45,7 @@
     """What this process knows of the store."""
 
     clock: Callable[[], float]
-    get_kept_s: Callable[[], float]
+    get_retention_s: Callable[[], float]
     """Seconds for which keys that vanish are still kept, after an outage."""
 
     _links: dict[Link, None] = field(factory=dict, init=False)
@@ -133,7 +133,7 @@
         changes = tuple(each for each in self._recent if each.revision > known)
         return StateChanged(
             changes=Changes(changes=changes, revision=snapshot.revision),
-            retention_s=self.get_kept_s(),
+            retention_s=self.get_retention_s(),
         )
 
     def _serve(self) -> None:
@@ -152,7 +152,7 @@
             self._serving = asyncio.get_running_loop().call_soon(self._serve)
 
     def _send_reading(self, link: Link, snapshot: Snapshot, known: int) -> None:
-        if known or self.get_kept_s() > 0:
+        if known or self.get_retention_s() > 0:
             link.send_frame(encode_frame([self.make_welcome(snapshot, known)]))
             return
         link.send_frame(self._get_whole(snapshot))
@@ -179,7 +179,7 @@
             keys=tuple(item.key for item in snapshot.items),
             items=tuple(item for item in snapshot.items if item.revision > known),
             revision=snapshot.revision,
-            retention_s=self.get_kept_s(),
+            retention_s=self.get_retention_s(),
         )
 
     def _keep_recent(self, changes: Changes) -> None:
@@ -194,7 +194,7 @@
         self._unpassed.clear()
         message = StateChanged(
             changes=Changes(changes=changes, revision=self.mirror.revision or 0),
-            retention_s=self.get_kept_s(),
+            retention_s=self.get_retention_s(),
         )
         self._send_to_all(message)
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -88,7 +88,7 @@
             is_leading=lambda: self.leading,
             give_order=self.orders.append,
             mirror=self.mirror,
-            get_kept_s=lambda: 0.0,
+            get_retention_s=lambda: 0.0,
         )
         self.mirror.follower = self.server.feed
         self.server.on_statement = self.told.append
