--- a/mangoway/scheduling/leader.py
+++ b/mangoway/scheduling/leader.py
@@ -140,7 +140,7 @@
         # One that doesn't lead may itself follow others: none of them would read.
         if link is None or not self.leading or not self._has_state:
             return False
-        age_s = self._store_age_s + self.clock() - link.heard_at
+        age_s = self._store_age_s + self.clock() - link.last_received_at
         return age_s < STORE_SILENCE_S + self._period_s
 
     async def _async_follow(self) -> None:
@@ -160,7 +160,7 @@
 
     def _check_link(self, link: Link, leader: str) -> None:
         """Close a connection that is silent, or that another one should replace."""
-        if self.clock() - link.heard_at > self._bear_silence():
+        if self.clock() - link.last_received_at > self._bear_silence():
             self._avoid(self._address)
             self.close("it is silent")
         elif self._passed_over is None:
--- a/mangoway/scheduling/link.py
+++ b/mangoway/scheduling/link.py
@@ -30,7 +30,7 @@
         self._outgoing: list[Message] = []
         self._transport: asyncio.Transport | None = None
         self._closed = False
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         """When the last bytes came."""
 
     @property
@@ -45,7 +45,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of the other end."""
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         try:
             for payload in self._frames.feed(data):
                 for message in decode_payload(payload, self.edge):
