--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -230,7 +230,7 @@
                 request_age_s=0.0,
                 response_age_s=0.0,
             )
-            self.server.take_limit(limit)
+            self.server.handle_limit(limit)
 
     def _is_granting(self) -> bool:
         """Return whether edges are to ask this process: it leads, or stands in."""
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -162,7 +162,7 @@
             clock_s = self.mirror.boot_clock()
             link.send(ClockTold(asked_at=message.asked_at, clock_s=clock_s))
         elif isinstance(message, LimitReport):
-            self.take_limit(message, link)
+            self.handle_limit(message, link)
         elif isinstance(message, LeavingReport):
             self.take_leaving(message, link)
         elif isinstance(message, SpendingReported):
@@ -202,7 +202,7 @@
         self.on_statement(message)
         self._pass_on(link, message)
 
-    def take_limit(self, said: LimitReport, link: Link | None = None) -> None:
+    def handle_limit(self, said: LimitReport, link: Link | None = None) -> None:
         """Take what a runner said of its limit, and tell all others if it is new.
 
         Args:
