--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -211,7 +211,7 @@
     def _take_passed_on(self, message: Message) -> None:
         """Take what the leader passes on while this process stands by."""
         if isinstance(message, LeavingReport):
-            self.server.take_leaving(message)
+            self.server.handle_leaving(message)
 
     def _note_signals(self, runner_id: str, signals: RunnerSignals) -> None:
         """Take what a runner says in the answer to a report or an order."""
@@ -220,7 +220,7 @@
             return
         if signals.leaving:
             said = LeavingReport(runner_id=runner_id, started_ms=entry.started_ms)
-            self.server.take_leaving(said)
+            self.server.handle_leaving(said)
         if signals.limit is not None:
             # Only answers to requests end a limit: reports may not name it.
             limit = LimitReport(
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -164,7 +164,7 @@
         elif isinstance(message, LimitReport):
             self.handle_limit(message, link)
         elif isinstance(message, LeavingReport):
-            self.take_leaving(message, link)
+            self.handle_leaving(message, link)
         elif isinstance(message, SpendingReported):
             self.handle(self._drop_known(link.edge, message))
         elif link.edge and not isinstance(message, Heartbeat):
@@ -221,7 +221,7 @@
         )
         self._pass_on(link, strip_recent_requests(said))
 
-    def take_leaving(self, said: LeavingReport, link: Link | None = None) -> None:
+    def handle_leaving(self, said: LeavingReport, link: Link | None = None) -> None:
         """Take that a runner leaves, and tell all others if it is new.
 
         Args:
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -113,7 +113,7 @@
         scheduler.process.view.take_runner(make_runner("r1", ("a",)))
         state = scheduler.server.core.state
         assert "r1" in state.runners
-        scheduler.server.take_leaving(self.SAID)
+        scheduler.server.handle_leaving(self.SAID)
         assert "r1" not in state.runners
 
 
