--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -15,7 +15,7 @@
 from ..observability.metrics import Metrics
 from ..platform.requests import RequestFields, decode_request
 from ..policy.edge.const import RETRY_AFTER_START_S
-from ..scheduling.placing import Placer
+from ..scheduling.placing import GrantProvider
 from .admission import Admission, Denial
 from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_answer
 from .crash_screen import CrashScreen
@@ -43,7 +43,7 @@
     data_centre: str
     incarnation: str
     view: FleetView
-    placer: Placer
+    placer: GrantProvider
     """Places requests for services with a model engine."""
 
     plain: PlainPlacer
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -15,7 +15,7 @@
 from ..policy.customers.const import OVER_QUOTA
 from ..policy.edge.const import MIN_RETRY_TIME_S, RETRY_AFTER_OUTAGE_S
 from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
-from ..scheduling.placing import Answer, Placer
+from ..scheduling.placing import Answer, GrantProvider
 from .admission import Caller
 from .const import HELD_BACK, OTHER_PLACE_S, PLACES_ASKED
 from .crash_screen import CrashScreen
@@ -32,7 +32,7 @@
 
     incarnation: str
     view: FleetView
-    placer: Placer
+    placer: GrantProvider
     plain: PlainPlacer
     retry_budgets: RetryBudgets
     screen: CrashScreen
--- a/mangoway/scheduling/placing.py
+++ b/mangoway/scheduling/placing.py
@@ -11,7 +11,7 @@
 Answer = Grant | Refuse
 
 
-class Placer(Protocol):
+class GrantProvider(Protocol):
     """Finds places for requests."""
 
     def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
