--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -32,7 +32,7 @@
 from ..policy.scheduling.events import FleetUpdated
 from ..policy.scheduling.state import SchedulingState
 from ..scheduling.client import SchedulerClient
-from ..scheduling.local import LocalPlacer
+from ..scheduling.local import LocalGrantProvider
 from ..scheduling.messages import RelayedStatement
 from ..settings.fleet import EdgeSettings
 from ..util.clock import read_boot_clock
@@ -217,7 +217,9 @@
         )
         core = SchedulingCore(state)
         process = self.process
-        local = LocalPlacer(core, process.incarnation, process.clock, self._read_fleet)
+        local = LocalGrantProvider(
+            core, process.incarnation, process.clock, self._read_fleet
+        )
         return SchedulerClient(process.leader_link, local, process.incarnation)
 
     def _make_signal_watch(self) -> SignalWatch:
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -28,7 +28,7 @@
 )
 from .leader import LeaderLink
 from .link import Link
-from .local import LocalPlacer
+from .local import LocalGrantProvider
 from .messages import Message
 from .placing import Answer, OpenAsks
 
@@ -70,7 +70,7 @@
     """A placer that uses the scheduler while it answers, and a local one otherwise."""
 
     leader: LeaderLink
-    local: LocalPlacer
+    local: LocalGrantProvider
     incarnation: str
     spending: SpendingHistory = field(factory=SpendingHistory, init=False)
     """What customers have spent at this edge lately, whoever granted it."""
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -28,7 +28,7 @@
 
 
 @define(eq=False)
-class LocalPlacer:
+class LocalGrantProvider:
     """Feeds a core with the requests of one edge."""
 
     core: SchedulingCore
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -25,7 +25,7 @@
 from mangoway.policy.scheduling.state import SchedulingState
 from mangoway.scheduling.client import RETRY_AFTER_PERMIT_S, SchedulerClient
 from mangoway.scheduling.leader import CHECK_S, SILENCE_S, LeaderLink
-from mangoway.scheduling.local import LocalPlacer
+from mangoway.scheduling.local import LocalGrantProvider
 from mangoway.scheduling.messages import Hello, RelayedStatement
 from mangoway.scheduling.placing import Answer
 from mangoway.scheduling.server import SchedulerServer
@@ -117,7 +117,7 @@
         hello = Hello(edge=name, host="h1", data_centre="dc1", asks=True, revision=0)
         self.link = LeaderLink(hello=hello, view=self.view, clock=clock, mirror=mirror)
         self.link.on_statement = self.told.append
-        self.local = LocalPlacer(make_core(), name, clock)
+        self.local = LocalGrantProvider(make_core(), name, clock)
         self.client = SchedulerClient(self.link, self.local, name)
         self.task = asyncio.create_task(self.link.async_run())
 
@@ -370,7 +370,7 @@
         fleets = [
             FleetUpdated(table=make_table(), runners=(make_runner("r2", ("a",)),))
         ]
-        local = LocalPlacer(
+        local = LocalGrantProvider(
             make_core(), "e1", clock, lambda: fleets.pop() if fleets else None
         )
         answer = await receive(local.ask(make_asked("q1")))
