--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -14,7 +14,7 @@
 from ..edge.crash_watch import CrashWatch
 from ..edge.forwarder import Forwarder
 from ..edge.pages import DirectoryPage, ReadyPage
-from ..edge.plain import PlainPlacer
+from ..edge.plain import PlainGrantProvider
 from ..edge.retry_budgets import RetryBudgets
 from ..edge.signal_watch import SignalWatch
 from ..http1.client import ConnectionPool
@@ -242,7 +242,7 @@
 
     def _make_forwarder(self) -> Forwarder:
         process = self.process
-        plain = PlainPlacer(
+        plain = PlainGrantProvider(
             data_centre=self.settings.data_centre,
             view=process.view,
             clock=process.clock,
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -23,7 +23,7 @@
 from .delivery import Delivery
 from .handling import Handling
 from .identity import identify
-from .plain import PlainPlacer
+from .plain import PlainGrantProvider
 from .request_log import RequestLog
 from .retry_budgets import RetryBudgets
 from .signal_watch import SignalWatch
@@ -46,7 +46,7 @@
     placer: GrantProvider
     """Places requests for services with a model engine."""
 
-    plain: PlainPlacer
+    plain: PlainGrantProvider
     """Places requests for all others."""
 
     retry_budgets: RetryBudgets
--- a/mangoway/edge/plain.py
+++ b/mangoway/edge/plain.py
@@ -23,7 +23,7 @@
 
 
 @define(eq=False)
-class PlainPlacer:
+class PlainGrantProvider:
     """Chooses among the runners of a service."""
 
     data_centre: str
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -20,7 +20,7 @@
 from .const import HELD_BACK, OTHER_PLACE_S, PLACES_ASKED
 from .crash_screen import CrashScreen
 from .delivery import Delivery
-from .plain import PlainPlacer
+from .plain import PlainGrantProvider
 from .repeat_payment import RepeatPayment
 from .request_log import RequestLog
 from .retry_budgets import RetryBudgets
@@ -33,7 +33,7 @@
     incarnation: str
     view: FleetView
     placer: GrantProvider
-    plain: PlainPlacer
+    plain: PlainGrantProvider
     retry_budgets: RetryBudgets
     screen: CrashScreen
     signal_watch: SignalWatch
--- a/tests/edge/test_plain.py
+++ b/tests/edge/test_plain.py
@@ -3,14 +3,14 @@
 from random import Random
 
 from mangoway.coordination.view import FleetView
-from mangoway.edge.plain import PlainPlacer
+from mangoway.edge.plain import PlainGrantProvider
 from mangoway.policy.scheduling.events import EndKind
 
 from ..fakes.fleet import make_runner, make_table
 
 
-def make_placer(view: FleetView) -> PlainPlacer:
-    return PlainPlacer(
+def make_placer(view: FleetView) -> PlainGrantProvider:
+    return PlainGrantProvider(
         data_centre="dc1",
         view=view,
         clock=lambda: 0.0,
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -14,7 +14,7 @@
 from mangoway.edge.crash_screen import CrashScreen
 from mangoway.edge.crash_watch import CrashWatch
 from mangoway.edge.forwarder import Forwarder
-from mangoway.edge.plain import PlainPlacer
+from mangoway.edge.plain import PlainGrantProvider
 from mangoway.edge.retry_budgets import RetryBudgets
 from mangoway.edge.signal_watch import SignalWatch
 from mangoway.http1.client import ConnectionPool
@@ -275,7 +275,7 @@
     for _ in range(EARNED_REQUESTS):
         for service in ("plain", "llm"):
             retry_budgets.note_request(service)
-    plain = PlainPlacer(
+    plain = PlainGrantProvider(
         data_centre="dc1",
         view=view,
         clock=clock,
