--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -9,7 +9,7 @@
 from ..upstreams.raw_server import RawServer, answer, cut
 from .test_admission import KEY, SHOWN, declare
 from .world import (
-    StubPlacer,
+    StubGrantProvider,
     make_event,
     make_not_run,
     make_ok,
@@ -21,7 +21,7 @@
 """What a call of these tests takes: 100 tokens of prompt, 50 of answer."""
 
 
-class RefusingPlacer(StubPlacer):
+class RefusingPlacer(StubGrantProvider):
     """Refuses all, since their customers have asked for too much."""
 
     def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -54,7 +54,7 @@
 
 
 @define(eq=False)
-class StubPlacer:
+class StubGrantProvider:
     """Grants runners in turn, or refuses when there are none left."""
 
     runner_ids: list[str]
@@ -158,7 +158,7 @@
     """An edge and how to call it."""
 
     view: FleetView
-    placer: StubPlacer
+    placer: StubGrantProvider
     forwarder: Forwarder
     options: ServerOptions
     port: int
@@ -265,7 +265,7 @@
     view = FleetView()
     if routes:
         view.take_table(make_table(routes=routes))
-    placer = StubPlacer([])
+    placer = StubGrantProvider([])
     clock: Callable[[], float] = asyncio.get_running_loop().time
     share = FleetShare(limits.window_s)
     share.update(["e1"], clock(), clock(), joined=True)
