--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -195,7 +195,7 @@
         cost = self._measure_cost()
         if not cost or self.caller.name is None:
             return None
-        wait_s = self.tools.placer.take_quota(self.caller.name, cost)
+        wait_s = self.tools.placer.consume_quota(self.caller.name, cost)
         if wait_s > 0:
             return self._make_refusal(OVER_QUOTA, wait_s, over_quota=True)
         self._charged = cost
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -147,7 +147,7 @@
         ended = RequestEnded(edge=self.incarnation, request_id=request_id, kind=kind)
         placed.link.send(ended)
 
-    def take_quota(self, customer: str, amount: float) -> float:
+    def consume_quota(self, customer: str, amount: float) -> float:
         """Take an amount of a customer's quota for a request that needs no place.
 
         The scheduler hears of it at once, and tells all edges who has nothing left. So
@@ -158,7 +158,7 @@
         """
         link = self._find_link()
         if link is None:
-            wait_s = self.local.take_quota(customer, amount)
+            wait_s = self.local.consume_quota(customer, amount)
         else:
             wait_s = self.leader.measure_exhausted(customer)
         if wait_s > 0:
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -66,7 +66,7 @@
         self._asks.drop(request_id)
         self.handle(RequestEnded(edge=self.edge, request_id=request_id, kind=kind))
 
-    def take_quota(self, customer: str, amount: float) -> float:
+    def consume_quota(self, customer: str, amount: float) -> float:
         """Take an amount of a quota; returns the seconds until there is enough."""
         self.handle(Tick())
         return self.core.state.quotas.take(customer, amount, self.clock())
--- a/mangoway/scheduling/placing.py
+++ b/mangoway/scheduling/placing.py
@@ -26,7 +26,7 @@
         """Say that a request is over at its runner, or waits no more."""
         ...
 
-    def take_quota(self, customer: str, amount: float) -> float:
+    def consume_quota(self, customer: str, amount: float) -> float:
         """Take an amount of a customer's quota for a request that needs no place.
 
         Returns:
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -115,7 +115,7 @@
         if self.drops_refusing and kind is EndKind.NOT_RUN:
             self.runner_ids.pop(0)
 
-    def take_quota(self, customer: str, amount: float) -> float:
+    def consume_quota(self, customer: str, amount: float) -> float:
         if self.quota_wait_s == 0.0:
             self.spent.append((customer, amount))
         return self.quota_wait_s
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -91,19 +91,19 @@
     async def test_scheduler_hears_of_it_and_tells_all_edges(self) -> None:
         async with connect() as (scheduler, edge):
             limit(scheduler, edge)
-            assert edge.client.take_quota("acme", 2.5 * RATE) == 0.0
+            assert edge.client.consume_quota("acme", 2.5 * RATE) == 0.0
             await async_wait_until(
-                lambda: edge.client.take_quota("acme", 200.0) > 0, most_s=1.0
+                lambda: edge.client.consume_quota("acme", 200.0) > 0, most_s=1.0
             )
             # A debt of one and a half times the rate.
-            assert edge.client.take_quota("acme", 200.0) > 1.0
+            assert edge.client.consume_quota("acme", 200.0) > 1.0
 
     async def test_what_was_not_run_is_given_back(self) -> None:
         async with connect() as (scheduler, edge):
             limit(scheduler, edge)
             quotas = scheduler.server.core.state.quotas
             clock = scheduler.server.clock
-            edge.client.take_quota("acme", RATE)
+            edge.client.consume_quota("acme", RATE)
             await async_wait_until(
                 lambda: (quotas.get_balance("acme", clock()) or 0) < 0.5 * RATE
             )
@@ -117,8 +117,8 @@
         try:
             edge.local.core.state.quotas.registry = make_registry()
             edge.local.core.state.quotas.share = 0.25
-            assert edge.client.take_quota("acme", 0.25 * RATE) == 0.0
-            assert edge.client.take_quota("acme", 200.0) > 0
+            assert edge.client.consume_quota("acme", 0.25 * RATE) == 0.0
+            assert edge.client.consume_quota("acme", 200.0) > 0
         finally:
             edge.task.cancel()
 
@@ -150,7 +150,7 @@
             limit(scheduler, edge)
             quotas = scheduler.server.core.state.quotas
             clock = scheduler.server.clock
-            assert edge.client.take_quota("acme", 2 * RATE) == 0.0
+            assert edge.client.consume_quota("acme", 2 * RATE) == 0.0
             await async_wait_until(
                 lambda: (quotas.get_balance("acme", clock()) or 0) < 0
             )
@@ -181,8 +181,8 @@
         async with connect() as (scheduler, edge):
             limit(scheduler, edge)
             limit(second, edge)
-            assert edge.client.take_quota("acme", RATE) == 0.0
-            assert edge.client.take_quota("acme", RATE) == 0.0
+            assert edge.client.consume_quota("acme", RATE) == 0.0
+            assert edge.client.consume_quota("acme", RATE) == 0.0
             edge.follow(await second.async_start(), fence=2)
             await async_wait_until(lambda: edge.link.leading)
             scheduler.leading = False
