--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -256,7 +256,7 @@
             )
             if isinstance(placed, Refuse) or not self._is_limited(placed):
                 return placed
-            wait_s = await self.tools.placer.async_ask_permit(placed)
+            wait_s = await self.tools.placer.async_request_permit(placed)
             if wait_s == 0.0:
                 return placed
             waits[placed.runner_id] = wait_s
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -178,7 +178,7 @@
         else:
             self.local.handle(message)
 
-    async def async_ask_permit(self, runner: RunnerEntry) -> float:
+    async def async_request_permit(self, runner: RunnerEntry) -> float:
         """Ask whether a request that needs no place may go to a limited runner.
 
         Returns:
--- a/mangoway/scheduling/placing.py
+++ b/mangoway/scheduling/placing.py
@@ -38,7 +38,7 @@
         """Give back what was taken for a request that no runner has run."""
         ...
 
-    async def async_ask_permit(self, runner: RunnerEntry) -> float:
+    async def async_request_permit(self, runner: RunnerEntry) -> float:
         """Ask whether a request that needs no place may go to a limited runner.
 
         Returns:
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -123,7 +123,7 @@
     def give_back(self, customer: str, amount: float) -> None:
         self.spent.append((customer, -amount))
 
-    async def async_ask_permit(self, runner: RunnerEntry) -> float:
+    async def async_request_permit(self, runner: RunnerEntry) -> float:
         self.permits.append(runner.runner_id)
         return self.permit_waits.get(runner.runner_id, 0.0)
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -252,16 +252,16 @@
 
     async def test_permit_comes_from_the_scheduler(self) -> None:
         async with connect() as (_, edge):
-            assert await edge.client.async_ask_permit(RUNNER) == 0.0
+            assert await edge.client.async_request_permit(RUNNER) == 0.0
             edge.client.tell(SAID)
-            assert await edge.client.async_ask_permit(RUNNER) > 0.0
+            assert await edge.client.async_request_permit(RUNNER) > 0.0
 
     async def test_edge_alone_asks_its_own_part_for_a_permit(self) -> None:
         edge = Edge()
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
         limits.note(SAID, edge.link.clock())
-        wait_s = await edge.client.async_ask_permit(RUNNER)
+        wait_s = await edge.client.async_request_permit(RUNNER)
         edge.task.cancel()
         assert wait_s == MAX_WAIT_S
 
@@ -269,7 +269,7 @@
         async with connect() as (_, edge):
             assert edge.link.link is not None
             edge.link.link.send = lambda message: None  # type: ignore[method-assign]
-            wait_s = await edge.client.async_ask_permit(RUNNER)
+            wait_s = await edge.client.async_request_permit(RUNNER)
         assert wait_s == RETRY_AFTER_PERMIT_S
 
 
