--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -10,7 +10,7 @@
 from ..edge.admission import Admission
 from ..edge.answers import make_refusal
 from ..edge.const import MAX_IDLE_PER_RUNNER
-from ..edge.crash_screen import CrashScreen
+from ..edge.crash_screen import CrashFilter
 from ..edge.crash_watch import CrashWatch
 from ..edge.forwarder import Forwarder
 from ..edge.pages import DirectoryPage, ReadyPage
@@ -248,7 +248,7 @@
             clock=process.clock,
             random=self._random,
         )
-        screen = CrashScreen(
+        screen = CrashFilter(
             edge=process.incarnation,
             book=process.crashes,
             teller=self.reporter,
--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -34,7 +34,7 @@
 
 
 @define(eq=False)
-class CrashScreen:
+class CrashFilter:
     """What an edge adds to the book of crashes, and what it takes from it."""
 
     edge: str
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -18,7 +18,7 @@
 from ..scheduling.placing import GrantProvider
 from .admission import Admission, Denial
 from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_answer
-from .crash_screen import CrashScreen
+from .crash_screen import CrashFilter
 from .crash_watch import CrashWatch
 from .delivery import Delivery
 from .handling import Handling
@@ -54,7 +54,7 @@
     pool: ConnectionPool
     metrics: Metrics
     crash_watch: CrashWatch
-    screen: CrashScreen
+    screen: CrashFilter
     signal_watch: SignalWatch
     random: Random
     numbers: "count[int]" = field(factory=count, init=False)
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -18,7 +18,7 @@
 from ..scheduling.placing import Answer, GrantProvider
 from .admission import Caller
 from .const import HELD_BACK, OTHER_PLACE_S, PLACES_ASKED
-from .crash_screen import CrashScreen
+from .crash_screen import CrashFilter
 from .delivery import Delivery
 from .plain import PlainGrantProvider
 from .repeat_payment import RepeatPayment
@@ -35,7 +35,7 @@
     placer: GrantProvider
     plain: PlainGrantProvider
     retry_budgets: RetryBudgets
-    screen: CrashScreen
+    screen: CrashFilter
     signal_watch: SignalWatch
     numbers: "count[int]"
 
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -7,7 +7,7 @@
     CrashStatement,
     Statement,
 )
-from mangoway.edge.crash_screen import CrashScreen
+from mangoway.edge.crash_screen import CrashFilter
 from mangoway.edge.crash_watch import CrashSeen, LostRequest
 from mangoway.edge.identity import identify
 from mangoway.http1.messages import Request
@@ -39,7 +39,7 @@
         self.now = 100.0
         self.teller = StubTeller()
         self.book = CrashTracker()
-        self.screen = CrashScreen(
+        self.screen = CrashFilter(
             edge="e1", book=self.book, teller=self.teller, clock=lambda: self.now
         )
 
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -11,7 +11,7 @@
 from mangoway.coordination.view import FleetView
 from mangoway.edge.admission import Admission
 from mangoway.edge.answers import make_refusal
-from mangoway.edge.crash_screen import CrashScreen
+from mangoway.edge.crash_screen import CrashFilter
 from mangoway.edge.crash_watch import CrashWatch
 from mangoway.edge.forwarder import Forwarder
 from mangoway.edge.plain import PlainGrantProvider
@@ -286,7 +286,7 @@
     metrics = Metrics()
     tasks = Tasks(errors.append)
     teller = StubTeller()
-    screen = CrashScreen(edge="e1", book=CrashTracker(), teller=teller, clock=clock)
+    screen = CrashFilter(edge="e1", book=CrashTracker(), teller=teller, clock=clock)
     forwarder = Forwarder(
         data_centre="dc1",
         incarnation="e1",
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -14,7 +14,7 @@
 from attrs import define, field
 
 from mangoway.coordination.crashes import Statement
-from mangoway.edge.crash_screen import CrashScreen
+from mangoway.edge.crash_screen import CrashFilter
 from mangoway.edge.crash_watch import CrashSeen, LostRequest
 from mangoway.models.crash import RequestIdentity, RunnerLife
 from mangoway.policy.crashes.book import CrashTracker
@@ -121,7 +121,7 @@
 
     now: float = field(default=0.0, init=False)
     figures: Figures = field(factory=Figures, init=False)
-    screens: list[CrashScreen] = field(factory=list, init=False)
+    screens: list[CrashFilter] = field(factory=list, init=False)
     fleet: list[Runner] = field(factory=list, init=False)
     _events: list[tuple[float, int, Callable[[], None]]] = field(
         factory=list, init=False
@@ -150,8 +150,8 @@
         self.figures.held_back_wholly = len(self._held)
         return self.figures
 
-    def _make_screen(self, number: int) -> CrashScreen:
-        return CrashScreen(
+    def _make_screen(self, number: int) -> CrashFilter:
+        return CrashFilter(
             edge=f"e{number}",
             book=CrashTracker(),
             teller=_Teller(self, number),
