--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -11,7 +11,7 @@
 from ..edge.answers import make_refusal
 from ..edge.const import MAX_IDLE_PER_RUNNER
 from ..edge.crash_screen import CrashFilter
-from ..edge.crash_watch import CrashWatch
+from ..edge.crash_watch import CrashDetector
 from ..edge.forwarder import Forwarder
 from ..edge.pages import DirectoryPage, ReadyPage
 from ..edge.plain import PlainGrantProvider
@@ -264,7 +264,7 @@
             admission=self.admission,
             pool=ConnectionPool(MAX_IDLE_PER_RUNNER),
             metrics=process.metrics,
-            crash_watch=CrashWatch(
+            crash_watch=CrashDetector(
                 view=process.view,
                 metrics=process.metrics,
                 clock=process.clock,
--- a/mangoway/edge/crash_watch.py
+++ b/mangoway/edge/crash_watch.py
@@ -54,7 +54,7 @@
 
 
 @define(eq=False)
-class CrashWatch:
+class CrashDetector:
     """Checks runners whose connections break."""
 
     view: FleetView
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -19,7 +19,7 @@
 from .admission import Admission, Denial
 from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_answer
 from .crash_screen import CrashFilter
-from .crash_watch import CrashWatch
+from .crash_watch import CrashDetector
 from .delivery import Delivery
 from .handling import Handling
 from .identity import identify
@@ -53,7 +53,7 @@
     admission: Admission
     pool: ConnectionPool
     metrics: Metrics
-    crash_watch: CrashWatch
+    crash_watch: CrashDetector
     screen: CrashFilter
     signal_watch: SignalWatch
     random: Random
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -28,7 +28,7 @@
 )
 from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
 from .const import BUDGET_SPENT, MAX_SILENCE_S, MIN_SILENCE_S, SILENT_OBJECTIVES
-from .crash_watch import CrashWatch, LostRequest
+from .crash_watch import CrashDetector, LostRequest
 from .delivery import Delivery
 from .request_log import RequestLog
 from .runner_finder import FinderTools, RunnerFinder
@@ -40,7 +40,7 @@
     admission: Admission
     pool: ConnectionPool
     metrics: Metrics
-    crash_watch: CrashWatch
+    crash_watch: CrashDetector
 
 
 @define(eq=False)
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -12,7 +12,7 @@
 from mangoway.edge.admission import Admission
 from mangoway.edge.answers import make_refusal
 from mangoway.edge.crash_screen import CrashFilter
-from mangoway.edge.crash_watch import CrashWatch
+from mangoway.edge.crash_watch import CrashDetector
 from mangoway.edge.forwarder import Forwarder
 from mangoway.edge.plain import PlainGrantProvider
 from mangoway.edge.retry_budgets import RetryBudgets
@@ -297,7 +297,7 @@
         admission=Admission(view=view, measure_age=lambda: ages[0], revoke_s=5.0),
         pool=ConnectionPool(4),
         metrics=metrics,
-        crash_watch=CrashWatch(
+        crash_watch=CrashDetector(
             view=view,
             metrics=metrics,
             clock=clock,
