--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -13,7 +13,7 @@
 from ..policy.crashes.book import CrashTracker
 from ..policy.crashes.const import BEGIN_S
 from ..policy.crashes.memory import ServedRequests
-from .crash_watch import CrashSeen, LostRequest
+from .crash_watch import LostRequest, RunnerCrash
 
 TOLD_FROM: Final = 2
 """Charges from which others are told that a request has ended well. Most of what a
@@ -78,7 +78,7 @@
             if not waiting:
                 del self._waiting[identity.content]
 
-    def note_crash(self, crash: CrashSeen) -> None:
+    def note_crash(self, crash: RunnerCrash) -> None:
         """Charge the requests that a crashed runner had with the crash."""
         life = crash.life.text
         own = self._own.setdefault(life, {})
--- a/mangoway/edge/crash_watch.py
+++ b/mangoway/edge/crash_watch.py
@@ -38,7 +38,7 @@
 
 
 @frozen(kw_only=True)
-class CrashSeen:
+class RunnerCrash:
     """A runner crashed while it had requests of this edge."""
 
     life: RunnerLife
@@ -61,7 +61,7 @@
     metrics: Metrics
     clock: Callable[[], float]
     start_task: Callable[[Coroutine[Any, Any, None]], object]
-    on_crash: Callable[[CrashSeen], None] = lambda crash: None
+    on_crash: Callable[[RunnerCrash], None] = lambda crash: None
     """Told of each crash, and again of requests whose connections break later."""
 
     _checks: dict[RunnerLife, Check] = field(factory=dict, init=False)
@@ -150,7 +150,7 @@
                 ),
             )
         )
-        self.on_crash(CrashSeen(life=life, requests=tuple(requests)))
+        self.on_crash(RunnerCrash(life=life, requests=tuple(requests)))
 
 
 def _get_life(runner: RunnerEntry) -> RunnerLife:
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -8,7 +8,7 @@
     Statement,
 )
 from mangoway.edge.crash_screen import CrashFilter
-from mangoway.edge.crash_watch import CrashSeen, LostRequest
+from mangoway.edge.crash_watch import LostRequest, RunnerCrash
 from mangoway.edge.identity import identify
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
@@ -45,7 +45,7 @@
 
     def crash(self, life: str, *requests: RequestIdentity, ran_s: float = 0.0) -> None:
         self.screen.note_crash(
-            CrashSeen(
+            RunnerCrash(
                 life=RunnerLife(runner_id=life, started_ms=0),
                 requests=tuple(
                     LostRequest(identity=each, sent_at=self.now, ran_s=ran_s)
--- a/tests/edge/test_crash_watch.py
+++ b/tests/edge/test_crash_watch.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 
 from mangoway.coordination.view import FleetView
-from mangoway.edge.crash_watch import CrashDetector, CrashSeen, LostRequest
+from mangoway.edge.crash_watch import CrashDetector, LostRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity
 from mangoway.observability.metrics import Metrics
 from mangoway.util.tasks import Tasks
@@ -26,7 +26,7 @@
         self.view = FleetView()
         self.errors: list[BaseException] = []
         self.tasks = Tasks(self.errors.append)
-        self.crashes: list[CrashSeen] = []
+        self.crashes: list[RunnerCrash] = []
         self.watch = CrashDetector(
             view=self.view,
             metrics=Metrics(),
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -15,7 +15,7 @@
 
 from mangoway.coordination.crashes import Statement
 from mangoway.edge.crash_screen import CrashFilter
-from mangoway.edge.crash_watch import CrashSeen, LostRequest
+from mangoway.edge.crash_watch import LostRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity, RunnerLife
 from mangoway.policy.crashes.book import CrashTracker
 
@@ -278,7 +278,7 @@
                 )
                 for each in lost
             )
-            self.screens[edge].note_crash(CrashSeen(life=life, requests=requests))
+            self.screens[edge].note_crash(RunnerCrash(life=life, requests=requests))
         for request in running:
             request.crashed += 1
             self.figures.cut_off += not request.crashes
