--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -13,7 +13,7 @@
 from ..policy.crashes.book import CrashTracker
 from ..policy.crashes.const import BEGIN_S
 from ..policy.crashes.memory import ServedRequests
-from .crash_watch import LostRequest, RunnerCrash
+from .crash_watch import InterruptedRequest, RunnerCrash
 
 TOLD_FROM: Final = 2
 """Charges from which others are told that a request has ended well. Most of what a
@@ -102,7 +102,7 @@
     def _has_just_ended_well(self, identity: RequestIdentity) -> bool:
         return self.memory.knows(identity, self.clock())
 
-    def _make_charge(self, lost: LostRequest, life: str) -> Charge:
+    def _make_charge(self, lost: InterruptedRequest, life: str) -> Charge:
         content = lost.identity.content
         return Charge(
             lost.identity,
--- a/mangoway/edge/crash_watch.py
+++ b/mangoway/edge/crash_watch.py
@@ -28,7 +28,7 @@
 
 
 @frozen(kw_only=True)
-class LostRequest:
+class InterruptedRequest:
     """A request whose connection to its runner broke."""
 
     identity: RequestIdentity
@@ -42,14 +42,14 @@
     """A runner crashed while it had requests of this edge."""
 
     life: RunnerLife
-    requests: tuple[LostRequest, ...]
+    requests: tuple[InterruptedRequest, ...]
 
 
 @define(eq=False)
 class Check:
     """A runner that is being checked."""
 
-    lost: list[LostRequest]
+    lost: list[InterruptedRequest]
     done: asyncio.Event = field(factory=asyncio.Event)
 
 
@@ -69,7 +69,7 @@
     _crashed: dict[RunnerLife, float] = field(factory=dict, init=False)
     """Lives that ended in a crash and when that was noticed, oldest first."""
 
-    def note_lost(self, runner: RunnerEntry, lost: LostRequest) -> None:
+    def note_lost(self, runner: RunnerEntry, lost: InterruptedRequest) -> None:
         """Note that a request lost its connection to a runner.
 
         Args:
@@ -136,7 +136,7 @@
         check.done.set()
 
     def _report(
-        self, life: RunnerLife, service: str, requests: list[LostRequest]
+        self, life: RunnerLife, service: str, requests: list[InterruptedRequest]
     ) -> None:
         self.metrics.crashed_requests.add(service, amount=len(requests))
         now = self.clock()
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -28,7 +28,7 @@
 )
 from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
 from .const import BUDGET_SPENT, MAX_SILENCE_S, MIN_SILENCE_S, SILENT_OBJECTIVES
-from .crash_watch import CrashDetector, LostRequest
+from .crash_watch import CrashDetector, InterruptedRequest
 from .delivery import Delivery
 from .request_log import RequestLog
 from .runner_finder import FinderTools, RunnerFinder
@@ -183,7 +183,7 @@
         identity = self.log.identity
         first_at = self._first_event_at
         ran_s = 0.0 if first_at is None else self._clock() - first_at
-        lost = LostRequest(identity=identity, sent_at=sent_at, ran_s=ran_s)
+        lost = InterruptedRequest(identity=identity, sent_at=sent_at, ran_s=ran_s)
         self.tools.crash_watch.note_lost(runner, lost)
         if self.tools.screen.is_suspected(identity):
             await self.tools.crash_watch.async_settle(runner)
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -8,7 +8,7 @@
     Statement,
 )
 from mangoway.edge.crash_screen import CrashFilter
-from mangoway.edge.crash_watch import LostRequest, RunnerCrash
+from mangoway.edge.crash_watch import InterruptedRequest, RunnerCrash
 from mangoway.edge.identity import identify
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
@@ -48,7 +48,7 @@
             RunnerCrash(
                 life=RunnerLife(runner_id=life, started_ms=0),
                 requests=tuple(
-                    LostRequest(identity=each, sent_at=self.now, ran_s=ran_s)
+                    InterruptedRequest(identity=each, sent_at=self.now, ran_s=ran_s)
                     for each in requests
                 ),
             )
--- a/tests/edge/test_crash_watch.py
+++ b/tests/edge/test_crash_watch.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 
 from mangoway.coordination.view import FleetView
-from mangoway.edge.crash_watch import CrashDetector, LostRequest, RunnerCrash
+from mangoway.edge.crash_watch import CrashDetector, InterruptedRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity
 from mangoway.observability.metrics import Metrics
 from mangoway.util.tasks import Tasks
@@ -40,7 +40,7 @@
     ) -> None:
         runner = make_runner("r1", address=address)
         sent_at = self.clock() - ago_s
-        lost = LostRequest(identity=identity, sent_at=sent_at, ran_s=0.0)
+        lost = InterruptedRequest(identity=identity, sent_at=sent_at, ran_s=0.0)
         self.watch.note_lost(runner, lost)
 
     async def async_rest(self) -> None:
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -15,7 +15,7 @@
 
 from mangoway.coordination.crashes import Statement
 from mangoway.edge.crash_screen import CrashFilter
-from mangoway.edge.crash_watch import LostRequest, RunnerCrash
+from mangoway.edge.crash_watch import InterruptedRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity, RunnerLife
 from mangoway.policy.crashes.book import CrashTracker
 
@@ -271,7 +271,7 @@
         for edge in {each.edge for each in running}:
             lost = [each for each in running if each.edge == edge]
             requests = tuple(
-                LostRequest(
+                InterruptedRequest(
                     identity=each.identity,
                     sent_at=each.sent_at,
                     ran_s=max(0.0, self.now - each.sent_at - BEGUN_AFTER_S),
