--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -16,7 +16,7 @@
 from ..edge.pages import DirectoryPage, ReadyPage
 from ..edge.plain import PlainGrantProvider
 from ..edge.retry_budgets import RetryBudgets
-from ..edge.signal_watch import SignalWatch
+from ..edge.signal_watch import SignalTracker
 from ..http1.client import ConnectionPool
 from ..http1.server import ServerOptions, async_listen
 from ..models.fleet import Role
@@ -93,7 +93,7 @@
     reporter: CrashReporter = field(init=False)
     admission: Admission = field(init=False)
     retry_budgets: RetryBudgets = field(init=False)
-    signal_watch: SignalWatch = field(init=False)
+    signal_watch: SignalTracker = field(init=False)
     lone_share: DisconnectedShare = field(factory=DisconnectedShare, init=False)
     forwarder: Forwarder = field(init=False)
     callers: ServerOptions = field(init=False)
@@ -222,10 +222,10 @@
         )
         return SchedulerClient(process.leader_link, local, process.incarnation)
 
-    def _make_signal_watch(self) -> SignalWatch:
+    def _make_signal_watch(self) -> SignalTracker:
         limits = self.client.local.core.state.limits
         limits.get_share = self.lone_share.measure
-        watch = SignalWatch(
+        watch = SignalTracker(
             metrics=self.process.metrics,
             limits=limits,
             clock=self.process.clock,
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -26,7 +26,7 @@
 from .plain import PlainGrantProvider
 from .request_log import RequestLog
 from .retry_budgets import RetryBudgets
-from .signal_watch import SignalWatch
+from .signal_watch import SignalTracker
 
 NO_CONFIGURATION = Denial(
     status=STATUS_NOT_RUN,
@@ -55,7 +55,7 @@
     metrics: Metrics
     crash_watch: CrashDetector
     screen: CrashFilter
-    signal_watch: SignalWatch
+    signal_watch: SignalTracker
     random: Random
     numbers: "count[int]" = field(factory=count, init=False)
 
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -24,7 +24,7 @@
 from .repeat_payment import RepeatPayment
 from .request_log import RequestLog
 from .retry_budgets import RetryBudgets
-from .signal_watch import SignalWatch
+from .signal_watch import SignalTracker
 
 
 class FinderTools(Protocol):
@@ -36,7 +36,7 @@
     plain: PlainGrantProvider
     retry_budgets: RetryBudgets
     screen: CrashFilter
-    signal_watch: SignalWatch
+    signal_watch: SignalTracker
     numbers: "count[int]"
 
 
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -55,7 +55,7 @@
 
 
 @define(eq=False)
-class SignalWatch:
+class SignalTracker:
     """Keeps what runners said of themselves, and tells the scheduler what is new."""
 
     metrics: Metrics
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -16,7 +16,7 @@
 from mangoway.edge.forwarder import Forwarder
 from mangoway.edge.plain import PlainGrantProvider
 from mangoway.edge.retry_budgets import RetryBudgets
-from mangoway.edge.signal_watch import SignalWatch
+from mangoway.edge.signal_watch import SignalTracker
 from mangoway.http1.client import ConnectionPool
 from mangoway.http1.server import ServerOptions, async_listen
 from mangoway.models.routing import CallerLimits, Route, RouteKind
@@ -305,7 +305,7 @@
             on_crash=screen.note_crash,
         ),
         screen=screen,
-        signal_watch=SignalWatch(
+        signal_watch=SignalTracker(
             metrics, LimitTracker(), clock, view, "e1", CooldownTracker()
         ),
         random=Random(1),
