--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -234,7 +234,7 @@
             rests=self.client.local.core.state.rests,
             tell=self.client.tell,
         )
-        self.client.on_limit = watch.take_told_limit
+        self.client.on_limit = watch.handle_relayed_limit
         self.client.on_leaving = watch.take_told_leaving
         self.client.list_leaving = self.process.view.list_leaving
         self.client.list_limits = watch.list_limits
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -109,7 +109,7 @@
         if signals.limit_known:
             self._note_limit(runner, signals.limit, asked_at)
 
-    def take_told_limit(self, said: LimitReport) -> None:
+    def handle_relayed_limit(self, said: LimitReport) -> None:
         """Take a limit that another edge has read."""
         if not self._believe_limit(said, "the scheduler"):
             end = self.limits.find_end(said, self.clock())
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -24,7 +24,7 @@
         request_age_s=0.0,
         response_age_s=0.0,
     )
-    edge.forwarder.signal_watch.take_told_limit(said)
+    edge.forwarder.signal_watch.handle_relayed_limit(said)
     edge.placer.permit_waits[runner_id] = wait_s
 
 
@@ -180,7 +180,7 @@
                 [said] = edge.forwarder.signal_watch.list_limits()
                 await edge.async_call("/once/x")
                 edge.forwarder.signal_watch.tell = told.append
-                edge.forwarder.signal_watch.take_told_limit(
+                edge.forwarder.signal_watch.handle_relayed_limit(
                     evolve(said, response_age_s=0.3)
                 )
         assert [each.limit for each in told] == [None]
