--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -235,7 +235,7 @@
             tell=self.client.tell,
         )
         self.client.on_limit = watch.handle_relayed_limit
-        self.client.on_leaving = watch.take_told_leaving
+        self.client.on_leaving = watch.handle_relayed_leaving
         self.client.list_leaving = self.process.view.list_leaving
         self.client.list_limits = watch.list_limits
         return watch
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -126,7 +126,7 @@
         life = (runner.runner_id, runner.started_ms)
         return self.rests.measure_wait(self.edge, *life, self.clock())
 
-    def take_told_leaving(self, said: LeavingReport) -> None:
+    def handle_relayed_leaving(self, said: LeavingReport) -> None:
         """Take that a runner leaves which another process has heard."""
         self._believe_leaving(said, "the scheduler")
 
