--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -25,7 +25,7 @@
 the statement of its life, within a second."""
 
 
-class Teller(Protocol):
+class StatementSender(Protocol):
     """Tells other processes."""
 
     def post(self, statement: Statement) -> None:
@@ -41,7 +41,7 @@
     """Incarnation of this edge."""
 
     book: CrashTracker
-    teller: Teller
+    teller: StatementSender
     clock: Callable[[], float]
     memory: ServedRequests = field(factory=ServedRequests)
     _own: dict[str, dict[RequestIdentity, Charge]] = field(factory=dict, init=False)
