--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -322,7 +322,7 @@
         while True:
             await async_sleep_to_tick(SWEEP_S)
             self.forwarder.pool.sweep(self.process.clock())
-            self.forwarder.plain.forget_gone()
+            self.forwarder.plain.forget_removed_runners()
             self.signal_watch.keep_only(set(self.process.view.runners))
 
     async def _async_look_at_members(self) -> None:
--- a/mangoway/edge/plain.py
+++ b/mangoway/edge/plain.py
@@ -33,7 +33,7 @@
     in_flight: InFlight = field(factory=InFlight, init=False)
     health: HealthTracker = field(factory=HealthTracker, init=False)
 
-    def forget_gone(self) -> None:
+    def forget_removed_runners(self) -> None:
         """Forget the failures of runners that are gone."""
         self.health.keep_only(set(self.view.runners))
 
