--- a/mangoway/edge/answers.py
+++ b/mangoway/edge/answers.py
@@ -16,7 +16,7 @@
 STATUS_TIMEOUT: Final = 504
 
 
-def make_answer(
+def make_response(
     reason: str, retry_after_s: float | None = None
 ) -> tuple[Headers, bytes]:
     """Return fields and body of an answer of this system."""
@@ -28,4 +28,4 @@
 
 def make_refusal(status: int, reason: str) -> tuple[Headers, bytes]:
     """Return fields and body of an answer to what is no proper request."""
-    return make_answer(reason)
+    return make_response(reason)
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -17,7 +17,7 @@
 from ..policy.edge.const import RETRY_AFTER_START_S
 from ..scheduling.placing import GrantProvider
 from .admission import Admission, Denial
-from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_answer
+from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .crash_screen import CrashFilter
 from .crash_watch import CrashDetector
 from .delivery import Delivery
@@ -118,7 +118,7 @@
 def _reject(delivery: Delivery, request_log: RequestLog, denial: Denial) -> None:
     """Answer a request that reaches no runner."""
     request_log.note_rejected(denial.status, denial.reason, denial.retry_after_s)
-    answer = make_answer(denial.reason, denial.retry_after_s)
+    answer = make_response(denial.reason, denial.retry_after_s)
     delivery.answer(denial.status, *answer)
 
 
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -24,7 +24,7 @@
     STATUS_NOT_RUN,
     STATUS_OVER_QUOTA,
     STATUS_TIMEOUT,
-    make_answer,
+    make_response,
 )
 from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
 from .const import BUDGET_SPENT, MAX_SILENCE_S, MIN_SILENCE_S, SILENT_OBJECTIVES
@@ -274,7 +274,7 @@
             return
         self._finder.give_back_quota()
         self.log.note_rejected(status, reason, retry_after_s)
-        self.delivery.answer(status, *make_answer(reason, retry_after_s))
+        self.delivery.answer(status, *make_response(reason, retry_after_s))
 
     def _fail(self, status: int, reason: str) -> None:
         """Answer a failure: the runner's own if it gave one."""
@@ -287,7 +287,7 @@
         elif error is not None:
             deliver_whole(self.delivery, error)
         else:
-            self.delivery.answer(status, *make_answer(reason))
+            self.delivery.answer(status, *make_response(reason))
 
     def _time_out(self) -> None:
         if self._in_attempt:
--- a/mangoway/edge/pages.py
+++ b/mangoway/edge/pages.py
@@ -11,7 +11,7 @@
 from ..models.fleet import Role
 from ..platform.pages import PATH_READY, decode_question, encode_addresses
 from ..policy.edge.naming import choose_gateways
-from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_answer
+from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .const import DIRECTORY_TTL_S
 
 
@@ -26,12 +26,12 @@
         """Answer which edges a caller is to use."""
         question = decode_question(request)
         if question is None:
-            exchange.answer(STATUS_NO_ROUTE, *make_answer("no such page"))
+            exchange.answer(STATUS_NO_ROUTE, *make_response("no such page"))
             return
         edges = [each for each in self.view.members.values() if each.role is Role.EDGE]
         named = choose_gateways(edges, question.data_centre, self.random)
         if not named:
-            exchange.answer(STATUS_NOT_RUN, *make_answer("no edge is known yet"))
+            exchange.answer(STATUS_NOT_RUN, *make_response("no edge is known yet"))
             return
         addresses = [each.caller_address for each in named]
         exchange.answer(200, *encode_addresses(addresses, DIRECTORY_TTL_S))
@@ -46,7 +46,9 @@
     async def async_handle(self, request: Request, exchange: Exchange) -> None:
         """Answer whether the edge is ready."""
         if request.path != PATH_READY:
-            exchange.answer(STATUS_NO_ROUTE, *make_answer("no such page"))
+            exchange.answer(STATUS_NO_ROUTE, *make_response("no such page"))
             return
         status = 200 if self.is_ready() else STATUS_NOT_RUN
-        exchange.answer(status, *make_answer("ready" if status == 200 else "not ready"))
+        exchange.answer(
+            status, *make_response("ready" if status == 200 else "not ready")
+        )
