--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -8,7 +8,7 @@
 
 from ..coordination.crash_reporter import CrashReporter
 from ..edge.admission import Admission
-from ..edge.answers import make_refusal
+from ..edge.answers import make_error_response
 from ..edge.const import MAX_IDLE_PER_RUNNER
 from ..edge.crash_screen import CrashFilter
 from ..edge.crash_watch import CrashDetector
@@ -134,7 +134,7 @@
         self.callers = ServerOptions(
             handle=self.forwarder.async_handle,
             limits=self._get_limits,
-            refuse=make_refusal,
+            refuse=make_error_response,
             on_error=_log_error,
         )
         self.process.view.on_change.append(self._note_view)
@@ -153,7 +153,9 @@
             (settings.directory_listen, directory.async_handle),
             (settings.ready_listen, ready.async_handle),
         ):
-            options = ServerOptions(handle, CallerLimits, make_refusal, _log_error)
+            options = ServerOptions(
+                handle, CallerLimits, make_error_response, _log_error
+            )
             self.pages.append(options)
             self._servers.append(await async_listen(options, open_address(address)))
         listener = open_address(settings.caller_listen)
--- a/mangoway/edge/answers.py
+++ b/mangoway/edge/answers.py
@@ -26,6 +26,6 @@
     return tuple(fields), orjson.dumps({"error": reason})
 
 
-def make_refusal(status: int, reason: str) -> tuple[Headers, bytes]:
+def make_error_response(status: int, reason: str) -> tuple[Headers, bytes]:
     """Return fields and body of an answer to what is no proper request."""
     return make_response(reason)
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -10,7 +10,7 @@
 from mangoway.coordination.crashes import Statement
 from mangoway.coordination.view import FleetView
 from mangoway.edge.admission import Admission
-from mangoway.edge.answers import make_refusal
+from mangoway.edge.answers import make_error_response
 from mangoway.edge.crash_screen import CrashFilter
 from mangoway.edge.crash_watch import CrashDetector
 from mangoway.edge.forwarder import Forwarder
@@ -311,7 +311,7 @@
         random=Random(1),
     )
     options = ServerOptions(
-        forwarder.async_handle, CallerLimits, make_refusal, errors.append
+        forwarder.async_handle, CallerLimits, make_error_response, errors.append
     )
     listener = open_listener("127.0.0.1", 0)
     port = listener.getsockname()[1]
