--- a/mangoway/edge/const.py
+++ b/mangoway/edge/const.py
@@ -27,7 +27,7 @@
 """Time for which callers keep an answer of the directory. Some keep it three times as
 long, and a gateway that stops can serve only for its grace time of 8 s."""
 
-HELD_BACK: Final = "it makes its runners crash"
+CRASHING_REQUEST_REASON: Final = "it makes its runners crash"
 """Why a request is refused that the crashes of its runners tell against."""
 
 BUDGET_SPENT: Final = "the retry budget is spent"
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -17,7 +17,7 @@
 from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
 from ..scheduling.placing import Answer, GrantProvider
 from .admission import Caller
-from .const import HELD_BACK, OTHER_PLACE_S, PLACES_ASKED
+from .const import CRASHING_REQUEST_REASON, OTHER_PLACE_S, PLACES_ASKED
 from .crash_screen import CrashFilter
 from .delivery import Delivery
 from .plain import PlainGrantProvider
@@ -205,7 +205,7 @@
         return self.tools.screen.is_blocked(self.log.identity)
 
     def _refuse_held(self) -> Refuse:
-        return self._make_refusal(HELD_BACK, RETRY_AFTER_BLOCK_S)
+        return self._make_refusal(CRASHING_REQUEST_REASON, RETRY_AFTER_BLOCK_S)
 
     async def _async_place(self) -> RunnerEntry | Refuse:
         """Return the runner to send to, or why there is none."""
