--- a/mangoway/edge/admission.py
+++ b/mangoway/edge/admission.py
@@ -28,7 +28,7 @@
     credential: Credential | None = None
     """The key by which the customer was found."""
 
-    keeps_credentials: bool = False
+    forwards_credentials: bool = False
     """Whether what the caller shows goes on to runners: where no keys are in use."""
 
     @property
@@ -99,7 +99,7 @@
         """Return who asks, or why that may not be served."""
         registry = self._registry
         if registry is None:
-            return Caller(keeps_credentials=True)
+            return Caller(forwards_credentials=True)
         if not route.public and self._is_stale():
             return STALE
         key = read_key(request)
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -146,7 +146,7 @@
                 priority=self._choose_priority(),
                 last_event_id=self.delivery.last_event_id,
                 customer=self.caller.name,
-                keeps_credentials=self.caller.keeps_credentials,
+                forwards_credentials=self.caller.forwards_credentials,
             ),
             request_id=self.fields.request_id,
             runner=runner,
--- a/mangoway/platform/requests.py
+++ b/mangoway/platform/requests.py
@@ -63,7 +63,7 @@
     priority: int | None,
     last_event_id: str | None,
     customer: str | None = None,
-    keeps_credentials: bool = True,
+    forwards_credentials: bool = True,
 ) -> Request:
     """Return a request as it goes to a runner.
 
@@ -77,7 +77,7 @@
         keeps_credentials: Whether the caller's credentials are the runner's business.
     """
     kept = drop_headers(list_end_to_end(request.headers), names.RESERVED)
-    if not keeps_credentials:
+    if not forwards_credentials:
         kept = drop_headers(kept, {names.AUTHORIZATION})
     if last_event_id is not None:
         kept = drop_headers(kept, {names.LAST_EVENT})
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -131,7 +131,7 @@
             priority=None,
             last_event_id=None,
             customer="acme",
-            keeps_credentials=False,
+            forwards_credentials=False,
         )
         assert sent.find(b"x-tenant") == "acme"
         assert sum(1 for name, _ in sent.headers if name.lower() == b"x-tenant") == 1
