--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -235,14 +235,14 @@
     async def _async_ask_place(self) -> Answer:
         """Ask for a place, whose key is kept."""
         asked_at = self._clock()
-        asked = self._make_ask(asked_at, self._excluded)
-        self._key = asked.request_id
-        answer = await self._async_ask(asked)
+        grant_request = self._make_ask(asked_at, self._excluded)
+        self._key = grant_request.request_id
+        answer = await self._async_ask(grant_request)
         self.log.queued_s += self._clock() - asked_at
         if isinstance(answer, Refuse):
             self.end(EndKind.LEFT)
         else:
-            self._charged += asked.cost
+            self._charged += grant_request.cost
         return answer
 
     async def _async_place_plain(
@@ -280,9 +280,9 @@
         limits = self.tools.signal_watch.limits
         return limits.get_limit(runner.runner_id, runner.started_ms) is not None
 
-    async def _async_ask(self, asked: GrantRequest) -> Answer:
+    async def _async_ask(self, grant_request: GrantRequest) -> Answer:
         """Ask for a place; refused at once if the request becomes held back."""
-        future = self.tools.placer.ask(asked)
+        future = self.tools.placer.ask(grant_request)
 
         def refuse() -> None:
             if not future.done():
@@ -292,13 +292,13 @@
             return await future
 
     async def _async_ask_other(self, excluded: list[str]) -> bool:
-        asked = self._make_ask(self._clock(), excluded, repeat=True)
+        grant_request = self._make_ask(self._clock(), excluded, repeat=True)
         placer = self.tools.placer
         try:
             async with asyncio.timeout(OTHER_PLACE_S):
-                answer = await placer.ask(asked)
+                answer = await placer.ask(grant_request)
         except (TimeoutError, asyncio.CancelledError) as error:
-            placer.end(asked.request_id, EndKind.LEFT)
+            placer.end(grant_request.request_id, EndKind.LEFT)
             if isinstance(error, asyncio.CancelledError):
                 raise
             return False
@@ -306,9 +306,9 @@
         if not isinstance(answer, Refuse):
             entry = self.tools.view.find_open_runner(answer.runner_id)
         if entry is None or not self._may_send(entry):
-            placer.end(asked.request_id, EndKind.LEFT)
+            placer.end(grant_request.request_id, EndKind.LEFT)
             return False
-        self._next = NextPlace(asked.request_id, entry)
+        self._next = NextPlace(grant_request.request_id, entry)
         return True
 
     def _make_ask(
--- a/mangoway/policy/scheduling/adapters.py
+++ b/mangoway/policy/scheduling/adapters.py
@@ -52,14 +52,14 @@
     lacking = [
         each
         for each in artifact
-        if not any(state.allows(each.asked, runner, now) for runner in having)
+        if not any(state.allows(each.grant_request, runner, now) for runner in having)
     ]
     if not lacking:
         return []
     runners = [
         runner
         for runner in runners
-        if any(state.allows(each.asked, runner, now) for each in lacking)
+        if any(state.allows(each.grant_request, runner, now) for each in lacking)
     ]
     order = _plan_one(state, runners, model, adapter, lacking, now)
     return [] if order is None else [order]
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -107,19 +107,23 @@
 
     def serve_request(self, waiting: Waiting, now: float) -> list[Action]:
         """Return what can be done for a request that has just come."""
-        asked = waiting.asked
+        grant_request = waiting.grant_request
         # What has waited goes first.
         actions = self._serve_due(now)
-        self.state.get_queue(asked.service).add(waiting, now)
-        dispatcher = Dispatcher(self.state, asked.service, now)
+        self.state.get_queue(grant_request.service).add(waiting, now)
+        dispatcher = Dispatcher(self.state, grant_request.service, now)
         grants = dispatcher.serve_request(waiting)
         if grants:
             return [*actions, *grants]
-        if asked.adapter and self.state.orders_allowed:
+        if grant_request.adapter and self.state.orders_allowed:
             actions += plan_adapter(
-                self.state, asked.service, asked.model, asked.adapter, now
+                self.state,
+                grant_request.service,
+                grant_request.model,
+                grant_request.adapter,
+                now,
             )
-        return actions + self._plan_if_due(asked.service, now)
+        return actions + self._plan_if_due(grant_request.service, now)
 
     def serve_runner(self, runner: RunnerState, now: float) -> list[Action]:
         """Return what can be done now that something has changed at a runner."""
@@ -222,7 +226,7 @@
     core: SchedulingCore, event: RequestAdopted, now: float
 ) -> list[Action]:
     runner = core.state.runners.get(event.runner_id)
-    waiting = _make_waiting(core.state, event.asked, now)
+    waiting = _make_waiting(core.state, event.grant_request, now)
     if runner is None or waiting.key in core.state.granted:
         return []
     running = place(core.state, waiting, runner, now)
@@ -243,10 +247,10 @@
         return []
     begun_at = runner.reading.find_begin(running)
     if begun_at is not None:
-        pace = core.state.pace.get(running.asked.service)
-        pace.learn(running.asked.model, running.unread_tokens, now - begun_at)
+        pace = core.state.pace.get(running.grant_request.service)
+        pace.learn(running.grant_request.model, running.unread_tokens, now - begun_at)
     runner.reading.note_first_event(running, now)
-    runner.note_accepted(running.asked.model, running.asked.adapter)
+    runner.note_accepted(running.grant_request.model, running.grant_request.adapter)
     core.note_health(running, EndKind.SERVED, now)
     return core.serve_runner(runner, now)
 
@@ -262,14 +266,16 @@
     if running is None or runner is None:
         return []
     if event.kind in (EndKind.NOT_HELD, EndKind.NOT_RUN):
-        runner.note_refused(running.asked.model, running.asked.adapter, now)
+        runner.note_refused(
+            running.grant_request.model, running.grant_request.adapter, now
+        )
     core.note_health(running, event.kind, now)
     if event.kind.was_served:
-        gaps = core.state.get_gaps(running.asked.service)
+        gaps = core.state.get_gaps(running.grant_request.service)
         gaps.note(now, paused=event.kind is EndKind.PAUSED)
         if not running.adopted:
-            stays = core.state.get_stays(running.asked.service)
-            stays.learn(running.asked.model, now - running.granted_at)
+            stays = core.state.get_stays(running.grant_request.service)
+            stays.learn(running.grant_request.model, now - running.granted_at)
     return core.serve_runner(runner, now)
 
 
@@ -405,8 +411,10 @@
     for each in refusals:
         waiting = queue.remove((each.edge, each.request_id))
         if waiting is not None:
-            asked = waiting.asked
-            core.state.returns.note_refused(asked.model, asked.prompt, now)
+            grant_request = waiting.grant_request
+            core.state.returns.note_refused(
+                grant_request.model, grant_request.prompt, now
+            )
     return list(refusals)
 
 
@@ -418,15 +426,17 @@
     state.demand.note(event.service, event.model, work_s, now)
 
 
-def _make_waiting(state: SchedulingState, asked: GrantRequest, now: float) -> Waiting:
-    pace = state.pace.get(asked.service)
-    reading_s = pace.estimate(asked.model, asked.prompt.tokens)
-    objective_at = now + asked.objective_left_s
+def _make_waiting(
+    state: SchedulingState, grant_request: GrantRequest, now: float
+) -> Waiting:
+    pace = state.pace.get(grant_request.service)
+    reading_s = pace.estimate(grant_request.model, grant_request.prompt.tokens)
+    objective_at = now + grant_request.objective_left_s
     return Waiting(
-        asked=asked,
+        grant_request=grant_request,
         arrived_at=now,
         objective_at=objective_at,
-        leave_at=now + asked.patience_left_s,
+        leave_at=now + grant_request.patience_left_s,
         late_at=objective_at - reading_s - pace.first_event_s,
     )
 
--- a/mangoway/policy/scheduling/dispatch.py
+++ b/mangoway/policy/scheduling/dispatch.py
@@ -91,8 +91,8 @@
         choices = 0
         others = []
         pace = self.state.pace.get(self.service)
-        s_per_token = pace.estimate(waiting.asked.model, 1)
-        for runner in self._turn(self._list_holders(waiting.asked.model)):
+        s_per_token = pace.estimate(waiting.grant_request.model, 1)
+        for runner in self._turn(self._list_holders(waiting.grant_request.model)):
             if not (self._has_room(runner) and self._can_take(waiting, runner)):
                 others.append(runner)
                 continue
@@ -123,7 +123,7 @@
         if not roomy:
             return grants
         for waiting in self._queue.list_sorted():
-            if waiting.asked.model in roomy:
+            if waiting.grant_request.model in roomy:
                 grants += self.serve_request(waiting)
         return grants
 
@@ -136,10 +136,10 @@
         return self.state.measure_limit_wait(runner, self.now) == 0
 
     def _can_take(self, waiting: Waiting, runner: RunnerState) -> bool:
-        asked = waiting.asked
+        grant_request = waiting.grant_request
         return (
-            runner.is_ready(asked.model, asked.adapter, self.now)
-            and self.state.allows(asked, runner, self.now)
+            runner.is_ready(grant_request.model, grant_request.adapter, self.now)
+            and self.state.allows(grant_request, runner, self.now)
             and runner.has_memory(waiting.kv_tokens)
         )
 
@@ -159,7 +159,7 @@
         for looks, waiting in enumerate(queue):
             if looks == MAX_LOOKS:
                 return None
-            if not self.state.allows(waiting.asked, runner, self.now):
+            if not self.state.allows(waiting.grant_request, runner, self.now):
                 continue
             if runner.has_memory(waiting.kv_tokens):
                 return waiting
@@ -203,7 +203,7 @@
         state, now = self.state, self.now
         cost = runner.reading.measure(now) + reading_s
         cost += RUNNING_S * len(runner.running)
-        place = state.edge_data_centres.get(waiting.asked.edge)
+        place = state.edge_data_centres.get(waiting.grant_request.edge)
         if place is not None and place != runner.entry.data_centre:
             cost += OTHER_ZONE_S
         if runner.measure_stall(reading_s, now) > STALL_LIMIT_S:
@@ -212,14 +212,16 @@
 
     def _grant(self, waiting: Waiting, runner: RunnerState) -> Grant:
         """Move a waiting request to a runner."""
-        asked = waiting.asked
+        grant_request = waiting.grant_request
         place(self.state, waiting, runner, self.now)
         entry = runner.entry
         self.state.limits.take(entry.runner_id, entry.started_ms, self.now)
         self._queue.remove(waiting.key)
         self.state.health.note_sent(runner.runner_id, self.now)
         return Grant(
-            edge=asked.edge, request_id=asked.request_id, runner_id=runner.runner_id
+            edge=grant_request.edge,
+            request_id=grant_request.request_id,
+            runner_id=runner.runner_id,
         )
 
 
@@ -236,29 +238,29 @@
 def count_unread(waiting: Waiting, runner: RunnerState) -> int:
     """Return the prompt tokens that a runner would have to read."""
     kept = runner.prefixes.count_kept(waiting.parts)
-    return max(1, waiting.asked.prompt.tokens - kept)
+    return max(1, waiting.grant_request.prompt.tokens - kept)
 
 
 def place(
     state: SchedulingState, waiting: Waiting, runner: RunnerState, now: float
 ) -> Running:
     """Count a request as running at a runner."""
-    asked = waiting.asked
+    grant_request = waiting.grant_request
     unread = count_unread(waiting, runner)
-    pace = state.pace.get(asked.service)
+    pace = state.pace.get(grant_request.service)
     running = Running(
-        asked=asked,
+        grant_request=grant_request,
         runner_id=runner.runner_id,
         granted_at=now,
-        unread_s=pace.estimate(asked.model, unread),
+        unread_s=pace.estimate(grant_request.model, unread),
         unread_tokens=unread,
         first_event_s=pace.first_event_s,
         kv_tokens=waiting.kv_tokens,
     )
     runner.add(waiting.key, running, now)
     runner.prefixes.note_read(waiting.parts)
-    held = runner.held.get(asked.model)
-    if held is not None and asked.adapter:
-        held.used_at[asked.adapter] = now
+    held = runner.held.get(grant_request.model)
+    if held is not None and grant_request.adapter:
+        held.used_at[grant_request.adapter] = now
     state.granted[waiting.key] = runner.runner_id
     return running
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -83,7 +83,7 @@
 class RequestAdopted:
     """A request runs at a runner that another scheduler, or the edge itself, chose."""
 
-    asked: GrantRequest
+    grant_request: GrantRequest
     runner_id: str
     reading: bool
     """Whether it has got no event yet."""
--- a/mangoway/policy/scheduling/hopeless.py
+++ b/mangoway/policy/scheduling/hopeless.py
@@ -66,17 +66,21 @@
                 refusals.append(self._refuse(waiting, starts_at, reason))
                 if runner_id and self._is_limited(runner_id):
                     # Who is refused comes back one after the other.
-                    self._occupy(waiting.asked, runner_id, starts_at)
+                    self._occupy(waiting.grant_request, runner_id, starts_at)
             elif runner_id:
-                self._occupy(waiting.asked, runner_id, starts_at)
+                self._occupy(waiting.grant_request, runner_id, starts_at)
         return refusals
 
     def _find_start(self, waiting: Waiting) -> tuple[float, str] | None:
         """Return when and where a request would start; nowhere without a holder."""
-        asked = waiting.asked
-        if asked.only or asked.excluded or self.state.rests.has_cooldowns(self.now):
-            return self._find_allowed_start(asked)
-        heap = self._get_heap(asked)
+        grant_request = waiting.grant_request
+        if (
+            grant_request.only
+            or grant_request.excluded
+            or self.state.rests.has_cooldowns(self.now)
+        ):
+            return self._find_allowed_start(grant_request)
+        heap = self._get_heap(grant_request)
         while heap:
             at, runner_id = heap[0]
             free_at = self._free_at[runner_id]
@@ -85,49 +89,63 @@
             heapq.heapreplace(heap, (free_at, runner_id))
         if not self._runners:
             return None
-        return self._expect_load(asked), ""
+        return self._expect_load(grant_request), ""
 
-    def _find_allowed_start(self, asked: GrantRequest) -> tuple[float, str] | None:
+    def _find_allowed_start(
+        self, grant_request: GrantRequest
+    ) -> tuple[float, str] | None:
         """Return the same for a request that may not go to all runners."""
-        if not any(allows(asked, each) for each in self._runners):
+        if not any(allows(grant_request, each) for each in self._runners):
             return None
         times = [
-            (at + self._measure_rest(asked, runner_id, at), runner_id)
-            for at, runner_id in self._list_times(asked)
-            if allows(asked, runner_id)
+            (at + self._measure_rest(grant_request, runner_id, at), runner_id)
+            for at, runner_id in self._list_times(grant_request)
+            if allows(grant_request, runner_id)
         ]
         if times:
             return min(times)
-        return self._expect_load(asked), ""
+        return self._expect_load(grant_request), ""
 
-    def _measure_rest(self, asked: GrantRequest, runner_id: str, at: float) -> float:
+    def _measure_rest(
+        self, grant_request: GrantRequest, runner_id: str, at: float
+    ) -> float:
         """Return for how much longer a runner wants nothing of a request's edge."""
-        rest_s = self.state.measure_rest(asked, self._runners[runner_id], self.now)
+        rest_s = self.state.measure_rest(
+            grant_request, self._runners[runner_id], self.now
+        )
         return max(0.0, self.now + rest_s - at)
 
-    def _expect_load(self, asked: GrantRequest) -> float:
+    def _expect_load(self, grant_request: GrantRequest) -> float:
         earliest = min(self._free_at.values())
-        return max(self._ready.get(asked.model), earliest)
+        return max(self._ready.get(grant_request.model), earliest)
 
-    def _get_heap(self, asked: GrantRequest) -> FreeHeap:
-        key = (asked.model, asked.adapter)
+    def _get_heap(self, grant_request: GrantRequest) -> FreeHeap:
+        key = (grant_request.model, grant_request.adapter)
         heap = self._heaps.get(key)
         if heap is None:
-            heap = self._heaps[key] = self._list_times(asked)
+            heap = self._heaps[key] = self._list_times(grant_request)
             heapq.heapify(heap)
         return heap
 
-    def _list_times(self, asked: GrantRequest) -> FreeHeap:
-        holders = self.state.get_copies(self.service).held.get(asked.model)
+    def _list_times(self, grant_request: GrantRequest) -> FreeHeap:
+        holders = self.state.get_copies(self.service).held.get(grant_request.model)
         return [
-            (max(self._free_at[each], _expect_ready(asked, self._runners[each])), each)
+            (
+                max(
+                    self._free_at[each],
+                    _expect_ready(grant_request, self._runners[each]),
+                ),
+                each,
+            )
             for each in holders
             if each in self._runners
         ]
 
-    def _occupy(self, asked: GrantRequest, runner_id: str, starts_at: float) -> None:
+    def _occupy(
+        self, grant_request: GrantRequest, runner_id: str, starts_at: float
+    ) -> None:
         pace = self.state.pace.get(self.service)
-        reading_s = pace.estimate(asked.model, asked.prompt.tokens)
+        reading_s = pace.estimate(grant_request.model, grant_request.prompt.tokens)
         entry = self._runners[runner_id].entry
         spacing_s = self.state.limits.measure_spacing(runner_id, entry.started_ms)
         self._free_at[runner_id] = starts_at + max(reading_s, spacing_s)
@@ -140,8 +158,8 @@
         wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, free_at - self.now))
         spread = 1 + RETRY_SPREAD * self.state.random.random()
         return Refuse(
-            edge=waiting.asked.edge,
-            request_id=waiting.asked.request_id,
+            edge=waiting.grant_request.edge,
+            request_id=waiting.grant_request.request_id,
             retry_after_s=round(wait_s * spread, 3),
             reason=reason,
         )
@@ -152,12 +170,12 @@
     return waiting.arrived_at + PATIENCE_USED * patience
 
 
-def _expect_ready(asked: GrantRequest, runner: RunnerState) -> float:
+def _expect_ready(grant_request: GrantRequest, runner: RunnerState) -> float:
     """Return when a holder of the model can serve a request, its adapter included."""
-    held = runner.held[asked.model]
-    if not asked.adapter:
+    held = runner.held[grant_request.model]
+    if not grant_request.adapter:
         return held.ready_at
-    known_at = held.adapters.get(asked.adapter)
+    known_at = held.adapters.get(grant_request.adapter)
     if known_at is not None:
         return max(held.ready_at, known_at)
     # An adapter is ordered only once a load of a model is over.
--- a/mangoway/policy/scheduling/queue.py
+++ b/mangoway/policy/scheduling/queue.py
@@ -72,7 +72,7 @@
         if now <= waiting.late_at:
             heapq.heappush(self._turning, (waiting.late_at, waiting.number, waiting))
         self._requests[waiting.key] = waiting
-        model = waiting.asked.model
+        model = waiting.grant_request.model
         self._counts[model] = self._counts.get(model, 0) + 1
         self._insert(waiting)
 
@@ -82,7 +82,7 @@
         if waiting is None:
             return None
         self._take_out(waiting)
-        model = waiting.asked.model
+        model = waiting.grant_request.model
         self._counts[model] -= 1
         if not self._counts[model]:
             del self._counts[model]
@@ -119,26 +119,26 @@
         return self._models.get(model, NOTHING)
 
     def _insert(self, waiting: Waiting) -> None:
-        asked = waiting.asked
-        artifacts = self._models.setdefault(asked.model, {})
-        queue = artifacts.get(asked.adapter)
+        grant_request = waiting.grant_request
+        artifacts = self._models.setdefault(grant_request.model, {})
+        queue = artifacts.get(grant_request.adapter)
         if queue is None:
-            queue = artifacts[asked.adapter] = ArtifactQueue()
+            queue = artifacts[grant_request.adapter] = ArtifactQueue()
         queue.add(waiting)
 
     def _take_out(self, waiting: Waiting) -> None:
-        asked = waiting.asked
-        artifacts = self._models[asked.model]
-        queue = artifacts[asked.adapter]
+        grant_request = waiting.grant_request
+        artifacts = self._models[grant_request.model]
+        queue = artifacts[grant_request.adapter]
         queue.remove(waiting)
         if not queue:
-            del artifacts[asked.adapter]
+            del artifacts[grant_request.adapter]
         if not artifacts:
-            del self._models[asked.model]
+            del self._models[grant_request.model]
 
 
-def allows(asked: GrantRequest, runner_id: str) -> bool:
+def allows(grant_request: GrantRequest, runner_id: str) -> bool:
     """Return whether a request may go to a runner, by what it has behind it."""
-    if asked.only:
-        return runner_id in asked.only
-    return runner_id not in asked.excluded
+    if grant_request.only:
+        return runner_id in grant_request.only
+    return runner_id not in grant_request.excluded
--- a/mangoway/policy/scheduling/requests.py
+++ b/mangoway/policy/scheduling/requests.py
@@ -17,7 +17,7 @@
 class Waiting:
     """A request that waits for a runner."""
 
-    asked: GrantRequest
+    grant_request: GrantRequest
     arrived_at: float
     objective_at: float
     """Time until which its first event is on time."""
@@ -40,9 +40,9 @@
     """KV memory that it is expected to take."""
 
     def __attrs_post_init__(self) -> None:
-        asked, prompt = self.asked, self.asked.prompt
-        self.key = (asked.edge, asked.request_id)
-        self.parts = list_parts(asked.model, asked.adapter, prompt)
+        grant_request, prompt = self.grant_request, self.grant_request.prompt
+        self.key = (grant_request.edge, grant_request.request_id)
+        self.parts = list_parts(grant_request.model, grant_request.adapter, prompt)
         output = prompt.expected_output_tokens or prompt.max_output_tokens // 2
         output = min(output, prompt.max_output_tokens or output)
         self.kv_tokens = prompt.tokens + output
@@ -50,15 +50,21 @@
     def take_rank(self, *, late: bool) -> None:
         """Take its place among the requests that can be on time, or that can't."""
         bound = self.leave_at if late else self.objective_at
-        asked = self.asked
-        self.rank = (late, asked.priority, asked.route_priority, bound, self.number)
+        grant_request = self.grant_request
+        self.rank = (
+            late,
+            grant_request.priority,
+            grant_request.route_priority,
+            bound,
+            self.number,
+        )
 
 
 @define(eq=False)
 class Running:
     """A request that a runner was given."""
 
-    asked: GrantRequest
+    grant_request: GrantRequest
     runner_id: str
     granted_at: float
     unread_s: float
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -243,13 +243,13 @@
         self._smooth = 0
 
     def _count_use(self, running: Running, change: int) -> None:
-        asked = running.asked
-        artifact = (asked.model, asked.adapter)
+        grant_request = running.grant_request
+        artifact = (grant_request.model, grant_request.adapter)
         self._used[artifact] = self._used.get(artifact, 0) + change
         if not self._used[artifact]:
             del self._used[artifact]
-        count = self._used_models.get(asked.model, 0)
-        self._used_models[asked.model] = count + change
+        count = self._used_models.get(grant_request.model, 0)
+        self._used_models[grant_request.model] = count + change
 
     def remove(self, key: RequestKey, now: float) -> Running | None:
         """Count a request as over."""
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -200,19 +200,21 @@
         )
 
     def measure_rest(
-        self, asked: GrantRequest, runner: RunnerState, now: float
+        self, grant_request: GrantRequest, runner: RunnerState, now: float
     ) -> float:
         """Return the seconds for which a runner wants nothing of a request's edge."""
         entry = runner.entry
         return self.rests.measure_wait(
-            asked.edge, entry.runner_id, entry.started_ms, now
+            grant_request.edge, entry.runner_id, entry.started_ms, now
         )
 
-    def allows(self, asked: GrantRequest, runner: RunnerState, now: float) -> bool:
+    def allows(
+        self, grant_request: GrantRequest, runner: RunnerState, now: float
+    ) -> bool:
         """Return whether a request may go to a runner, as far as it is about both."""
-        if not allows(asked, runner.runner_id):
+        if not allows(grant_request, runner.runner_id):
             return False
-        return self.measure_rest(asked, runner, now) == 0
+        return self.measure_rest(grant_request, runner, now) == 0
 
     def list_relied(self, service: str, now: float) -> list[RunnerState]:
         """Return the usable runners that take what comes, to place models on.
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -50,7 +50,7 @@
 class Placed:
     """A request that was asked for, and what became of it."""
 
-    asked: GrantRequest
+    grant_request: GrantRequest
     link: Link | None
     """Who places it: a link, or None for the local placer."""
 
@@ -108,20 +108,20 @@
         self.leader.on_leading = self._adopt
         self.leader.on_lost = self._move
 
-    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
+    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
         """Ask for a place."""
         link = self._find_link()
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         future.add_done_callback(self._note_answer)
-        placed = Placed(asked, link, future)
-        self._placed[asked.request_id] = placed
+        placed = Placed(grant_request, link, future)
+        self._placed[grant_request.request_id] = placed
         if link is None and self._holding is not None:
             placed.held_since = asyncio.get_running_loop().time()
             return future
         if link is None:
-            return self.local.ask(asked, future)
-        link.send(asked)
-        return self._asks.add(asked, future)
+            return self.local.ask(grant_request, future)
+        link.send(grant_request)
+        return self._asks.add(grant_request, future)
 
     def note_first_event(self, request_id: str) -> None:
         """Say that the first event of a granted request came."""
@@ -190,13 +190,13 @@
         request_id = f"permit/{next(self._numbers)}"
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._permits[request_id] = future
-        asked = PermitRequest(
+        grant_request = PermitRequest(
             request_id=request_id,
             edge=self.incarnation,
             runner_id=runner.runner_id,
             started_ms=runner.started_ms,
         )
-        link.send(asked)
+        link.send(grant_request)
         try:
             async with asyncio.timeout(PERMIT_S):
                 answer = await future
@@ -229,7 +229,7 @@
                 placed.future.set_result(
                     Refuse(
                         edge=self.incarnation,
-                        request_id=placed.asked.request_id,
+                        request_id=placed.grant_request.request_id,
                         retry_after_s=retry_after_s,
                         reason=reason,
                     )
@@ -242,8 +242,10 @@
         placed = self._placed.get(answer.request_id)
         if placed is not None and isinstance(answer, Grant):
             placed.runner_id = answer.runner_id
-            if placed.asked.cost > 0:
-                self._note_spent(placed.asked.customer, placed.asked.cost)
+            if placed.grant_request.cost > 0:
+                self._note_spent(
+                    placed.grant_request.customer, placed.grant_request.cost
+                )
 
     def _take(self, message: Message) -> None:
         if isinstance(message, LimitReport):
@@ -275,19 +277,19 @@
             if placed.runner_id is None:
                 continue
             if placed.link is None:
-                self.local.forget(placed.asked.request_id)
+                self.local.forget(placed.grant_request.request_id)
             placed.link = link
             link.send(
                 RequestAdopted(
-                    asked=placed.asked,
+                    grant_request=placed.grant_request,
                     runner_id=placed.runner_id,
                     reading=placed.reading,
                 )
             )
         for placed in self._take_held():
             placed.link = link
-            link.send(placed.asked)
-            self._asks.add(placed.asked, placed.future)
+            link.send(placed.grant_request)
+            self._asks.add(placed.grant_request, placed.future)
 
     def _move(self, link: Link) -> None:
         """Hold what the lost scheduler was asked until another one is reached."""
@@ -299,12 +301,12 @@
         for placed in self._placed.values():
             if placed.link is link and placed.runner_id is not None:
                 placed.link = None
-                self.local.adopt(placed.asked, placed.runner_id, placed.reading)
-        for asked, future in self._asks.take_all():
-            placed = self._placed[asked.request_id]
+                self.local.adopt(placed.grant_request, placed.runner_id, placed.reading)
+        for grant_request, future in self._asks.take_all():
+            placed = self._placed[grant_request.request_id]
             placed.link = None
             if self._holding is None or placed.held_before:
-                self.local.ask(asked, future)
+                self.local.ask(grant_request, future)
             else:
                 placed.held_since = loop.time()
 
@@ -314,7 +316,7 @@
         if held:
             log_event(log.LocalChoiceBegan(reason=f"{len(held)} requests wait"))
         for placed in held:
-            self.local.ask(placed.asked, placed.future)
+            self.local.ask(placed.grant_request, placed.future)
 
     def _take_held(self) -> list[Placed]:
         """Return the requests that wait for a scheduler, with what is left of time."""
@@ -328,10 +330,10 @@
                 continue
             held_s = now - placed.held_since
             placed.held_since, placed.held_before = None, True
-            placed.asked = evolve(
-                placed.asked,
-                objective_left_s=placed.asked.objective_left_s - held_s,
-                patience_left_s=placed.asked.patience_left_s - held_s,
+            placed.grant_request = evolve(
+                placed.grant_request,
+                objective_left_s=placed.grant_request.objective_left_s - held_s,
+                patience_left_s=placed.grant_request.patience_left_s - held_s,
             )
             taken.append(placed)
         return taken
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -349,14 +349,16 @@
 
 @encodes(RequestAdopted)
 def _encode_adopted(message: RequestAdopted) -> list[Any]:
-    asked = _encode_asked(message.asked)
-    return ["adopt", asked, message.runner_id, message.reading]
+    grant_request = _encode_asked(message.grant_request)
+    return ["adopt", grant_request, message.runner_id, message.reading]
 
 
 @decodes("adopt")
 def _decode_adopted(fields: list[Any], edge: str) -> Message:
     return RequestAdopted(
-        asked=_decode_asked(fields[1], edge), runner_id=fields[2], reading=fields[3]
+        grant_request=_decode_asked(fields[1], edge),
+        runner_id=fields[2],
+        reading=fields[3],
     )
 
 
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -49,11 +49,13 @@
         self._carry_out(self.core.handle(event, self.clock()))
 
     def ask(
-        self, asked: GrantRequest, future: "asyncio.Future[Answer] | None" = None
+        self,
+        grant_request: GrantRequest,
+        future: "asyncio.Future[Answer] | None" = None,
     ) -> "asyncio.Future[Answer]":
         """Ask for a place."""
-        future = self._asks.add(asked, future)
-        self.handle(asked)
+        future = self._asks.add(grant_request, future)
+        self.handle(grant_request)
         self._arm()
         return future
 
@@ -84,9 +86,13 @@
         """Let customers come into debt for a moment, unless they had nothing left."""
         self.core.state.quotas.allow_overdraft(exhausted, self.clock())
 
-    def adopt(self, asked: GrantRequest, runner_id: str, reading: bool) -> None:
+    def adopt(self, grant_request: GrantRequest, runner_id: str, reading: bool) -> None:
         """Count a request that runs at a runner which another chose."""
-        self.handle(RequestAdopted(asked=asked, runner_id=runner_id, reading=reading))
+        self.handle(
+            RequestAdopted(
+                grant_request=grant_request, runner_id=runner_id, reading=reading
+            )
+        )
 
     def forget(self, request_id: str) -> None:
         """Count a request no more, since a scheduler does."""
--- a/mangoway/scheduling/placing.py
+++ b/mangoway/scheduling/placing.py
@@ -14,7 +14,7 @@
 class GrantProvider(Protocol):
     """Finds places for requests."""
 
-    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
+    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
         """Ask for a place; the future gets the answer."""
         ...
 
@@ -59,11 +59,13 @@
         return len(self._futures)
 
     def add(
-        self, asked: GrantRequest, future: "asyncio.Future[Answer] | None" = None
+        self,
+        grant_request: GrantRequest,
+        future: "asyncio.Future[Answer] | None" = None,
     ) -> "asyncio.Future[Answer]":
         """Add a request; an earlier future of it may be kept."""
         future = future or asyncio.get_running_loop().create_future()
-        self._futures[asked.request_id] = (asked, future)
+        self._futures[grant_request.request_id] = (grant_request, future)
         return future
 
     def resolve(self, answer: Answer) -> bool:
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -151,7 +151,7 @@
             edge.add("r1", runner, "llm")
             await edge.async_call("/stream/x", headers=SHOWN)
         assert STREAM.priority != 4
-        assert edge.placer.asked[0].priority == 4
+        assert edge.placer.grant_request[0].priority == 4
         assert b"X-Request-Priority: 4\r\n" in runner.requests[0]
 
 
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -182,7 +182,7 @@
                 assert b"makes its runners crash" in reply.body
                 assert asyncio.get_running_loop().time() - began < 0.2
         assert runner.requests == []
-        assert edge.placer.asked == []
+        assert edge.placer.grant_request == []
 
     async def test_equal_content_of_others_is_served(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
@@ -200,7 +200,7 @@
         async with start_edge() as edge:
             edge.placer.hold = True
             call = asyncio.create_task(edge.async_call("/stream/x"))
-            await async_wait_until(lambda: len(edge.placer.asked) == 1)
+            await async_wait_until(lambda: len(edge.placer.grant_request) == 1)
             began = asyncio.get_running_loop().time()
             hold(edge, "/stream/x")
             reply = await call
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -150,8 +150,8 @@
             reply = await edge.async_call("/stream/x")
         assert reply.body == make_event(1) + make_event(2)
         assert reply.whole
-        assert len(edge.placer.asked) == 2
-        assert edge.placer.asked[1].excluded == ("r1",)
+        assert len(edge.placer.grant_request) == 2
+        assert edge.placer.grant_request[1].excluded == ("r1",)
 
     async def test_unrepeatable_request_uses_a_connection_of_its_own(self) -> None:
         """Unless an answer came just before on the one that is kept."""
@@ -337,8 +337,8 @@
             reply = await edge.async_call("/fixed/x")
         assert reply.body == make_event(1)
         assert edge.placer.ended == [EndKind.NOT_HELD, EndKind.SERVED]
-        assert edge.placer.asked[1].only == ("r1",)
-        assert edge.placer.asked[1].repeat
+        assert edge.placer.grant_request[1].only == ("r1",)
+        assert edge.placer.grant_request[1].repeat
 
     async def test_caller_that_leaves_frees_the_runner(self) -> None:
         parts = make_stream(make_event(1), end=False)
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -24,13 +24,13 @@
 class RefusingPlacer(StubGrantProvider):
     """Refuses all, since their customers have asked for too much."""
 
-    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
-        self.asked.append(asked)
+    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
+        self.grant_request.append(grant_request)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         future.set_result(
             Refuse(
-                edge=asked.edge,
-                request_id=asked.request_id,
+                edge=grant_request.edge,
+                request_id=grant_request.request_id,
                 retry_after_s=1.25,
                 reason=OVER_QUOTA,
                 over_quota=True,
@@ -98,8 +98,8 @@
             declare(edge, KEY)
             edge.add("r1", runner, "llm")
             await edge.async_call("/stream/x", headers=SHOWN)
-        [asked] = edge.placer.asked
-        assert (asked.customer, asked.cost) == ("acme", USAGE_TOKENS)
+        [grant_request] = edge.placer.grant_request
+        assert (grant_request.customer, grant_request.cost) == ("acme", USAGE_TOKENS)
         assert edge.placer.spent == []
 
     async def test_repeat_takes_nothing_more(self) -> None:
@@ -114,8 +114,8 @@
             call = edge.async_call("/stream/x", headers=SHOWN)
             edge.placer.runner_ids[:] = ["r1", "r2"]
             await call
-        assert edge.placer.asked[0].cost == USAGE_TOKENS
-        assert {each.cost for each in edge.placer.asked[1:]} <= {0.0}
+        assert edge.placer.grant_request[0].cost == USAGE_TOKENS
+        assert {each.cost for each in edge.placer.grant_request[1:]} <= {0.0}
 
     async def test_refusal_for_the_quota_is_told_as_such(self) -> None:
         async with start_edge() as edge:
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -58,7 +58,7 @@
     """Grants runners in turn, or refuses when there are none left."""
 
     runner_ids: list[str]
-    asked: list[GrantRequest] = field(factory=list)
+    grant_request: list[GrantRequest] = field(factory=list)
     first: list[str] = field(factory=list)
     ended: list[EndKind] = field(factory=list)
     hold: bool = False
@@ -78,12 +78,12 @@
     delay_s: float = 0.0
     """Time after which a question is answered."""
 
-    def ask(self, asked: GrantRequest) -> "asyncio.Future[Answer]":
-        self.asked.append(asked)
+    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
+        self.grant_request.append(grant_request)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         if self.hold:
             return future
-        answer = self._choose(asked)
+        answer = self._choose(grant_request)
         if self.delay_s:
             loop = asyncio.get_running_loop()
             loop.call_later(self.delay_s, _resolve, future, answer)
@@ -91,19 +91,21 @@
             future.set_result(answer)
         return future
 
-    def _choose(self, asked: GrantRequest) -> Answer:
-        left = [each for each in self.runner_ids if each not in asked.excluded]
-        if asked.only:
-            left = [each for each in left if each in asked.only]
+    def _choose(self, grant_request: GrantRequest) -> Answer:
+        left = [each for each in self.runner_ids if each not in grant_request.excluded]
+        if grant_request.only:
+            left = [each for each in left if each in grant_request.only]
         answer: Answer = Refuse(
-            edge=asked.edge,
-            request_id=asked.request_id,
+            edge=grant_request.edge,
+            request_id=grant_request.request_id,
             retry_after_s=0.7,
             reason="none is left",
         )
         if left:
             answer = Grant(
-                edge=asked.edge, request_id=asked.request_id, runner_id=left[0]
+                edge=grant_request.edge,
+                request_id=grant_request.request_id,
+                runner_id=left[0],
             )
         return answer
 
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -250,15 +250,15 @@
 
     def _send(self, grant: Grant) -> None:
         runner = self.runners.get(grant.runner_id)
-        asked = self.outcomes[grant.request_id].asked
-        if runner is None or asked.model not in runner.models:
+        grant_request = self.outcomes[grant.request_id].grant_request
+        if runner is None or grant_request.model not in runner.models:
             self._end(grant, EndKind.NOT_HELD)
             return
         self.outcomes[grant.request_id].runner_id = grant.runner_id
-        runner.running[grant.request_id] = asked.model
+        runner.running[grant.request_id] = grant_request.model
         engine = self.engines.setdefault(grant.runner_id, Engine(self.drawn, self))
-        output = asked.prompt.expected_output_tokens or 1
-        engine.take(Stream(grant, asked.prompt.tokens, output))
+        output = grant_request.prompt.expected_output_tokens or 1
+        engine.take(Stream(grant, grant_request.prompt.tokens, output))
 
 
 def make_world(drawn: Draw) -> DrawnWorld:
@@ -326,15 +326,17 @@
         shifted = at > BEGIN_S + DEMAND_S / 2
         name = choose_model(drawn, random, shifted=shifted)
         tokens = int(drawn.prompt_tokens * random.uniform(0.3, 1.7))
-        asked = make_asked(
+        grant_request = make_asked(
             f"q{number}",
             name,
             tokens=tokens,
             objective_s=drawn.objective_s,
             patience_s=max(2.0, 4 * drawn.objective_s),
         )
-        prompt = evolve(asked.prompt, expected_output_tokens=drawn.output_tokens)
-        world.ask(evolve(asked, prompt=prompt), at=at)
+        prompt = evolve(
+            grant_request.prompt, expected_output_tokens=drawn.output_tokens
+        )
+        world.ask(evolve(grant_request, prompt=prompt), at=at)
         number += 1
 
 
@@ -381,17 +383,17 @@
     def _grant(self, now: float) -> list[Action]:
         actions: list[Action] = []
         left = []
-        for asked in self.waiting:
-            runner = self._choose(asked.model)
+        for grant_request in self.waiting:
+            runner = self._choose(grant_request.model)
             if runner is None:
-                left.append(asked)
+                left.append(grant_request)
                 continue
-            self.running[asked.request_id] = runner.runner_id
-            self.used_at[(runner.runner_id, asked.model)] = now
+            self.running[grant_request.request_id] = runner.runner_id
+            self.used_at[(runner.runner_id, grant_request.model)] = now
             actions.append(
                 Grant(
-                    edge=asked.edge,
-                    request_id=asked.request_id,
+                    edge=grant_request.edge,
+                    request_id=grant_request.request_id,
                     runner_id=runner.runner_id,
                 )
             )
@@ -404,7 +406,7 @@
         return min(holders, key=lambda each: counts.count(each.runner_id), default=None)
 
     def _load(self, now: float) -> list[Action]:
-        wanted = {asked.model for asked in self.waiting}
+        wanted = {grant_request.model for grant_request in self.waiting}
         loading = {each.loading for each in self.world.runners.values()}
         for model in sorted(wanted - loading):
             for runner in self.world.runners.values():
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -193,7 +193,7 @@
         output = max(1, int(kind.output * random.lognormvariate(-0.24, 0.69)))
         request_id = f"q{len(kinds)}"
         kinds[request_id] = kind
-        asked = make_asked(
+        grant_request = make_asked(
             request_id,
             name,
             tokens=max(50, min(tokens, 6000)),
@@ -201,9 +201,11 @@
             objective_s=kind.objective_s,
             patience_s=kind.patience_s,
         )
-        prompt = evolve(asked.prompt, expected_output_tokens=output)
-        asked = evolve(asked, prompt=prompt, route_priority=kind.route_priority)
-        world.ask(asked, at=at)
+        prompt = evolve(grant_request.prompt, expected_output_tokens=output)
+        grant_request = evolve(
+            grant_request, prompt=prompt, route_priority=kind.route_priority
+        )
+        world.ask(grant_request, at=at)
     return kinds
 
 
@@ -225,7 +227,7 @@
     earned = owed = 0.0
     for request_id, kind in kinds.items():
         outcome = world.outcomes[request_id]
-        if not chosen(outcome.asked, kind):
+        if not chosen(outcome.grant_request, kind):
             continue
         owed += kind.worth
         gap_s = world.gaps.get(request_id)
--- a/tests/policy/scheduling/test_demand.py
+++ b/tests/policy/scheduling/test_demand.py
@@ -43,16 +43,18 @@
 
     def test_return_is_known_once(self) -> None:
         returns = Returns()
-        asked = make_asked("q1")
-        returns.note_refused(asked.model, asked.prompt, now=1.0)
-        assert returns.take(asked.model, asked.prompt, now=2.0)
-        assert not returns.take(asked.model, asked.prompt, now=2.1)
+        grant_request = make_asked("q1")
+        returns.note_refused(grant_request.model, grant_request.prompt, now=1.0)
+        assert returns.take(grant_request.model, grant_request.prompt, now=2.0)
+        assert not returns.take(grant_request.model, grant_request.prompt, now=2.1)
 
     def test_late_return_is_new_demand(self) -> None:
         returns = Returns()
-        asked = make_asked("q1")
-        returns.note_refused(asked.model, asked.prompt, now=1.0)
-        assert not returns.take(asked.model, asked.prompt, now=1.1 + RETURN_S)
+        grant_request = make_asked("q1")
+        returns.note_refused(grant_request.model, grant_request.prompt, now=1.0)
+        assert not returns.take(
+            grant_request.model, grant_request.prompt, now=1.1 + RETURN_S
+        )
 
     def test_other_prompt_is_new_demand(self) -> None:
         returns = Returns()
@@ -70,6 +72,6 @@
         refused = [each for each in world.outcomes.values() if each.refused_at]
         assert len(refused) > 20
         for outcome in refused:
-            world.core.handle(outcome.asked, 3.0)
+            world.core.handle(outcome.grant_request, 3.0)
         after = world.core.state.demand.get_requests("llm", "a", 3.0)
         assert after == before
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -23,8 +23,8 @@
 
 
 def feed_asked(world: World, request_id: str, **fields: object) -> list[Grant]:
-    asked = make_asked(request_id, **fields)  # type: ignore[arg-type]
-    actions = world.core.handle(asked, world.now)
+    grant_request = make_asked(request_id, **fields)  # type: ignore[arg-type]
+    actions = world.core.handle(grant_request, world.now)
     return [each for each in actions if isinstance(each, Grant)]
 
 
@@ -72,7 +72,9 @@
 
     def test_adopted_request_counts(self) -> None:
         world = make_world(["a"])
-        adopted = RequestAdopted(asked=make_asked("q1"), runner_id="r0", reading=True)
+        adopted = RequestAdopted(
+            grant_request=make_asked("q1"), runner_id="r0", reading=True
+        )
         world.core.handle(adopted, 0.0)
         assert feed_asked(world, "q2") == []
 
@@ -119,7 +121,7 @@
         world = make_world(["a"], ["a"])
         for number in range(6):
             adopted = RequestAdopted(
-                asked=make_asked(f"s{number}"), runner_id="r0", reading=False
+                grant_request=make_asked(f"s{number}"), runner_id="r0", reading=False
             )
             world.core.handle(adopted, 0.0)
         grants = feed_asked(world, "long", tokens=7000)
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -35,15 +35,15 @@
         for waiting in queue.list_sorted():
             for runner in self.core.state.list_usable("llm", self.now):
                 if self.could_serve(runner, waiting):
-                    key = (self.now, waiting.asked.request_id, runner.runner_id)
+                    key = (self.now, waiting.grant_request.request_id, runner.runner_id)
                     self.left.append(key)
 
     def could_serve(self, runner: RunnerState, waiting: Waiting) -> bool:
-        asked = waiting.asked
+        grant_request = waiting.grant_request
         return (
             runner.has_room(1.0, UNREAD_LIMIT_S, self.now)
-            and runner.is_ready(asked.model, asked.adapter, self.now)
-            and allows(asked, runner.runner_id)
+            and runner.is_ready(grant_request.model, grant_request.adapter, self.now)
+            and allows(grant_request, runner.runner_id)
             and runner.has_memory(waiting.kv_tokens)
         )
 
@@ -56,7 +56,7 @@
     at = 0.5
     for number in range(random.randint(10, 120)):
         at += random.expovariate(1.0) * random.choice([0.0, 0.02, 0.1])
-        asked = make_asked(
+        grant_request = make_asked(
             f"q{number}",
             random.choice(MODELS[: random.choice([2, 8])]),
             adapter=random.choice(["", "", "x", "y"]),
@@ -66,7 +66,7 @@
             patience_s=random.choice([1.0, 4.0]),
             excluded=("r0",) if random.random() < 0.1 else (),
         )
-        world.ask(asked, at=at)
+        world.ask(grant_request, at=at)
     return world
 
 
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -37,8 +37,8 @@
     world: World, model: str, per_s: float, began: float, ended: float
 ) -> None:
     for number in range(int((ended - began) * per_s)):
-        asked = make_asked(f"{model}{number}", model)
-        world.ask(asked, at=began + number / per_s)
+        grant_request = make_asked(f"{model}{number}", model)
+        world.ask(grant_request, at=began + number / per_s)
 
 
 def count_at(world: World, runner_id: str, began: float = 0.0) -> int:
@@ -77,8 +77,8 @@
     def test_repeat_keeps_it_as_well(self) -> None:
         world = play([["a", "b", "c"]], models="abc")
         for number in range(40):
-            asked = make_asked(f"q{number}", "a", repeat=True, only=("r0",))
-            world.ask(asked, at=1.0 + number / 10)
+            grant_request = make_asked(f"q{number}", "a", repeat=True, only=("r0",))
+            world.ask(grant_request, at=1.0 + number / 10)
         world.run(5.0)
         assert count_at(world, "r0") <= 4 * LIMIT + 2
 
--- a/tests/policy/scheduling/test_load.py
+++ b/tests/policy/scheduling/test_load.py
@@ -62,8 +62,10 @@
         )
         world.run(0.5)
         for number in range(300):
-            asked = make_asked(f"q{number}", "a", objective_s=0.8, patience_s=5.0)
-            world.ask(asked, at=1.0 + number / 30)
+            grant_request = make_asked(
+                f"q{number}", "a", objective_s=0.8, patience_s=5.0
+            )
+            world.ask(grant_request, at=1.0 + number / 30)
         world.run(16.0)
         # 30 prompts of 13 ms a second take 0.4 of the runner; one prompt at a time
         # with its first event takes it 2.9 s of each.
--- a/tests/policy/scheduling/test_mixed.py
+++ b/tests/policy/scheduling/test_mixed.py
@@ -47,14 +47,16 @@
     """What the callers of each kind and rank get."""
 
     def test_callers_get_what_is_aimed_at(self) -> None:
-        shares = [rate(*play(seed), lambda asked, kind: True) for seed in SEEDS]
+        shares = [rate(*play(seed), lambda grant_request, kind: True) for seed in SEEDS]
         assert sum(shares) / len(shares) >= AIM
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_kind_is_far_behind_a_less_urgent_one(self, seed: int) -> None:
         """Long prompts go first by their route, whoever their customers are."""
         shares = {
-            each.name: rate(*play(seed), lambda asked, kind, one=each: kind is one)
+            each.name: rate(
+                *play(seed), lambda grant_request, kind, one=each: kind is one
+            )
             for each in KINDS
         }
         assert shares[SUMMARY.name] >= max(shares.values()) - MOST_BEHIND
@@ -63,7 +65,12 @@
     def test_urgent_customers_get_more(self) -> None:
         shares = [
             sum(
-                rate(*play(seed), lambda asked, kind, rank=rank: asked.priority == rank)
+                rate(
+                    *play(seed),
+                    lambda grant_request, kind, rank=rank: (
+                        grant_request.priority == rank
+                    ),
+                )
                 for seed in SEEDS
             )
             for rank in (0, 2)
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -177,9 +177,9 @@
     """Orders rest on a state that is known."""
 
     def order_for_waiting(self, world: World) -> list[SendOrder]:
-        asked = make_asked("q1", "f", patience_s=30.0)
-        world.outcomes["q1"] = Outcome(asked, world.now)
-        world.feed(asked)
+        grant_request = make_asked("q1", "f", patience_s=30.0)
+        world.outcomes["q1"] = Outcome(grant_request, world.now)
+        world.feed(grant_request)
         return world.orders
 
     def test_no_order_before_a_report(self) -> None:
@@ -240,8 +240,8 @@
     def test_full_places_give_up_the_adapter_unused_for_longest(self) -> None:
         world = make_ready(["a", "b", "c"])
         for number in range(9):
-            asked = make_asked(f"q{number}", "a", adapter=f"x{number}")
-            world.ask(asked, at=1.0 + 2 * number)
+            grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
+            world.ask(grant_request, at=1.0 + 2 * number)
         world.run(25.0)
         unloaded = [each.adapter for each in world.orders if not each.load]
         assert unloaded == ["x0"]
@@ -252,8 +252,8 @@
         """The runner answers 200 and counts it; the next order must not be stale."""
         world = make_ready(["a", "b", "c"])
         for number in range(9):
-            asked = make_asked(f"q{number}", "a", adapter=f"x{number}")
-            world.ask(asked, at=1.0 + 2 * number)
+            grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
+            world.ask(grant_request, at=1.0 + 2 * number)
         world.run(25.0)
         last = world.outcomes["q8"]
         assert last.first_at is not None
@@ -263,8 +263,8 @@
         """A runner that loads for 6 s refuses orders for adapters all the while."""
         world = make_ready(["a", "b", "c"], ["d", "e", "f"], load_s=6.0)
         for number in range(20):
-            asked = make_asked(f"q{number}", "a", adapter=f"x{number}")
-            world.ask(asked, at=1.0 + number / 5)
+            grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
+            world.ask(grant_request, at=1.0 + number / 5)
             plain = make_asked(f"d{number}", "d", tokens=4000)
             world.ask(plain, at=1.0 + number / 5)
         world.ask(make_asked("g", "g", patience_s=16.0), at=3.0)
--- a/tests/policy/scheduling/test_queue.py
+++ b/tests/policy/scheduling/test_queue.py
@@ -32,12 +32,12 @@
     left_s: float,
     now: float,
 ) -> Waiting:
-    asked = make_asked(
+    grant_request = make_asked(
         request_id, model, adapter=adapter, priority=ranks[0], objective_s=left_s
     )
-    asked = evolve(asked, route_priority=ranks[1])
+    grant_request = evolve(grant_request, route_priority=ranks[1])
     return Waiting(
-        asked=asked,
+        grant_request=grant_request,
         arrived_at=now,
         objective_at=now + left_s,
         leave_at=now + 2.0 + left_s,
@@ -48,8 +48,14 @@
 def rank(waiting: Waiting, now: float) -> tuple[bool, int, int, float, int]:
     late = now > waiting.late_at
     bound = waiting.leave_at if late else waiting.objective_at
-    asked = waiting.asked
-    return (late, asked.priority, asked.route_priority, bound, waiting.number)
+    grant_request = waiting.grant_request
+    return (
+        late,
+        grant_request.priority,
+        grant_request.route_priority,
+        bound,
+        waiting.number,
+    )
 
 
 class TestOrder:
@@ -74,11 +80,15 @@
             expected = sorted(known.values(), key=lambda each: rank(each, now))
             assert queue.list_sorted() == expected
             for name in "ab":
-                of_model = [each for each in expected if each.asked.model == name]
+                of_model = [
+                    each for each in expected if each.grant_request.model == name
+                ]
                 assert queue.count_model(name) == len(of_model)
                 for each in ("", "x"):
                     listed = list(queue.get_artifacts(name).get(each, ()))
-                    assert listed == [w for w in of_model if w.asked.adapter == each]
+                    assert listed == [
+                        w for w in of_model if w.grant_request.adapter == each
+                    ]
 
     def test_edge_that_is_gone_leaves_nothing(self) -> None:
         queue = ServiceQueue()
--- a/tests/policy/scheduling/test_reading.py
+++ b/tests/policy/scheduling/test_reading.py
@@ -13,7 +13,7 @@
 def send(reading: Reading, request_id: str, now: float, unread_s: float) -> Running:
     """Send a prompt and return it."""
     running = Running(
-        asked=make_asked(request_id),
+        grant_request=make_asked(request_id),
         runner_id="r0",
         granted_at=now,
         unread_s=unread_s,
--- a/tests/policy/scheduling/test_rests.py
+++ b/tests/policy/scheduling/test_rests.py
@@ -58,8 +58,10 @@
 
     def test_repeat_is_held_as_well(self) -> None:
         world = play([["a", "b"], ["a", "c"]])
-        asked = make_asked("q1", "a", repeat=True, only=("r0",), patience_s=16.0)
-        world.ask(asked, at=1.1)
+        grant_request = make_asked(
+            "q1", "a", repeat=True, only=("r0",), patience_s=16.0
+        )
+        world.ask(grant_request, at=1.1)
         world.run(1.0 + REST_S - 0.1)
         assert world.outcomes["q1"].runner_id == ""
 
@@ -67,8 +69,8 @@
         world = World(models=list("abc"), runner_models=[["a", "b", "c"]])
         world.run(1.0)
         for number in range(8):
-            asked = make_asked(f"q{number}", "a", patience_s=16.0)
-            world.ask(asked, at=1.0)
+            grant_request = make_asked(f"q{number}", "a", patience_s=16.0)
+            world.ask(grant_request, at=1.0)
         world.run(1.02)
         before = count_at(world, "r0")
         world.feed(rest())
--- a/tests/policy/scheduling/test_stays.py
+++ b/tests/policy/scheduling/test_stays.py
@@ -40,8 +40,8 @@
         world.replace_core()
         world.run(0.5)
         for number in range(360):
-            asked = make_asked(f"q{number}", "a", tokens=100)
-            world.ask(asked, at=1.0 + number / 30)
+            grant_request = make_asked(f"q{number}", "a", tokens=100)
+            world.ask(grant_request, at=1.0 + number / 30)
         world.run(16.0)
         copies = [each for each in world.runners.values() if "a" in each.models]
         assert len(copies) >= 4
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -153,7 +153,7 @@
 class Outcome:
     """What a request's caller got."""
 
-    asked: GrantRequest
+    grant_request: GrantRequest
     asked_at: float
     first_at: float | None = None
     refused_at: float | None = None
@@ -227,9 +227,9 @@
         self.see_fleet()
         self.feed(OrdersAllowed(allowed=True))
 
-    def ask(self, asked: GrantRequest, at: float) -> None:
+    def ask(self, grant_request: GrantRequest, at: float) -> None:
         """Let a request come at a time."""
-        self._at(at, lambda: self._arrive(asked))
+        self._at(at, lambda: self._arrive(grant_request))
 
     def run(self, until: float) -> None:
         """Play until a time."""
@@ -254,9 +254,9 @@
             if each.first_at is not None and each.first_at - each.asked_at <= seconds
         )
 
-    def _arrive(self, asked: GrantRequest) -> None:
-        self.outcomes[asked.request_id] = Outcome(asked, self.now)
-        self.feed(asked)
+    def _arrive(self, grant_request: GrantRequest) -> None:
+        self.outcomes[grant_request.request_id] = Outcome(grant_request, self.now)
+        self.feed(grant_request)
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, Grant):
@@ -269,15 +269,15 @@
 
     def _send(self, grant: Grant) -> None:
         runner = self.runners.get(grant.runner_id)
-        asked = self.outcomes[grant.request_id].asked
-        if runner is None or asked.model not in runner.models:
+        grant_request = self.outcomes[grant.request_id].grant_request
+        if runner is None or grant_request.model not in runner.models:
             self._end(grant, EndKind.NOT_HELD)
             return
         outcome = self.outcomes[grant.request_id]
         outcome.runner_id = grant.runner_id
-        runner.running[grant.request_id] = asked.model
+        runner.running[grant.request_id] = grant_request.model
         start = max(self.now, runner.read_until)
-        runner.read_until = start + asked.prompt.tokens * self.read_s_per_token
+        runner.read_until = start + grant_request.prompt.tokens * self.read_s_per_token
         first_at = runner.read_until + self.first_event_s
 
         def show_first() -> None:
