--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -13,7 +13,7 @@
 
 from ...models.customer import Customer, CustomerRegistry, Quota
 from .const import LENT_S, MEMORY_S, SLACK_USED
-from .spending import SpendingHistory, Spent
+from .spending import SpendingEntry, SpendingHistory
 
 
 @define(eq=False)
@@ -106,7 +106,7 @@
             self._fill(name, quota, now).balance -= amount
         self.spending.add(name, amount, now)
 
-    def add_reported_spending(self, rows: Iterable[Spent], now: float) -> None:
+    def add_reported_spending(self, rows: Iterable[SpendingEntry], now: float) -> None:
         """Take what a host spent before this process granted its requests."""
         for each in rows:
             self.spending.add(each.customer, each.amount, now - each.age_s)
--- a/mangoway/policy/customers/spending.py
+++ b/mangoway/policy/customers/spending.py
@@ -9,7 +9,7 @@
 
 
 @frozen
-class Spent:
+class SpendingEntry:
     """What a customer spent around one time."""
 
     customer: str
@@ -51,8 +51,8 @@
             (min(end, now), amount) for end, amount in slots if end >= now - MEMORY_S
         ]
 
-    def list_all(self, now: float) -> Iterable[Spent]:
+    def list_all(self, now: float) -> Iterable[SpendingEntry]:
         """Return all that still matters."""
         for customer in self._slots:
             for at, amount in self.list_slots(customer, now):
-                yield Spent(customer, now - at, amount)
+                yield SpendingEntry(customer, now - at, amount)
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -7,7 +7,7 @@
 from ...models.prompt import Prompt
 from ...models.routing import RoutingTable
 from ...models.runner import RunnerEntry, RunnerReport
-from ..customers.spending import Spent
+from ..customers.spending import SpendingEntry
 from ..limits.book import LimitReport
 from ..limits.rests import CooldownReport
 
@@ -119,7 +119,7 @@
 class SpendingReported:
     """What an edge's customers spent before this process granted its requests."""
 
-    rows: tuple[Spent, ...]
+    rows: tuple[SpendingEntry, ...]
 
 
 @frozen(kw_only=True)
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -18,7 +18,7 @@
 from ..coordination.store import Change, Changes, Item
 from ..models.prompt import Prompt, PromptPart
 from ..models.signals import LeavingReport
-from ..policy.customers.spending import Spent
+from ..policy.customers.spending import SpendingEntry
 from ..policy.limits.book import LimitReport
 from ..policy.limits.rests import CooldownReport
 from ..policy.scheduling.events import (
@@ -403,7 +403,7 @@
 
 @decodes("spending")
 def _decode_spending(fields: list[Any], edge: str) -> Message:
-    return SpendingReported(rows=tuple(Spent(*row) for row in fields[1]))
+    return SpendingReported(rows=tuple(SpendingEntry(*row) for row in fields[1]))
 
 
 @encodes(Grant)
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -8,7 +8,7 @@
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
 from mangoway.policy.customers.const import LENT_S, MEMORY_S, SLACK_USED
 from mangoway.policy.customers.quota import QuotaTracker
-from mangoway.policy.customers.spending import SpendingHistory, Spent
+from mangoway.policy.customers.spending import SpendingEntry, SpendingHistory
 
 RATE = 10_000.0
 BURST = 10_000.0
@@ -172,20 +172,20 @@
 
     def test_links_tell_what_was_spent(self) -> None:
         book = make_book(starts_full=False)
-        rows = [Spent("acme", age_s, RATE) for age_s in (0.5, 1.5, 2.5, 3.5)]
+        rows = [SpendingEntry("acme", age_s, RATE) for age_s in (0.5, 1.5, 2.5, 3.5)]
         book.add_reported_spending(rows, 1.0)
         wait_s = book.take("acme", BURST, 1.0)
         assert 0.3 <= wait_s <= 1.0
 
     def test_links_tell_that_little_was_spent(self) -> None:
         book = make_book(starts_full=False)
-        book.add_reported_spending([Spent("acme", 1.0, 100.0)], 0.2)
+        book.add_reported_spending([SpendingEntry("acme", 1.0, 100.0)], 0.2)
         assert book.take("acme", 0.9 * BURST, 0.2) == 0.0
 
     def test_late_word_of_spending_counts_as_well(self) -> None:
         book = make_book()
         book.take("acme", 100.0, 5.0)
-        book.add_reported_spending([Spent("acme", 0.1, BURST)], 5.0)
+        book.add_reported_spending([SpendingEntry("acme", 0.1, BURST)], 5.0)
         assert book.take("acme", 2000.0, 5.0) > 0
 
     def test_spending_comes_back_with_time(self) -> None:
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -7,7 +7,7 @@
 
 from mangoway.coordination.store import Change, Changes, Item
 from mangoway.models.signals import LeavingReport
-from mangoway.policy.customers.spending import Spent
+from mangoway.policy.customers.spending import SpendingEntry
 from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.rests import CooldownReport
 from mangoway.policy.scheduling.events import (
@@ -55,7 +55,7 @@
     ClockAsked(asked_at=3.5),
     ClockTold(asked_at=3.5, clock_s=9.25),
     QuotaSpent(customer="acme", amount=-150.0),
-    SpendingReported(rows=(Spent("acme", 1.5, 300.0),)),
+    SpendingReported(rows=(SpendingEntry("acme", 1.5, 300.0),)),
     LimitReport(
         runner_id="r1",
         started_ms=5,
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -6,7 +6,7 @@
 
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
 from mangoway.policy.customers.quota import QuotaTracker
-from mangoway.policy.customers.spending import Spent
+from mangoway.policy.customers.spending import SpendingEntry
 from mangoway.policy.scheduling.events import (
     EndKind,
     Grant,
@@ -170,7 +170,7 @@
         standby = Scheduler()
         standby.leading = False
         limit(standby)
-        row = Spent("acme", 0.5, 2 * RATE)
+        row = SpendingEntry("acme", 0.5, 2 * RATE)
         standby.server._note_lost("e1")
         standby.leading = True
         told = standby.server._drop_known("e1", SpendingReported(rows=(row,)))
