--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -260,7 +260,7 @@
             data_centre=self.settings.data_centre,
             incarnation=process.incarnation,
             view=process.view,
-            placer=self.client,
+            grant_provider=self.client,
             plain=plain,
             retry_budgets=self.retry_budgets,
             admission=self.admission,
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -43,7 +43,7 @@
     data_centre: str
     incarnation: str
     view: FleetView
-    placer: GrantProvider
+    grant_provider: GrantProvider
     """Places requests for services with a model engine."""
 
     plain: PlainGrantProvider
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -32,7 +32,7 @@
 
     incarnation: str
     view: FleetView
-    placer: GrantProvider
+    grant_provider: GrantProvider
     plain: PlainGrantProvider
     retry_budgets: RetryBudgets
     screen: CrashFilter
@@ -146,7 +146,7 @@
         """Say that the first event of the present try came."""
         self.payment.settle_try(was_sent=True)
         if self._key is not None:
-            self.tools.placer.note_first_event(self._key)
+            self.tools.grant_provider.note_first_event(self._key)
 
     def note_tried(self, runner_id: str, kind: EndKind, *, was_sent: bool) -> None:
         """Note how a try ended, and give its place back.
@@ -171,20 +171,20 @@
         """Give the place back that is asked for or held."""
         key, self._key = self._key, None
         if key is not None:
-            self.tools.placer.end(key, kind)
+            self.tools.grant_provider.end(key, kind)
 
     def end_next(self) -> None:
         """Give back a place that was found and not used, and what was paid for it."""
         self.payment.end()
         placed, self._next = self._next, None
         if placed is not None and placed.key is not None:
-            self.tools.placer.end(placed.key, EndKind.LEFT)
+            self.tools.grant_provider.end(placed.key, EndKind.LEFT)
 
     def give_back_quota(self) -> None:
         """Give back what the request took of its customer's quota: it has not run."""
         amount, self._charged = self._charged, 0.0
         if amount and self.caller.name is not None:
-            self.tools.placer.give_back(self.caller.name, amount)
+            self.tools.grant_provider.give_back(self.caller.name, amount)
 
     def _measure_cost(self) -> float:
         """Return what the request has still to take of its customer's quota."""
@@ -195,7 +195,7 @@
         cost = self._measure_cost()
         if not cost or self.caller.name is None:
             return None
-        wait_s = self.tools.placer.consume_quota(self.caller.name, cost)
+        wait_s = self.tools.grant_provider.consume_quota(self.caller.name, cost)
         if wait_s > 0:
             return self._make_refusal(OVER_QUOTA, wait_s, over_quota=True)
         self._charged = cost
@@ -256,7 +256,7 @@
             )
             if isinstance(placed, Refuse) or not self._is_limited(placed):
                 return placed
-            wait_s = await self.tools.placer.async_request_permit(placed)
+            wait_s = await self.tools.grant_provider.async_request_permit(placed)
             if wait_s == 0.0:
                 return placed
             waits[placed.runner_id] = wait_s
@@ -282,7 +282,7 @@
 
     async def _async_ask(self, grant_request: GrantRequest) -> Answer:
         """Ask for a place; refused at once if the request becomes held back."""
-        future = self.tools.placer.ask(grant_request)
+        future = self.tools.grant_provider.ask(grant_request)
 
         def refuse() -> None:
             if not future.done():
@@ -293,12 +293,12 @@
 
     async def _async_ask_other(self, excluded: list[str]) -> bool:
         grant_request = self._make_ask(self._clock(), excluded, repeat=True)
-        placer = self.tools.placer
+        grant_provider = self.tools.grant_provider
         try:
             async with asyncio.timeout(OTHER_PLACE_S):
-                answer = await placer.ask(grant_request)
+                answer = await grant_provider.ask(grant_request)
         except (TimeoutError, asyncio.CancelledError) as error:
-            placer.end(grant_request.request_id, EndKind.LEFT)
+            grant_provider.end(grant_request.request_id, EndKind.LEFT)
             if isinstance(error, asyncio.CancelledError):
                 raise
             return False
@@ -306,7 +306,7 @@
         if not isinstance(answer, Refuse):
             entry = self.tools.view.find_open_runner(answer.runner_id)
         if entry is None or not self._may_send(entry):
-            placer.end(grant_request.request_id, EndKind.LEFT)
+            grant_provider.end(grant_request.request_id, EndKind.LEFT)
             return False
         self._next = NextPlace(grant_request.request_id, entry)
         return True
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -151,7 +151,7 @@
             edge.add("r1", runner, "llm")
             await edge.async_call("/stream/x", headers=SHOWN)
         assert STREAM.priority != 4
-        assert edge.placer.grant_request[0].priority == 4
+        assert edge.grant_provider.grant_request[0].priority == 4
         assert b"X-Request-Priority: 4\r\n" in runner.requests[0]
 
 
@@ -191,7 +191,7 @@
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             declare(edge, KEY)
             edge.add("r1", runner, "llm")
-            edge.placer.delay_s = 0.2
+            edge.grant_provider.delay_s = 0.2
             call = asyncio.ensure_future(edge.async_call("/stream/x", headers=SHOWN))
             await asyncio.sleep(0.1)
             edge.ages[0] = 4.0
@@ -203,7 +203,7 @@
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             declare(edge, KEY)
             edge.add("r1", runner, "llm")
-            edge.placer.delay_s = 0.2
+            edge.grant_provider.delay_s = 0.2
             call = asyncio.ensure_future(edge.async_call("/stream/x", headers=SHOWN))
             await asyncio.sleep(0.1)
             declare(edge, "another", version=3)
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -182,7 +182,7 @@
                 assert b"makes its runners crash" in reply.body
                 assert asyncio.get_running_loop().time() - began < 0.2
         assert runner.requests == []
-        assert edge.placer.grant_request == []
+        assert edge.grant_provider.grant_request == []
 
     async def test_equal_content_of_others_is_served(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
@@ -198,16 +198,16 @@
 
     async def test_what_waits_is_answered_when_it_becomes_known(self) -> None:
         async with start_edge() as edge:
-            edge.placer.hold = True
+            edge.grant_provider.hold = True
             call = asyncio.create_task(edge.async_call("/stream/x"))
-            await async_wait_until(lambda: len(edge.placer.grant_request) == 1)
+            await async_wait_until(lambda: len(edge.grant_provider.grant_request) == 1)
             began = asyncio.get_running_loop().time()
             hold(edge, "/stream/x")
             reply = await call
             assert asyncio.get_running_loop().time() - began < 0.2
             assert edge.forwarder.screen._waiting == {}
         assert reply.status == 503
-        assert edge.placer.ended == [EndKind.LEFT]
+        assert edge.grant_provider.ended == [EndKind.LEFT]
 
     async def test_what_may_have_run_is_not_called_not_run(self) -> None:
         """The third crash of a request may be that of its present try."""
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -150,8 +150,8 @@
             reply = await edge.async_call("/stream/x")
         assert reply.body == make_event(1) + make_event(2)
         assert reply.whole
-        assert len(edge.placer.grant_request) == 2
-        assert edge.placer.grant_request[1].excluded == ("r1",)
+        assert len(edge.grant_provider.grant_request) == 2
+        assert edge.grant_provider.grant_request[1].excluded == ("r1",)
 
     async def test_unrepeatable_request_uses_a_connection_of_its_own(self) -> None:
         """Unless an answer came just before on the one that is kept."""
@@ -227,10 +227,10 @@
 
     async def test_waiting_request_is_refused_at_its_time_as_not_run(self) -> None:
         async with start_edge() as edge:
-            edge.placer.hold = True
+            edge.grant_provider.hold = True
             reply = await edge.async_call("/stream/x", headers="X-Deadline-Ms: 200\r\n")
         assert reply.status == 503
-        assert edge.placer.ended == [EndKind.LEFT]
+        assert edge.grant_provider.ended == [EndKind.LEFT]
 
 
 class TestStreams:
@@ -243,8 +243,8 @@
             reply = await edge.async_call("/stream/x")
         assert reply.body == make_event(1) + make_event(2) + make_event(3)
         assert reply.whole
-        assert len(edge.placer.first) == 1
-        assert edge.placer.ended == [EndKind.SERVED]
+        assert len(edge.grant_provider.first) == 1
+        assert edge.grant_provider.ended == [EndKind.SERVED]
 
     async def test_pause_beyond_the_objective_is_told(self) -> None:
         head, first, second, end = make_stream(make_event(0), make_event(1))
@@ -258,7 +258,7 @@
             edge.add("r1", runner, "llm")
             reply = await edge.async_call("/stream/x")
         assert reply.whole
-        assert edge.placer.ended == [EndKind.PAUSED]
+        assert edge.grant_provider.ended == [EndKind.PAUSED]
 
     async def test_broken_stream_goes_on_elsewhere(self) -> None:
         first = make_stream(make_event(1), make_event(2), b"id: 3\nda", end=False)
@@ -336,9 +336,9 @@
             edge.add("r1", runner, "llm")
             reply = await edge.async_call("/fixed/x")
         assert reply.body == make_event(1)
-        assert edge.placer.ended == [EndKind.NOT_HELD, EndKind.SERVED]
-        assert edge.placer.grant_request[1].only == ("r1",)
-        assert edge.placer.grant_request[1].repeat
+        assert edge.grant_provider.ended == [EndKind.NOT_HELD, EndKind.SERVED]
+        assert edge.grant_provider.grant_request[1].only == ("r1",)
+        assert edge.grant_provider.grant_request[1].repeat
 
     async def test_caller_that_leaves_frees_the_runner(self) -> None:
         parts = make_stream(make_event(1), end=False)
@@ -352,7 +352,7 @@
             async with asyncio.timeout(0.5):
                 await runner.lost.wait()
             await asyncio.sleep(0.05)
-        assert edge.placer.ended == [EndKind.LEFT]
+        assert edge.grant_provider.ended == [EndKind.LEFT]
 
 
 class TestHeaders:
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -25,7 +25,7 @@
         response_age_s=0.0,
     )
     edge.forwarder.signal_watch.handle_relayed_limit(said)
-    edge.placer.permit_waits[runner_id] = wait_s
+    edge.grant_provider.permit_waits[runner_id] = wait_s
 
 
 PLAIN_WAYS = [each for each in WAYS if each.values[0] == "plain"]
@@ -89,7 +89,7 @@
             limit(edge, "r2", 0.0)
             reply = await edge.async_call("/safe/x")
         assert reply.status == 200
-        assert edge.placer.permits == ["r2"]
+        assert edge.grant_provider.permits == ["r2"]
 
     async def test_request_goes_to_another_runner_at_once(self) -> None:
         async with (
@@ -118,7 +118,7 @@
         async with RawServer(answer(make_ok())) as server, start_edge() as edge:
             edge.add("r1", server, "plain")
             await edge.async_call("/once/x")
-        assert edge.placer.permits == []
+        assert edge.grant_provider.permits == []
 
 
 class TestTelling:
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -47,12 +47,12 @@
             declare(edge, KEY)
             edge.add("r1", runner, "plain")
             await edge.async_call("/safe/x", headers=SHOWN)
-        assert edge.placer.spent == [("acme", USAGE_TOKENS)]
+        assert edge.grant_provider.spent == [("acme", USAGE_TOKENS)]
 
     async def test_over_its_quota_a_customer_is_told_when_to_come_back(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             declare(edge, KEY)
-            edge.placer.quota_wait_s = 0.75
+            edge.grant_provider.quota_wait_s = 0.75
             edge.add("r1", runner, "plain")
             reply = await edge.async_call("/safe/x", headers=SHOWN)
         assert reply.status == 429
@@ -65,7 +65,10 @@
             edge.add("r1", runner, "plain")
             reply = await edge.async_call("/once/x", headers=SHOWN)
         assert reply.status == 503
-        assert edge.placer.spent == [("acme", USAGE_TOKENS), ("acme", -USAGE_TOKENS)]
+        assert edge.grant_provider.spent == [
+            ("acme", USAGE_TOKENS),
+            ("acme", -USAGE_TOKENS),
+        ]
 
     async def test_repeat_takes_nothing_more(self) -> None:
         async with (
@@ -79,14 +82,14 @@
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/safe/x", headers=SHOWN)
         assert (reply.status, len(bad.requests)) == (200, 1)
-        assert edge.placer.spent == [("acme", USAGE_TOKENS)]
+        assert edge.grant_provider.spent == [("acme", USAGE_TOKENS)]
 
     async def test_public_route_takes_nothing(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             declare(edge, KEY)
             edge.add("r1", runner, "plain")
             await edge.async_call("/open/x")
-        assert edge.placer.spent == []
+        assert edge.grant_provider.spent == []
 
 
 class TestEngines:
@@ -98,9 +101,9 @@
             declare(edge, KEY)
             edge.add("r1", runner, "llm")
             await edge.async_call("/stream/x", headers=SHOWN)
-        [grant_request] = edge.placer.grant_request
+        [grant_request] = edge.grant_provider.grant_request
         assert (grant_request.customer, grant_request.cost) == ("acme", USAGE_TOKENS)
-        assert edge.placer.spent == []
+        assert edge.grant_provider.spent == []
 
     async def test_repeat_takes_nothing_more(self) -> None:
         async with (
@@ -112,15 +115,15 @@
             edge.add("r1", busy, "llm")
             edge.add("r2", free, "llm")
             call = edge.async_call("/stream/x", headers=SHOWN)
-            edge.placer.runner_ids[:] = ["r1", "r2"]
+            edge.grant_provider.runner_ids[:] = ["r1", "r2"]
             await call
-        assert edge.placer.grant_request[0].cost == USAGE_TOKENS
-        assert {each.cost for each in edge.placer.grant_request[1:]} <= {0.0}
+        assert edge.grant_provider.grant_request[0].cost == USAGE_TOKENS
+        assert {each.cost for each in edge.grant_provider.grant_request[1:]} <= {0.0}
 
     async def test_refusal_for_the_quota_is_told_as_such(self) -> None:
         async with start_edge() as edge:
             declare(edge, KEY)
-            edge.forwarder.placer = RefusingPlacer([])
+            edge.forwarder.grant_provider = RefusingPlacer([])
             reply = await edge.async_call("/stream/x", headers=SHOWN)
         assert reply.status == 429
         assert reply.headers["retry-after"] == "1.25"
@@ -131,4 +134,4 @@
             edge.add("r1", runner, "llm")
             reply = await edge.async_call("/fixed/x", headers=SHOWN)
         assert reply.status == 503
-        assert edge.placer.spent == [("acme", -USAGE_TOKENS)]
+        assert edge.grant_provider.spent == [("acme", -USAGE_TOKENS)]
--- a/tests/edge/test_rests.py
+++ b/tests/edge/test_rests.py
@@ -72,7 +72,7 @@
         async with RawServer(refuse("2.5")) as server, start_edge() as edge:
             edge.forwarder.signal_watch.tell = told.append
             edge.add("r1", server, "llm")
-            edge.placer.drops_refusing = True
+            edge.grant_provider.drops_refusing = True
             await edge.async_call("/stream/x")
         assert told == [
             CooldownReport(edge="e1", runner_id="r1", started_ms=0, rest_s=2.5)
--- a/tests/edge/test_retry_budget.py
+++ b/tests/edge/test_retry_budget.py
@@ -44,7 +44,7 @@
         edge.add("r1", bad, service)
         choose_last(edge, "r2")
         edge.add("r2", good, service)
-        edge.placer.drops_refusing = True
+        edge.grant_provider.drops_refusing = True
         await edge.async_call(path)
         assert len(bad.requests) == 1
         return len(good.requests), edge
--- a/tests/edge/ways.py
+++ b/tests/edge/ways.py
@@ -58,7 +58,7 @@
         edge.add("r1", server, service)
         choose_last(edge, "r2")
         edge.add("r2", second, service)
-        edge.placer.drops_refusing = True
+        edge.grant_provider.drops_refusing = True
         prepare(edge)
         await edge.async_call(path)
         assert len(server.requests) >= 1
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -160,7 +160,7 @@
     """An edge and how to call it."""
 
     view: FleetView
-    placer: StubGrantProvider
+    grant_provider: StubGrantProvider
     forwarder: Forwarder
     options: ServerOptions
     port: int
@@ -173,7 +173,7 @@
         entry = make_runner(runner_id, service=service, address=server.address)
         self.view.take_runner(entry)
         if service == "llm":
-            self.placer.runner_ids.append(runner_id)
+            self.grant_provider.runner_ids.append(runner_id)
 
     async def async_call(
         self, path: str, body: bytes = b"", headers: str = "", method: str = "POST"
@@ -267,7 +267,7 @@
     view = FleetView()
     if routes:
         view.take_table(make_table(routes=routes))
-    placer = StubGrantProvider([])
+    grant_provider = StubGrantProvider([])
     clock: Callable[[], float] = asyncio.get_running_loop().time
     share = FleetShare(limits.window_s)
     share.update(["e1"], clock(), clock(), joined=True)
@@ -293,7 +293,7 @@
         data_centre="dc1",
         incarnation="e1",
         view=view,
-        placer=placer,
+        grant_provider=grant_provider,
         plain=plain,
         retry_budgets=retry_budgets,
         admission=Admission(view=view, measure_age=lambda: ages[0], revoke_s=5.0),
@@ -319,7 +319,7 @@
     port = listener.getsockname()[1]
     server = await async_listen(options, listener)
     try:
-        yield EdgeWorld(view, placer, forwarder, options, port, teller, ages)
+        yield EdgeWorld(view, grant_provider, forwarder, options, port, teller, ages)
     finally:
         server.close()
         options.abort()
