--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -253,7 +253,7 @@
         screen = CrashFilter(
             edge=process.incarnation,
             book=process.crashes,
-            teller=self.reporter,
+            statement_sender=self.reporter,
             clock=process.clock,
         )
         return Forwarder(
--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -41,7 +41,7 @@
     """Incarnation of this edge."""
 
     book: CrashTracker
-    teller: StatementSender
+    statement_sender: StatementSender
     clock: Callable[[], float]
     memory: ServedRequests = field(factory=ServedRequests)
     _own: dict[str, dict[RequestIdentity, Charge]] = field(factory=dict, init=False)
@@ -124,7 +124,7 @@
 
     def _tell(self, statement: Statement) -> None:
         """Take a statement here, and tell it to all others."""
-        self.teller.post(statement)
+        self.statement_sender.post(statement)
         statement.take(self.book)
 
     def _note_held(self, content: str) -> None:
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -37,10 +37,13 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.teller = StubTeller()
+        self.statement_sender = StubTeller()
         self.book = CrashTracker()
         self.screen = CrashFilter(
-            edge="e1", book=self.book, teller=self.teller, clock=lambda: self.now
+            edge="e1",
+            book=self.book,
+            statement_sender=self.statement_sender,
+            clock=lambda: self.now,
         )
 
     def crash(self, life: str, *requests: RequestIdentity, ran_s: float = 0.0) -> None:
@@ -55,7 +58,7 @@
         )
 
     def list_told(self, kind: type[Statement]) -> list[Statement]:
-        return [each for each in self.teller.posted if isinstance(each, kind)]
+        return [each for each in self.statement_sender.posted if isinstance(each, kind)]
 
 
 class TestCharges:
@@ -80,7 +83,7 @@
         world = Screening()
         world.crash("l1", CULPRIT)
         world.crash("l1", OTHER)
-        last = world.teller.posted[-1]
+        last = world.statement_sender.posted[-1]
         assert isinstance(last, CrashStatement)
         assert {each.identity for each in last.charges} == {CULPRIT, OTHER}
 
@@ -91,7 +94,7 @@
             world.screen.note_served(OTHER)
             world.crash(life, OTHER)
         assert not world.screen.is_blocked(OTHER)
-        assert world.teller.posted == []
+        assert world.statement_sender.posted == []
 
     def test_content_that_others_are_served_is_not_held_back_for_all(self) -> None:
         world = Screening()
@@ -136,7 +139,7 @@
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
         assert world.screen.is_blocked(CULPRIT)
-        assert world.teller.posted == []
+        assert world.statement_sender.posted == []
 
     def test_edge_that_serves_the_content_to_others_objects(self) -> None:
         world = Screening()
@@ -257,8 +260,8 @@
                 edge.add("r1", runner, "plain")
                 reply = await edge.async_call("/once/x")
             assert reply.status == 502
-            await async_wait_until(lambda: len(edge.teller.posted) == 1)
-            [told] = edge.teller.posted
+            await async_wait_until(lambda: len(edge.statement_sender.posted) == 1)
+            [told] = edge.statement_sender.posted
             assert isinstance(told, CrashStatement)
             assert (told.life, len(told.charges)) == ("r1@0", 1)
 
@@ -287,4 +290,4 @@
             edge.add("r1", runner, "plain")
             reply = await edge.async_call("/once/x")
         assert reply.status == 502
-        assert edge.teller.posted == []
+        assert edge.statement_sender.posted == []
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -164,7 +164,7 @@
     forwarder: Forwarder
     options: ServerOptions
     port: int
-    teller: StubTeller
+    statement_sender: StubTeller
     ages: list[float]
     """Its only entry is the age of what the edge knows, in seconds."""
 
@@ -287,8 +287,10 @@
     ages = [0.0]
     metrics = Metrics()
     tasks = Tasks(errors.append)
-    teller = StubTeller()
-    screen = CrashFilter(edge="e1", book=CrashTracker(), teller=teller, clock=clock)
+    statement_sender = StubTeller()
+    screen = CrashFilter(
+        edge="e1", book=CrashTracker(), statement_sender=statement_sender, clock=clock
+    )
     forwarder = Forwarder(
         data_centre="dc1",
         incarnation="e1",
@@ -319,7 +321,9 @@
     port = listener.getsockname()[1]
     server = await async_listen(options, listener)
     try:
-        yield EdgeWorld(view, grant_provider, forwarder, options, port, teller, ages)
+        yield EdgeWorld(
+            view, grant_provider, forwarder, options, port, statement_sender, ages
+        )
     finally:
         server.close()
         options.abort()
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -154,7 +154,7 @@
         return CrashFilter(
             edge=f"e{number}",
             book=CrashTracker(),
-            teller=_Teller(self, number),
+            statement_sender=_Teller(self, number),
             clock=lambda: self.now,
         )
 
