--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -17,7 +17,7 @@
 from ..platform.runners import RunnerControl
 from ..policy.customers.const import BEGIN_S
 from ..policy.customers.quota import QuotaTracker
-from ..policy.limits.book import LimitReport
+from ..policy.limits.tracker import LimitReport
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     FleetUpdated,
--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -12,9 +12,9 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
-from ..policy.limits.book import LimitReport, LimitTracker
 from ..policy.limits.const import RECENT_REQUESTS_S
 from ..policy.limits.rests import CooldownReport, CooldownTracker
+from ..policy.limits.tracker import LimitReport, LimitTracker
 
 LIMIT: Final = "limit"
 LEAVING: Final = "leaving"
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -6,8 +6,8 @@
 from attrs import define, field
 
 from ..customers.const import OVER_QUOTA
-from ..limits.book import LimitReport
 from ..limits.rests import CooldownReport
+from ..limits.tracker import LimitReport
 from .adapters import plan_adapter, plan_adapters, plan_runner
 from .const import MIN_RETRY_AFTER_S
 from .dispatch import Dispatcher, place
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -8,8 +8,8 @@
 from ...models.routing import RoutingTable
 from ...models.runner import RunnerEntry, RunnerReport
 from ..customers.spending import SpendingEntry
-from ..limits.book import LimitReport
 from ..limits.rests import CooldownReport
+from ..limits.tracker import LimitReport
 
 
 class EndKind(Enum):
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -10,9 +10,9 @@
 from ...models.runner import RunnerEntry
 from ..customers.quota import QuotaTracker
 from ..edge.health import HealthTracker
-from ..limits.book import LimitTracker
 from ..limits.const import MAX_LIMITED_SHARE, MIN_COOLDOWN_EDGE_SHARE, MIN_LIMITED_S
 from ..limits.rests import CooldownTracker
+from ..limits.tracker import LimitTracker
 from .const import (
     STORE_FIRST_LOADS,
     STORE_FIRST_SHARE,
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -11,7 +11,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.const import MEMORY_S
-from ..policy.limits.book import LimitReport, strip_recent_requests
+from ..policy.limits.tracker import LimitReport, strip_recent_requests
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
     Action,
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import evolve
 
-from mangoway.policy.limits.book import LimitReport
+from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.const import RETRY_SPREAD
 
 from ..upstreams.raw_server import RawServer, Script, answer, frame
--- a/tests/policy/limits/test_book.py
+++ b/tests/policy/limits/test_book.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from mangoway.policy.limits.book import LimitReport, LimitTracker
 from mangoway.policy.limits.const import (
     BURST_S,
     FORGET_S,
@@ -14,6 +13,7 @@
     MAX_WAIT_S,
     MIN_LIMITED_S,
 )
+from mangoway.policy.limits.tracker import LimitReport, LimitTracker
 
 LIFE = ("r1", 0)
 
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -9,8 +9,12 @@
 
 from mangoway.policy.customers.const import BEGIN_S
 from mangoway.policy.edge.shares import DisconnectedShare
-from mangoway.policy.limits.book import LimitReport, LimitTracker, strip_recent_requests
 from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, RECENT_REQUESTS_S
+from mangoway.policy.limits.tracker import (
+    LimitReport,
+    LimitTracker,
+    strip_recent_requests,
+)
 
 EDGES: Final = 6
 WINDOW_S: Final = 4.0
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -3,8 +3,8 @@
 import pytest
 from attrs import evolve
 
-from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.const import MIN_LIMITED_S
+from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.core import RATE_LIMITED_REASON
 from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -12,8 +12,8 @@
 from mangoway.coordination.view import FleetView, Leader
 from mangoway.models.fleet import Member, Role
 from mangoway.models.signals import LeavingReport
-from mangoway.policy.limits.book import LimitReport
 from mangoway.policy.limits.const import MAX_WAIT_S
+from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
     EndKind,
