--- a/mangoway/edge/signal_watch.py
+++ b/mangoway/edge/signal_watch.py
@@ -13,7 +13,7 @@
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
 from ..policy.limits.const import RECENT_REQUESTS_S
-from ..policy.limits.rests import CooldownReport, CooldownTracker
+from ..policy.limits.cooldowns import CooldownReport, CooldownTracker
 from ..policy.limits.tracker import LimitReport, LimitTracker
 
 LIMIT: Final = "limit"
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -6,7 +6,7 @@
 from attrs import define, field
 
 from ..customers.const import OVER_QUOTA
-from ..limits.rests import CooldownReport
+from ..limits.cooldowns import CooldownReport
 from ..limits.tracker import LimitReport
 from .adapters import plan_adapter, plan_adapters, plan_runner
 from .const import MIN_RETRY_AFTER_S
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -8,7 +8,7 @@
 from ...models.routing import RoutingTable
 from ...models.runner import RunnerEntry, RunnerReport
 from ..customers.spending import SpendingEntry
-from ..limits.rests import CooldownReport
+from ..limits.cooldowns import CooldownReport
 from ..limits.tracker import LimitReport
 
 
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -11,7 +11,7 @@
 from ..customers.quota import QuotaTracker
 from ..edge.health import HealthTracker
 from ..limits.const import MAX_LIMITED_SHARE, MIN_COOLDOWN_EDGE_SHARE, MIN_LIMITED_S
-from ..limits.rests import CooldownTracker
+from ..limits.cooldowns import CooldownTracker
 from ..limits.tracker import LimitTracker
 from .const import (
     STORE_FIRST_LOADS,
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -12,7 +12,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.customers.spending import SpendingHistory
-from ..policy.limits.rests import CooldownReport
+from ..policy.limits.cooldowns import CooldownReport
 from ..policy.limits.tracker import LimitReport
 from ..policy.scheduling.events import (
     EndKind,
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -19,7 +19,7 @@
 from ..models.prompt import Prompt, PromptPart
 from ..models.signals import LeavingReport
 from ..policy.customers.spending import SpendingEntry
-from ..policy.limits.rests import CooldownReport
+from ..policy.limits.cooldowns import CooldownReport
 from ..policy.limits.tracker import LimitReport
 from ..policy.scheduling.events import (
     EndKind,
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -4,7 +4,7 @@
 
 from ..coordination.store import Changes, Item
 from ..models.signals import LeavingReport
-from ..policy.limits.rests import CooldownReport
+from ..policy.limits.cooldowns import CooldownReport
 from ..policy.limits.tracker import LimitReport
 from ..policy.scheduling.events import (
     FirstEventSeen,
--- a/tests/edge/test_rests.py
+++ b/tests/edge/test_rests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mangoway.policy.limits.rests import CooldownReport
+from mangoway.policy.limits.cooldowns import CooldownReport
 from mangoway.policy.scheduling.const import RETRY_SPREAD
 
 from ..upstreams.raw_server import RawServer, Script, answer, frame
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -25,7 +25,7 @@
 from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.edge.retry_budget import RetryLimits
 from mangoway.policy.edge.shares import FleetShare
-from mangoway.policy.limits.rests import CooldownTracker
+from mangoway.policy.limits.cooldowns import CooldownTracker
 from mangoway.policy.limits.tracker import LimitTracker
 from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
 from mangoway.scheduling.placing import Answer
--- a/tests/policy/limits/test_rests.py
+++ b/tests/policy/limits/test_rests.py
@@ -1,6 +1,6 @@
 """Tests of the rests that runners ask for."""
 
-from mangoway.policy.limits.rests import CooldownReport, CooldownTracker
+from mangoway.policy.limits.cooldowns import CooldownReport, CooldownTracker
 
 
 def say(rest_s: float, edge: str = "e1", started_ms: int = 0) -> CooldownReport:
--- a/tests/policy/scheduling/test_rests.py
+++ b/tests/policy/scheduling/test_rests.py
@@ -1,6 +1,6 @@
 """Tests of how the scheduling core leaves runners alone that asked for rest."""
 
-from mangoway.policy.limits.rests import CooldownReport
+from mangoway.policy.limits.cooldowns import CooldownReport
 from mangoway.policy.scheduling.events import EdgeDisconnected
 
 from ...fakes.fleet import make_asked
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -8,7 +8,7 @@
 from mangoway.coordination.store import Change, Changes, Item
 from mangoway.models.signals import LeavingReport
 from mangoway.policy.customers.spending import SpendingEntry
-from mangoway.policy.limits.rests import CooldownReport
+from mangoway.policy.limits.cooldowns import CooldownReport
 from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.events import (
     EndKind,
