--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -12,13 +12,13 @@
 
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.book import CrashTracker
 from ..policy.crashes.const import (
     CRASH_RETENTION_S,
     HELD_S,
     MAX_BLOCKED,
     MAX_CLEARANCES,
 )
+from ..policy.crashes.tracker import CrashTracker
 from .crashes import (
     CLEARED_KEYS,
     CRASH_KEYS,
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -13,7 +13,7 @@
 from attrs import frozen
 
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
-from ..policy.crashes.book import CrashTracker
+from ..policy.crashes.tracker import CrashTracker
 
 CRASH_KEYS: Final = "crashes/"
 CLEARED_KEYS: Final = "cleared/"
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -20,7 +20,7 @@
 from ..platform.documents import OWN_PREFIX
 from ..platform.receiver import StoreReceiver
 from ..platform.store import PlatformStore
-from ..policy.crashes.book import CrashTracker
+from ..policy.crashes.tracker import CrashTracker
 from ..scheduling.leader import LeaderLink
 from ..scheduling.messages import Hello, RelayedStatement
 from ..settings.fleet import FleetSettings
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -11,7 +11,7 @@
 from ..models.fleet import MEMBER_KEYS
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.book import CrashTracker
+from ..policy.crashes.tracker import CrashTracker
 from .documents import (
     CONFIGURATION_KEY,
     OWN_PREFIX,
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -25,8 +25,8 @@
 from mangoway.coordination.view import FleetView
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
 from mangoway.platform.receiver import StoreReceiver
-from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import CRASH_RETENTION_S, HELD_S
+from mangoway.policy.crashes.tracker import CrashTracker
 
 from ..fakes.coordination_store import FakeCoordinationStore
 from ..fakes.polling import async_wait_until
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -13,8 +13,8 @@
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
 from mangoway.platform.requests import decode_request
-from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import BEGIN_S
+from mangoway.policy.crashes.tracker import CrashTracker
 from mangoway.policy.scheduling.events import EndKind
 
 from ..fakes.polling import async_wait_until
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -22,7 +22,7 @@
 from mangoway.models.routing import CallerLimits, Route, RouteKind
 from mangoway.models.runner import RunnerEntry
 from mangoway.observability.metrics import Metrics
-from mangoway.policy.crashes.book import CrashTracker
+from mangoway.policy.crashes.tracker import CrashTracker
 from mangoway.policy.edge.retry_budget import RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 from mangoway.policy.limits.cooldowns import CooldownTracker
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -17,7 +17,7 @@
 from mangoway.edge.crash_screen import CrashFilter
 from mangoway.edge.crash_watch import InterruptedRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity, RunnerLife
-from mangoway.policy.crashes.book import CrashTracker
+from mangoway.policy.crashes.tracker import CrashTracker
 
 TOLD_AFTER_S = 0.5
 """Time after which all other edges know what one has told."""
--- a/tests/policy/crashes/test_book.py
+++ b/tests/policy/crashes/test_book.py
@@ -5,7 +5,6 @@
 from hypothesis import strategies as st
 
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
-from mangoway.policy.crashes.book import CrashTracker
 from mangoway.policy.crashes.const import (
     MAX_BLOCKED,
     MAX_CLEARANCES,
@@ -13,6 +12,7 @@
     POINTS_TO_HOLD,
     POINTS_TO_HOLD_CONTENT,
 )
+from mangoway.policy.crashes.tracker import CrashTracker
 
 CRASHES = POINTS_TO_HOLD // MOST_POINTS
 CRASHES_OF_CONTENT = POINTS_TO_HOLD_CONTENT // MOST_POINTS
