--- a/mangoway/edge/crash_screen.py
+++ b/mangoway/edge/crash_screen.py
@@ -11,7 +11,7 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.crashes.const import BEGIN_S
-from ..policy.crashes.memory import ServedRequests
+from ..policy.crashes.served_requests import ServedRequests
 from ..policy.crashes.tracker import CrashTracker
 from .crash_watch import InterruptedRequest, RunnerCrash
 
--- a/tests/policy/crashes/test_memory.py
+++ b/tests/policy/crashes/test_memory.py
@@ -2,7 +2,7 @@
 
 from mangoway.models.crash import RequestIdentity
 from mangoway.policy.crashes.const import REMEMBERED_S
-from mangoway.policy.crashes.memory import ServedRequests
+from mangoway.policy.crashes.served_requests import ServedRequests
 
 SERVED = RequestIdentity("c", "v")
 
