--- a/tests/policy/edge/test_naming.py
+++ b/tests/policy/edge/test_naming.py
@@ -5,7 +5,7 @@
 from mangoway.models.fleet import Member, Role
 from mangoway.policy.edge.choice import InFlight, choose_runner
 from mangoway.policy.edge.const import MAX_NAMED
-from mangoway.policy.edge.naming import choose_gateways
+from mangoway.policy.edge.gateways import choose_gateways
 
 from ...fakes.fleet import make_runner
 
