--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -15,7 +15,7 @@
 from ..observability.metrics import Metrics
 from ..platform.requests import RequestFields, decode_request
 from ..policy.edge.const import RETRY_AFTER_START_S
-from ..scheduling.placing import GrantProvider
+from ..scheduling.grant_provider import GrantProvider
 from .admission import Admission, Denial
 from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .crash_screen import CrashFilter
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -15,7 +15,7 @@
 from ..policy.customers.const import OVER_QUOTA
 from ..policy.edge.const import MIN_RETRY_TIME_S, RETRY_AFTER_OUTAGE_S
 from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
-from ..scheduling.placing import Answer, GrantProvider
+from ..scheduling.grant_provider import Answer, GrantProvider
 from .admission import Caller
 from .const import CRASHING_REQUEST_REASON, OTHER_PLACE_S, PLACES_ASKED
 from .crash_screen import CrashFilter
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -26,11 +26,11 @@
     RequestEnded,
     SpendingReported,
 )
+from .grant_provider import Answer, OpenAsks
 from .leader import LeaderLink
 from .link import Link
 from .local import LocalGrantProvider
 from .messages import Message
-from .placing import Answer, OpenAsks
 
 HOLD_S: Final = 0.25
 """Time for which requests wait for another scheduler when theirs is lost. It is reached
--- a/mangoway/scheduling/local.py
+++ b/mangoway/scheduling/local.py
@@ -21,7 +21,7 @@
     RequestEnded,
     Tick,
 )
-from .placing import Answer, OpenAsks
+from .grant_provider import Answer, OpenAsks
 
 TICK_S: Final = 0.05
 """Time between two looks at a queue that waits."""
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -4,7 +4,7 @@
 
 from mangoway.policy.customers.const import OVER_QUOTA
 from mangoway.policy.scheduling.events import GrantRequest, Refuse
-from mangoway.scheduling.placing import Answer
+from mangoway.scheduling.grant_provider import Answer
 
 from ..upstreams.raw_server import RawServer, answer, cut
 from .test_admission import KEY, SHOWN, declare
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -28,7 +28,7 @@
 from mangoway.policy.limits.cooldowns import CooldownTracker
 from mangoway.policy.limits.tracker import LimitTracker
 from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
-from mangoway.scheduling.placing import Answer
+from mangoway.scheduling.grant_provider import Answer
 from mangoway.util.listener import open_listener
 from mangoway.util.tasks import Tasks
 
