--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -32,7 +32,7 @@
 from ..policy.scheduling.events import FleetUpdated
 from ..policy.scheduling.state import SchedulingState
 from ..scheduling.client import SchedulerClient
-from ..scheduling.local import LocalGrantProvider
+from ..scheduling.local_grant_provider import LocalGrantProvider
 from ..scheduling.messages import RelayedStatement
 from ..settings.fleet import EdgeSettings
 from ..util.clock import read_boot_clock
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -29,7 +29,7 @@
 from .grant_provider import Answer, OpenAsks
 from .leader import LeaderLink
 from .link import Link
-from .local import LocalGrantProvider
+from .local_grant_provider import LocalGrantProvider
 from .messages import Message
 
 HOLD_S: Final = 0.25
