--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -21,7 +21,7 @@
 from ..platform.receiver import StoreReceiver
 from ..platform.store import PlatformStore
 from ..policy.crashes.tracker import CrashTracker
-from ..scheduling.leader import LeaderLink
+from ..scheduling.leader_link import LeaderLink
 from ..scheduling.messages import Hello, RelayedStatement
 from ..settings.fleet import FleetSettings
 from ..util.address import split_address
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -27,7 +27,7 @@
     SpendingReported,
 )
 from .grant_provider import Answer, OpenAsks
-from .leader import LeaderLink
+from .leader_link import LeaderLink
 from .link import Link
 from .local_grant_provider import LocalGrantProvider
 from .messages import Message
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -25,7 +25,7 @@
 from mangoway.policy.scheduling.state import SchedulingState
 from mangoway.scheduling.client import RETRY_AFTER_PERMIT_S, SchedulerClient
 from mangoway.scheduling.grant_provider import Answer
-from mangoway.scheduling.leader import CHECK_S, SILENCE_S, LeaderLink
+from mangoway.scheduling.leader_link import CHECK_S, SILENCE_S, LeaderLink
 from mangoway.scheduling.local_grant_provider import LocalGrantProvider
 from mangoway.scheduling.messages import Hello, RelayedStatement
 from mangoway.scheduling.server import SchedulerServer
--- a/tests/scheduling/test_crowd.py
+++ b/tests/scheduling/test_crowd.py
@@ -11,7 +11,7 @@
 from mangoway.models.fleet import Member, Role
 from mangoway.scheduling import store_feed as feed_module
 from mangoway.scheduling.codec import decode_payload, encode_frame
-from mangoway.scheduling.leader import SEED_WAIT_S
+from mangoway.scheduling.leader_link import SEED_WAIT_S
 from mangoway.scheduling.link import Link
 from mangoway.scheduling.messages import (
     Heartbeat,
