--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -8,13 +8,13 @@
 
 from ..coordination.crash_reporter import CrashReporter
 from ..edge.admission import Admission
-from ..edge.answers import make_error_response
 from ..edge.const import MAX_IDLE_PER_RUNNER
 from ..edge.crash_screen import CrashFilter
 from ..edge.crash_watch import CrashDetector
 from ..edge.forwarder import Forwarder
 from ..edge.pages import DirectoryPage, ReadyPage
 from ..edge.plain import PlainGrantProvider
+from ..edge.responses import make_error_response
 from ..edge.retry_budgets import RetryBudgets
 from ..edge.signal_watch import SignalTracker
 from ..http1.client import ConnectionPool
--- a/mangoway/edge/admission.py
+++ b/mangoway/edge/admission.py
@@ -14,8 +14,8 @@
 from ..models.customer import Credential, Customer, CustomerRegistry, make_credential
 from ..models.routing import Route
 from ..platform.requests import RequestFields, read_key
-from .answers import STATUS_NOT_RUN, STATUS_UNKNOWN_CALLER
 from .const import KNOWLEDGE_SHARE, RETRY_AFTER_STALE_S, SURE_AGE_S
+from .responses import STATUS_NOT_RUN, STATUS_UNKNOWN_CALLER
 
 
 @frozen(kw_only=True)
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -17,7 +17,6 @@
 from ..policy.edge.const import RETRY_AFTER_START_S
 from ..scheduling.grant_provider import GrantProvider
 from .admission import Admission, Denial
-from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .crash_screen import CrashFilter
 from .crash_watch import CrashDetector
 from .delivery import Delivery
@@ -25,6 +24,7 @@
 from .identity import identify
 from .plain import PlainGrantProvider
 from .request_log import RequestLog
+from .responses import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .retry_budgets import RetryBudgets
 from .signal_watch import SignalTracker
 
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -19,18 +19,18 @@
 from ..policy.edge.retries import FailedAttempt, Next, RetryCause, decide_retry
 from ..policy.scheduling.events import EndKind, Refuse
 from .admission import Admission, Caller, Denial
-from .answers import (
+from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
+from .const import BUDGET_SPENT, MAX_SILENCE_S, MIN_SILENCE_S, SILENT_OBJECTIVES
+from .crash_watch import CrashDetector, InterruptedRequest
+from .delivery import Delivery
+from .request_log import RequestLog
+from .responses import (
     STATUS_FAILED,
     STATUS_NOT_RUN,
     STATUS_OVER_QUOTA,
     STATUS_TIMEOUT,
     make_response,
 )
-from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
-from .const import BUDGET_SPENT, MAX_SILENCE_S, MIN_SILENCE_S, SILENT_OBJECTIVES
-from .crash_watch import CrashDetector, InterruptedRequest
-from .delivery import Delivery
-from .request_log import RequestLog
 from .runner_finder import FinderTools, RunnerFinder
 
 
--- a/mangoway/edge/pages.py
+++ b/mangoway/edge/pages.py
@@ -11,8 +11,8 @@
 from ..models.fleet import Role
 from ..platform.pages import PATH_READY, decode_question, encode_addresses
 from ..policy.edge.gateways import choose_gateways
-from .answers import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .const import DIRECTORY_TTL_S
+from .responses import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 
 
 @define(eq=False)
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -10,11 +10,11 @@
 from mangoway.coordination.crashes import Statement
 from mangoway.coordination.view import FleetView
 from mangoway.edge.admission import Admission
-from mangoway.edge.answers import make_error_response
 from mangoway.edge.crash_screen import CrashFilter
 from mangoway.edge.crash_watch import CrashDetector
 from mangoway.edge.forwarder import Forwarder
 from mangoway.edge.plain import PlainGrantProvider
+from mangoway.edge.responses import make_error_response
 from mangoway.edge.retry_budgets import RetryBudgets
 from mangoway.edge.signal_watch import SignalTracker
 from mangoway.http1.client import ConnectionPool
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mangoway.edge.answers import make_refusal
+from mangoway.edge.responses import make_refusal
 from mangoway.http1.messages import Request
 from mangoway.http1.server import Exchange, ServerOptions, async_listen
 from mangoway.models.routing import CallerLimits
