--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -18,7 +18,7 @@
 from ..scheduling.grant_provider import Answer, GrantProvider
 from .admission import Caller
 from .const import CRASHING_REQUEST_REASON, OTHER_PLACE_S, PLACES_ASKED
-from .crash_screen import CrashFilter
+from .crash_filter import CrashFilter
 from .delivery import Delivery
 from .plain import PlainGrantProvider
 from .repeat_payment import RepeatPayment
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -10,7 +10,7 @@
 from mangoway.coordination.crashes import Statement
 from mangoway.coordination.view import FleetView
 from mangoway.edge.admission import Admission
-from mangoway.edge.crash_screen import CrashFilter
+from mangoway.edge.crash_filter import CrashFilter
 from mangoway.edge.crash_watch import CrashDetector
 from mangoway.edge.forwarder import Forwarder
 from mangoway.edge.plain import PlainGrantProvider
