--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -9,8 +9,8 @@
 from ..coordination.crash_reporter import CrashReporter
 from ..edge.admission import Admission
 from ..edge.const import MAX_IDLE_PER_RUNNER
+from ..edge.crash_detector import CrashDetector
 from ..edge.crash_filter import CrashFilter
-from ..edge.crash_watch import CrashDetector
 from ..edge.forwarder import Forwarder
 from ..edge.pages import DirectoryPage, ReadyPage
 from ..edge.plain import PlainGrantProvider
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -13,7 +13,7 @@
 from ..policy.crashes.const import BEGIN_S
 from ..policy.crashes.served_requests import ServedRequests
 from ..policy.crashes.tracker import CrashTracker
-from .crash_watch import InterruptedRequest, RunnerCrash
+from .crash_detector import InterruptedRequest, RunnerCrash
 
 TOLD_FROM: Final = 2
 """Charges from which others are told that a request has ended well. Most of what a
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -17,8 +17,8 @@
 from ..policy.edge.const import RETRY_AFTER_START_S
 from ..scheduling.grant_provider import GrantProvider
 from .admission import Admission, Denial
+from .crash_detector import CrashDetector
 from .crash_filter import CrashFilter
-from .crash_watch import CrashDetector
 from .delivery import Delivery
 from .handling import Handling
 from .identity import identify
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -21,7 +21,7 @@
 from .admission import Admission, Caller, Denial
 from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
 from .const import BUDGET_SPENT, MAX_SILENCE_S, MIN_SILENCE_S, SILENT_OBJECTIVES
-from .crash_watch import CrashDetector, InterruptedRequest
+from .crash_detector import CrashDetector, InterruptedRequest
 from .delivery import Delivery
 from .request_log import RequestLog
 from .responses import (
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -7,8 +7,8 @@
     CrashStatement,
     Statement,
 )
+from mangoway.edge.crash_detector import InterruptedRequest, RunnerCrash
 from mangoway.edge.crash_filter import CrashFilter
-from mangoway.edge.crash_watch import InterruptedRequest, RunnerCrash
 from mangoway.edge.identity import identify
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
--- a/tests/edge/test_crash_watch.py
+++ b/tests/edge/test_crash_watch.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 
 from mangoway.coordination.view import FleetView
-from mangoway.edge.crash_watch import CrashDetector, InterruptedRequest, RunnerCrash
+from mangoway.edge.crash_detector import CrashDetector, InterruptedRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity
 from mangoway.observability.metrics import Metrics
 from mangoway.util.tasks import Tasks
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -10,8 +10,8 @@
 from mangoway.coordination.crashes import Statement
 from mangoway.coordination.view import FleetView
 from mangoway.edge.admission import Admission
+from mangoway.edge.crash_detector import CrashDetector
 from mangoway.edge.crash_filter import CrashFilter
-from mangoway.edge.crash_watch import CrashDetector
 from mangoway.edge.forwarder import Forwarder
 from mangoway.edge.plain import PlainGrantProvider
 from mangoway.edge.responses import make_error_response
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -14,8 +14,8 @@
 from attrs import define, field
 
 from mangoway.coordination.crashes import Statement
+from mangoway.edge.crash_detector import InterruptedRequest, RunnerCrash
 from mangoway.edge.crash_filter import CrashFilter
-from mangoway.edge.crash_watch import InterruptedRequest, RunnerCrash
 from mangoway.models.crash import RequestIdentity, RunnerLife
 from mangoway.policy.crashes.tracker import CrashTracker
 
