--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -16,7 +16,7 @@
 from ..edge.plain import PlainGrantProvider
 from ..edge.responses import make_error_response
 from ..edge.retry_budgets import RetryBudgets
-from ..edge.signal_watch import SignalTracker
+from ..edge.signal_tracker import SignalTracker
 from ..http1.client import ConnectionPool
 from ..http1.server import ServerOptions, async_listen
 from ..models.fleet import Role
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -26,7 +26,7 @@
 from .request_log import RequestLog
 from .responses import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .retry_budgets import RetryBudgets
-from .signal_watch import SignalTracker
+from .signal_tracker import SignalTracker
 
 NO_CONFIGURATION = Denial(
     status=STATUS_NOT_RUN,
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -24,7 +24,7 @@
 from .repeat_payment import RepeatPayment
 from .request_log import RequestLog
 from .retry_budgets import RetryBudgets
-from .signal_watch import SignalTracker
+from .signal_tracker import SignalTracker
 
 
 class FinderTools(Protocol):
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -16,7 +16,7 @@
 from mangoway.edge.plain import PlainGrantProvider
 from mangoway.edge.responses import make_error_response
 from mangoway.edge.retry_budgets import RetryBudgets
-from mangoway.edge.signal_watch import SignalTracker
+from mangoway.edge.signal_tracker import SignalTracker
 from mangoway.http1.client import ConnectionPool
 from mangoway.http1.server import ServerOptions, async_listen
 from mangoway.models.routing import CallerLimits, Route, RouteKind
