--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -13,7 +13,7 @@
 from ..edge.crash_filter import CrashFilter
 from ..edge.forwarder import Forwarder
 from ..edge.pages import DirectoryPage, ReadyPage
-from ..edge.plain import PlainGrantProvider
+from ..edge.plain_grant_provider import PlainGrantProvider
 from ..edge.responses import make_error_response
 from ..edge.retry_budgets import RetryBudgets
 from ..edge.signal_tracker import SignalTracker
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -22,7 +22,7 @@
 from .delivery import Delivery
 from .handling import Handling
 from .identity import identify
-from .plain import PlainGrantProvider
+from .plain_grant_provider import PlainGrantProvider
 from .request_log import RequestLog
 from .responses import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
 from .retry_budgets import RetryBudgets
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -20,7 +20,7 @@
 from .const import CRASHING_REQUEST_REASON, OTHER_PLACE_S, PLACES_ASKED
 from .crash_filter import CrashFilter
 from .delivery import Delivery
-from .plain import PlainGrantProvider
+from .plain_grant_provider import PlainGrantProvider
 from .repeat_payment import RepeatPayment
 from .request_log import RequestLog
 from .retry_budgets import RetryBudgets
--- a/tests/edge/test_plain.py
+++ b/tests/edge/test_plain.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from mangoway.coordination.view import FleetView
-from mangoway.edge.plain import PlainGrantProvider
+from mangoway.edge.plain_grant_provider import PlainGrantProvider
 from mangoway.policy.scheduling.events import EndKind
 
 from ..fakes.fleet import make_runner, make_table
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -13,7 +13,7 @@
 from mangoway.edge.crash_detector import CrashDetector
 from mangoway.edge.crash_filter import CrashFilter
 from mangoway.edge.forwarder import Forwarder
-from mangoway.edge.plain import PlainGrantProvider
+from mangoway.edge.plain_grant_provider import PlainGrantProvider
 from mangoway.edge.responses import make_error_response
 from mangoway.edge.retry_budgets import RetryBudgets
 from mangoway.edge.signal_tracker import SignalTracker
