--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -93,7 +93,7 @@
     reporter: CrashReporter = field(init=False)
     admission: Admission = field(init=False)
     retry_budgets: RetryBudgets = field(init=False)
-    signal_watch: SignalTracker = field(init=False)
+    signal_tracker: SignalTracker = field(init=False)
     lone_share: DisconnectedShare = field(factory=DisconnectedShare, init=False)
     forwarder: Forwarder = field(init=False)
     callers: ServerOptions = field(init=False)
@@ -113,7 +113,7 @@
             settings, Role.EDGE, caller_address=settings.caller_listen
         )
         self.client = self._make_client()
-        self.signal_watch = self._make_signal_watch()
+        self.signal_tracker = self._make_signal_watch()
         self.retry_budgets = RetryBudgets(
             limits=RetryLimits(
                 ratio=settings.retry_ratio,
@@ -274,7 +274,7 @@
                 on_crash=screen.note_crash,
             ),
             screen=screen,
-            signal_watch=self.signal_watch,
+            signal_tracker=self.signal_tracker,
             random=self._random,
         )
 
@@ -325,7 +325,7 @@
             await async_sleep_to_tick(SWEEP_S)
             self.forwarder.pool.sweep(self.process.clock())
             self.forwarder.plain.forget_removed_runners()
-            self.signal_watch.keep_only(set(self.process.view.runners))
+            self.signal_tracker.keep_only(set(self.process.view.runners))
 
     async def _async_look_at_members(self) -> None:
         """Keep this edge's parts of what the whole fleet may do current."""
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -55,7 +55,7 @@
     metrics: Metrics
     crash_watch: CrashDetector
     screen: CrashFilter
-    signal_watch: SignalTracker
+    signal_tracker: SignalTracker
     random: Random
     numbers: "count[int]" = field(factory=count, init=False)
 
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -163,7 +163,7 @@
         self._in_attempt = True
         self._finder.payment.begin_try()
         self._first_event_at = None
-        self.tools.signal_watch.note_sent(runner)
+        self.tools.signal_tracker.note_sent(runner)
         try:
             result = await attempt.async_run()
         finally:
@@ -213,7 +213,7 @@
     def _note_head(
         self, runner: RunnerEntry, head: ResponseHead, sent_at: float
     ) -> None:
-        self.tools.signal_watch.note(
+        self.tools.signal_tracker.note(
             runner, decode_signals(head.headers, head.status), sent_at
         )
 
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -36,7 +36,7 @@
     plain: PlainGrantProvider
     retry_budgets: RetryBudgets
     screen: CrashFilter
-    signal_watch: SignalTracker
+    signal_tracker: SignalTracker
     numbers: "count[int]"
 
 
@@ -263,7 +263,7 @@
 
     def _list_rests(self) -> dict[str, float]:
         """Return the plain runners that want nothing of this edge, and for how long."""
-        watch = self.tools.signal_watch
+        watch = self.tools.signal_tracker
         if not watch.rests.has_cooldowns(self._clock()):
             return {}
         runners = self.tools.view.list_runners(self.service.name)
@@ -274,10 +274,10 @@
         """Return whether a runner takes requests of this edge, as far as it knows."""
         if not self.tools.view.is_open(runner):
             return False
-        return self.tools.signal_watch.measure_rest(runner) == 0
+        return self.tools.signal_tracker.measure_rest(runner) == 0
 
     def _is_limited(self, runner: RunnerEntry) -> bool:
-        limits = self.tools.signal_watch.limits
+        limits = self.tools.signal_tracker.limits
         return limits.get_limit(runner.runner_id, runner.started_ms) is not None
 
     async def _async_ask(self, grant_request: GrantRequest) -> Answer:
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -18,7 +18,7 @@
 def leave(edge: EdgeWorld, runner_id: str) -> None:
     """Let an edge hear from others that a runner leaves."""
     said = LeavingReport(runner_id=runner_id, started_ms=0)
-    edge.forwarder.signal_watch.handle_relayed_leaving(said)
+    edge.forwarder.signal_tracker.handle_relayed_leaving(said)
 
 
 class TestStatements:
@@ -32,7 +32,7 @@
             RawServer(answer(make_ok())) as other,
             start_edge() as edge,
         ):
-            edge.forwarder.signal_watch.tell = told.append
+            edge.forwarder.signal_tracker.tell = told.append
             edge.add("r1", leaving, "plain")
             choose_last(edge, "r2")
             edge.add("r2", other, "plain")
@@ -64,7 +64,7 @@
             entry = make_runner("r1", service="plain", address=server.address)
             edge.view.take_runner(evolve(entry, started_ms=1000))
             said = LeavingReport(runner_id="r1", started_ms=1000)
-            edge.forwarder.signal_watch.handle_relayed_leaving(said)
+            edge.forwarder.signal_tracker.handle_relayed_leaving(said)
             assert edge.view.find_open_runner("r1") is None
             edge.view.take_runner(evolve(entry, started_ms=2000))
             reply = await edge.async_call("/once/x")
--- a/tests/edge/test_rests.py
+++ b/tests/edge/test_rests.py
@@ -21,7 +21,7 @@
 def let_rest(edge: EdgeWorld, runner_id: str, rest_s: float = 30.0) -> None:
     """Let a runner have asked the edge for rest."""
     said = CooldownReport(edge="e1", runner_id=runner_id, started_ms=0, rest_s=rest_s)
-    watch = edge.forwarder.signal_watch
+    watch = edge.forwarder.signal_tracker
     watch.rests.note(said, watch.clock())
 
 
@@ -70,7 +70,7 @@
     async def test_scheduler_is_told(self) -> None:
         told: list[object] = []
         async with RawServer(refuse("2.5")) as server, start_edge() as edge:
-            edge.forwarder.signal_watch.tell = told.append
+            edge.forwarder.signal_tracker.tell = told.append
             edge.add("r1", server, "llm")
             edge.grant_provider.drops_refusing = True
             await edge.async_call("/stream/x")
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -309,7 +309,7 @@
             on_crash=screen.note_crash,
         ),
         screen=screen,
-        signal_watch=SignalTracker(
+        signal_tracker=SignalTracker(
             metrics, LimitTracker(), clock, view, "e1", CooldownTracker()
         ),
         random=Random(1),
