--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -266,7 +266,7 @@
             admission=self.admission,
             pool=ConnectionPool(MAX_IDLE_PER_RUNNER),
             metrics=process.metrics,
-            crash_watch=CrashDetector(
+            crash_detector=CrashDetector(
                 view=process.view,
                 metrics=process.metrics,
                 clock=process.clock,
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -53,7 +53,7 @@
     admission: Admission
     pool: ConnectionPool
     metrics: Metrics
-    crash_watch: CrashDetector
+    crash_detector: CrashDetector
     screen: CrashFilter
     signal_tracker: SignalTracker
     random: Random
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -40,7 +40,7 @@
     admission: Admission
     pool: ConnectionPool
     metrics: Metrics
-    crash_watch: CrashDetector
+    crash_detector: CrashDetector
 
 
 @define(eq=False)
@@ -184,9 +184,9 @@
         first_at = self._first_event_at
         ran_s = 0.0 if first_at is None else self._clock() - first_at
         lost = InterruptedRequest(identity=identity, sent_at=sent_at, ran_s=ran_s)
-        self.tools.crash_watch.note_lost(runner, lost)
+        self.tools.crash_detector.note_lost(runner, lost)
         if self.tools.screen.is_suspected(identity):
-            await self.tools.crash_watch.async_settle(runner)
+            await self.tools.crash_detector.async_settle(runner)
 
     def _check_again(self) -> Denial | None:
         """Return why the request may not go on; an answer that has begun may."""
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -301,7 +301,7 @@
         admission=Admission(view=view, measure_age=lambda: ages[0], revoke_s=5.0),
         pool=ConnectionPool(4),
         metrics=metrics,
-        crash_watch=CrashDetector(
+        crash_detector=CrashDetector(
             view=view,
             metrics=metrics,
             clock=clock,
