--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -250,7 +250,7 @@
             clock=process.clock,
             random=self._random,
         )
-        screen = CrashFilter(
+        crash_filter = CrashFilter(
             edge=process.incarnation,
             book=process.crashes,
             statement_sender=self.reporter,
@@ -271,9 +271,9 @@
                 metrics=process.metrics,
                 clock=process.clock,
                 start_task=process.tasks.async_start,
-                on_crash=screen.note_crash,
+                on_crash=crash_filter.note_crash,
             ),
-            screen=screen,
+            crash_filter=crash_filter,
             signal_tracker=self.signal_tracker,
             random=self._random,
         )
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -54,7 +54,7 @@
     pool: ConnectionPool
     metrics: Metrics
     crash_detector: CrashDetector
-    screen: CrashFilter
+    crash_filter: CrashFilter
     signal_tracker: SignalTracker
     random: Random
     numbers: "count[int]" = field(factory=count, init=False)
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -120,7 +120,7 @@
             result = await self._async_attempt(placed)
             if result.delivered:
                 if result.ended_well:
-                    self.tools.screen.note_served(self.log.identity)
+                    self.tools.crash_filter.note_served(self.log.identity)
                 self.log.note_served(placed)
                 return
             self._cause = self._find_cause(result)
@@ -185,7 +185,7 @@
         ran_s = 0.0 if first_at is None else self._clock() - first_at
         lost = InterruptedRequest(identity=identity, sent_at=sent_at, ran_s=ran_s)
         self.tools.crash_detector.note_lost(runner, lost)
-        if self.tools.screen.is_suspected(identity):
+        if self.tools.crash_filter.is_suspected(identity):
             await self.tools.crash_detector.async_settle(runner)
 
     def _check_again(self) -> Denial | None:
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -35,7 +35,7 @@
     grant_provider: GrantProvider
     plain: PlainGrantProvider
     retry_budgets: RetryBudgets
-    screen: CrashFilter
+    crash_filter: CrashFilter
     signal_tracker: SignalTracker
     numbers: "count[int]"
 
@@ -202,7 +202,7 @@
         return None
 
     def _is_held_back(self) -> bool:
-        return self.tools.screen.is_blocked(self.log.identity)
+        return self.tools.crash_filter.is_blocked(self.log.identity)
 
     def _refuse_held(self) -> Refuse:
         return self._make_refusal(CRASHING_REQUEST_REASON, RETRY_AFTER_BLOCK_S)
@@ -288,7 +288,7 @@
             if not future.done():
                 future.set_result(self._refuse_held())
 
-        with self.tools.screen.call_if_held(self.log.identity, refuse):
+        with self.tools.crash_filter.call_if_held(self.log.identity, refuse):
             return await future
 
     async def _async_ask_other(self, excluded: list[str]) -> bool:
--- a/tests/edge/test_crash_screen.py
+++ b/tests/edge/test_crash_screen.py
@@ -39,7 +39,7 @@
         self.now = 100.0
         self.statement_sender = StubTeller()
         self.book = CrashTracker()
-        self.screen = CrashFilter(
+        self.crash_filter = CrashFilter(
             edge="e1",
             book=self.book,
             statement_sender=self.statement_sender,
@@ -47,7 +47,7 @@
         )
 
     def crash(self, life: str, *requests: RequestIdentity, ran_s: float = 0.0) -> None:
-        self.screen.note_crash(
+        self.crash_filter.note_crash(
             RunnerCrash(
                 life=RunnerLife(runner_id=life, started_ms=0),
                 requests=tuple(
@@ -68,16 +68,16 @@
         world = Screening()
         for life in ("l1", "l2", "l3"):
             world.crash(life, CULPRIT)
-        assert world.screen.is_blocked(CULPRIT)
+        assert world.crash_filter.is_blocked(CULPRIT)
         assert len(world.list_told(CrashStatement)) == 3
 
     def test_what_had_run_for_a_while_is_a_weaker_suspect(self) -> None:
         world = Screening()
         for number in range(4):
             world.crash(f"l{number}", CULPRIT, ran_s=BEGIN_S)
-        assert not world.screen.is_blocked(CULPRIT)
+        assert not world.crash_filter.is_blocked(CULPRIT)
         world.crash("l4", CULPRIT, ran_s=BEGIN_S)
-        assert world.screen.is_blocked(CULPRIT)
+        assert world.crash_filter.is_blocked(CULPRIT)
 
     def test_request_that_breaks_later_is_added(self) -> None:
         world = Screening()
@@ -91,17 +91,17 @@
         """What many callers ask for alike is at each runner that is killed."""
         world = Screening()
         for life in ("l1", "l2", "l3"):
-            world.screen.note_served(OTHER)
+            world.crash_filter.note_served(OTHER)
             world.crash(life, OTHER)
-        assert not world.screen.is_blocked(OTHER)
+        assert not world.crash_filter.is_blocked(OTHER)
         assert world.statement_sender.posted == []
 
     def test_content_that_others_are_served_is_not_held_back_for_all(self) -> None:
         world = Screening()
-        world.screen.note_served(RequestIdentity("c", "served"))
+        world.crash_filter.note_served(RequestIdentity("c", "served"))
         for number in range(9):
             world.crash(f"l{number}", RequestIdentity("c", f"v{number}"))
-        assert not world.screen.is_blocked(RequestIdentity("c", "new"))
+        assert not world.crash_filter.is_blocked(RequestIdentity("c", "new"))
 
 
 class TestClearance:
@@ -110,7 +110,7 @@
     def test_one_charge_is_cleared_without_a_word(self) -> None:
         world = Screening()
         world.crash("l1", OTHER)
-        world.screen.note_served(OTHER)
+        world.crash_filter.note_served(OTHER)
         assert world.book.list_crashes(OTHER) == frozenset()
         assert world.list_told(ClearedStatement) == []
 
@@ -118,7 +118,7 @@
         world = Screening()
         for life in ("l1", "l2"):
             world.crash(life, OTHER)
-        world.screen.note_served(OTHER)
+        world.crash_filter.note_served(OTHER)
         [told] = world.list_told(ClearedStatement)
         assert isinstance(told, ClearedStatement)
         assert told.clearance.lives == {"l1@0", "l2@0"}
@@ -126,28 +126,28 @@
     def test_edge_that_knows_better_objects(self) -> None:
         """Other edges charged what this one has served meanwhile."""
         world = Screening()
-        world.screen.note_served(OTHER)
+        world.crash_filter.note_served(OTHER)
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
-        assert not world.screen.is_blocked(OTHER)
+        assert not world.crash_filter.is_blocked(OTHER)
         assert len(world.list_told(ClearedStatement)) >= 1
 
     def test_edge_that_serves_others_says_nothing_of_one_that_crashes(self) -> None:
         """At 195 edges each would tell all others."""
         world = Screening()
-        world.screen.note_served(RequestIdentity("c", "served"))
+        world.crash_filter.note_served(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
-        assert world.screen.is_blocked(CULPRIT)
+        assert world.crash_filter.is_blocked(CULPRIT)
         assert world.statement_sender.posted == []
 
     def test_edge_that_serves_the_content_to_others_objects(self) -> None:
         world = Screening()
-        world.screen.note_served(RequestIdentity("c", "served"))
+        world.crash_filter.note_served(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3", "l4", "l5"):
             charge = Charge(RequestIdentity("c", life), life)
             world.book.add_crash(f"{life}/e2", [charge])
-        assert not world.screen.is_blocked(RequestIdentity("c", "new"))
+        assert not world.crash_filter.is_blocked(RequestIdentity("c", "new"))
 
 
 def make_identity(path: str) -> RequestIdentity:
@@ -166,7 +166,7 @@
     identity = make_identity(path)
     for life in ("l1", "l2", "l3"):
         charge = Charge(identity, life)
-        edge.forwarder.screen.book.add_crash(f"{life}/e9", [charge])
+        edge.forwarder.crash_filter.book.add_crash(f"{life}/e9", [charge])
 
 
 class TestAnswers:
@@ -190,9 +190,9 @@
     async def test_equal_content_of_others_is_served(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
-            book = edge.forwarder.screen.book
+            book = edge.forwarder.crash_filter.book
             await edge.async_call("/safe/x", headers="Authorization: a\r\n")
-            [known] = edge.forwarder.screen.memory._served_at
+            [known] = edge.forwarder.crash_filter.memory._served_at
             other = RequestIdentity(known.content, "other")
             for life in ("l1", "l2", "l3"):
                 book.add_crash(f"{life}/e9", [Charge(other, life)])
@@ -208,7 +208,7 @@
             hold(edge, "/stream/x")
             reply = await call
             assert asyncio.get_running_loop().time() - began < 0.2
-            assert edge.forwarder.screen._waiting == {}
+            assert edge.forwarder.crash_filter._waiting == {}
         assert reply.status == 503
         assert edge.grant_provider.ended == [EndKind.LEFT]
 
@@ -267,7 +267,7 @@
 
     async def test_third_crash_is_known_before_the_request_is_repeated(self) -> None:
         async with RawServer(answer(make_ok())) as other, start_edge() as edge:
-            book = edge.forwarder.screen.book
+            book = edge.forwarder.crash_filter.book
             for life in ("l1", "l2"):
                 charge = Charge(make_identity("/safe/x"), life)
                 book.add_crash(f"{life}/e9", [charge])
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -288,7 +288,7 @@
     metrics = Metrics()
     tasks = Tasks(errors.append)
     statement_sender = StubTeller()
-    screen = CrashFilter(
+    crash_filter = CrashFilter(
         edge="e1", book=CrashTracker(), statement_sender=statement_sender, clock=clock
     )
     forwarder = Forwarder(
@@ -306,9 +306,9 @@
             metrics=metrics,
             clock=clock,
             start_task=tasks.async_start,
-            on_crash=screen.note_crash,
+            on_crash=crash_filter.note_crash,
         ),
-        screen=screen,
+        crash_filter=crash_filter,
         signal_tracker=SignalTracker(
             metrics, LimitTracker(), clock, view, "e1", CooldownTracker()
         ),
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -163,9 +163,9 @@
         self.figures.told += 1
 
         def take() -> None:
-            for number, screen in enumerate(self.screens):
+            for number, crash_filter in enumerate(self.screens):
                 if number != edge:
-                    statement.take(screen.book)
+                    statement.take(crash_filter.book)
 
         self._at(TOLD_AFTER_S, take)
 
@@ -197,8 +197,8 @@
         self._place(request)
 
     def _place(self, request: Request) -> None:
-        screen = self.screens[request.edge]
-        if self.holding and screen.is_blocked(request.identity):
+        crash_filter = self.screens[request.edge]
+        if self.holding and crash_filter.is_blocked(request.identity):
             if not request.crashes:
                 self.figures.held_back += 1
                 self.figures.held_back_early += request.crashed < 3
