--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -233,7 +233,7 @@
             clock=self.process.clock,
             view=self.process.view,
             edge=self.process.incarnation,
-            rests=self.client.local.core.state.rests,
+            cooldowns=self.client.local.core.state.cooldowns,
             tell=self.client.tell,
         )
         self.client.on_limit = watch.handle_relayed_limit
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -264,7 +264,7 @@
     def _list_rests(self) -> dict[str, float]:
         """Return the plain runners that want nothing of this edge, and for how long."""
         watch = self.tools.signal_tracker
-        if not watch.rests.has_cooldowns(self._clock()):
+        if not watch.cooldowns.has_cooldowns(self._clock()):
             return {}
         runners = self.tools.view.list_runners(self.service.name)
         waits = {each.runner_id: watch.measure_rest(each) for each in runners}
--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -67,7 +67,7 @@
     edge: str
     """Incarnation of this edge."""
 
-    rests: CooldownTracker
+    cooldowns: CooldownTracker
     """The rests that the core of this process keeps to."""
 
     tell: Callable[[LimitReport | LeavingReport | CooldownReport], None] = lambda said: (
@@ -124,7 +124,7 @@
     def measure_rest(self, runner: RunnerEntry) -> float:
         """Return the seconds for which a runner wants nothing of this edge."""
         life = (runner.runner_id, runner.started_ms)
-        return self.rests.measure_wait(self.edge, *life, self.clock())
+        return self.cooldowns.measure_wait(self.edge, *life, self.clock())
 
     def handle_relayed_leaving(self, said: LeavingReport) -> None:
         """Take that a runner leaves which another process has heard."""
@@ -141,7 +141,7 @@
     def keep_only(self, runner_ids: set[str]) -> None:
         """Forget runners that are gone."""
         self.limits.keep_only(runner_ids, self.clock())
-        self.rests.keep_only(runner_ids)
+        self.cooldowns.keep_only(runner_ids)
         self.sends.keep_only(runner_ids)
 
     def _note_rest(self, runner: RunnerEntry, rest_s: float) -> None:
@@ -151,7 +151,7 @@
             started_ms=runner.started_ms,
             rest_s=rest_s,
         )
-        if self.rests.note(said, self.clock()):
+        if self.cooldowns.note(said, self.clock()):
             log_event(
                 log.RunnerRestSeen(runner_id=said.runner_id, rest_s=round(rest_s, 3))
             )
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -303,7 +303,7 @@
 
 @handles(CooldownReport)
 def _take_rest(core: SchedulingCore, event: CooldownReport, now: float) -> list[Action]:
-    core.state.rests.note(event, now)
+    core.state.cooldowns.note(event, now)
     return []
 
 
@@ -332,7 +332,7 @@
     core: SchedulingCore, event: EdgeDisconnected, now: float
 ) -> list[Action]:
     state = core.state
-    state.rests.forget_edge(event.edge)
+    state.cooldowns.forget_edge(event.edge)
     for queue in state.queues.values():
         queue.remove_edge(event.edge)
     for key in [each for each in state.charges if each[0] == event.edge]:
--- a/mangoway/policy/scheduling/hopeless.py
+++ b/mangoway/policy/scheduling/hopeless.py
@@ -77,7 +77,7 @@
         if (
             grant_request.only
             or grant_request.excluded
-            or self.state.rests.has_cooldowns(self.now)
+            or self.state.cooldowns.has_cooldowns(self.now)
         ):
             return self._find_allowed_start(grant_request)
         heap = self._get_heap(grant_request)
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -113,7 +113,7 @@
     returns: Returns = field(factory=Returns, init=False)
     health: HealthTracker = field(factory=HealthTracker, init=False)
     limits: LimitTracker = field(factory=LimitTracker, init=False)
-    rests: CooldownTracker = field(factory=CooldownTracker, init=False)
+    cooldowns: CooldownTracker = field(factory=CooldownTracker, init=False)
     store_loads: dict[str, StoreLoads] = field(factory=dict, init=False)
     _gaps: dict[str, Gaps] = field(factory=dict, init=False)
     _stays: dict[str, Stays] = field(factory=dict, init=False)
@@ -195,7 +195,7 @@
     def find_in_need(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited, or at rest, for a while."""
         edges = MIN_COOLDOWN_EDGE_SHARE * len(self.edge_data_centres)
-        return self.limits.list_long(now) | self.rests.list_long(
+        return self.limits.list_long(now) | self.cooldowns.list_long(
             MIN_LIMITED_S, edges, now
         )
 
@@ -204,7 +204,7 @@
     ) -> float:
         """Return the seconds for which a runner wants nothing of a request's edge."""
         entry = runner.entry
-        return self.rests.measure_wait(
+        return self.cooldowns.measure_wait(
             grant_request.edge, entry.runner_id, entry.started_ms, now
         )
 
@@ -250,7 +250,7 @@
             self._remove(runner_id)
         self.health.keep_only(present)
         self.limits.keep_only(present, now)
-        self.rests.keep_only(present)
+        self.cooldowns.keep_only(present)
         for entry in entries:
             # Entries of other runners change many times a second.
             if self._entries.get(entry.runner_id) is not entry:
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -270,8 +270,8 @@
             link.send(leaving)
         for said in self.list_limits():
             link.send(said)
-        rests = self.local.core.state.rests
-        for rest in rests.list_reports(self.incarnation, self.local.clock()):
+        cooldowns = self.local.core.state.cooldowns
+        for rest in cooldowns.list_reports(self.incarnation, self.local.clock()):
             link.send(rest)
         for placed in self._placed.values():
             if placed.runner_id is None:
