--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -94,7 +94,7 @@
         """Note that the store answers again after an outage in which keys may lapse.
 
         Args:
-            kept_s: Seconds for which keys that vanish are kept; None: the usual.
+            retention_s: Seconds for which keys that vanish are kept; None: the usual.
         """
         ...
 
--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -84,7 +84,7 @@
 
         Args:
             now: Time in seconds.
-            kept_s: Seconds from now for which entries that vanish are kept.
+            retention_s: Seconds from now for which entries that vanish are kept.
         """
         self._kept_until = max(self._kept_until, now + retention_s)
 
--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -70,8 +70,8 @@
     cooldowns: CooldownTracker
     """The rests that the core of this process keeps to."""
 
-    tell: Callable[[LimitReport | LeavingReport | CooldownReport], None] = lambda said: (
-        None
+    tell: Callable[[LimitReport | LeavingReport | CooldownReport], None] = (
+        lambda report: None
     )
     """Tells the scheduler."""
 
--- a/mangoway/scheduling/grant_provider.py
+++ b/mangoway/scheduling/grant_provider.py
@@ -51,7 +51,7 @@
 class OpenAsks:
     """Requests that wait for an answer."""
 
-    _futures: "dict[str, tuple[Asked, asyncio.Future[Answer]]]" = field(
+    _futures: "dict[str, tuple[GrantRequest, asyncio.Future[Answer]]]" = field(
         factory=dict, init=False
     )
 
@@ -80,7 +80,7 @@
         """Forget a request that waits no more."""
         self._futures.pop(request_id, None)
 
-    def take_all(self) -> "list[tuple[Asked, asyncio.Future[Answer]]]":
+    def take_all(self) -> "list[tuple[GrantRequest, asyncio.Future[Answer]]]":
         """Return all and forget them."""
         entries = [each for each in self._futures.values() if not each[1].done()]
         self._futures.clear()
