--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -93,7 +93,8 @@
         """Note that the store answers again after an outage.
 
         Args:
-            retention_s: Seconds for which entries that vanish are kept; None: the usual.
+            retention_s: Seconds for which entries that vanish are kept; None: the
+                usual.
         """
         if retention_s is None:
             self.view.note_outage_ended(self.clock())
--- a/mangoway/platform/requests.py
+++ b/mangoway/platform/requests.py
@@ -74,7 +74,8 @@
         priority: Rank in the runner's queue, 0 first; None leaves the default.
         last_event_id: Event after which a stream goes on; None: as the caller said.
         customer: Name of the customer who asks; None if that isn't known.
-        forwards_credentials: Whether the caller's credentials are the runner's business.
+        forwards_credentials: Whether the caller's credentials are the runner's
+            business.
     """
     kept = drop_headers(list_end_to_end(request.headers), names.RESERVED)
     if not forwards_credentials:
