--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -231,7 +231,7 @@
         return []
     running = place(core.state, waiting, runner, now)
     running.adopted = True
-    if not event.reading:
+    if not event.prefilling:
         runner.reading.note_read(running, now)
     return []
 
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -85,7 +85,7 @@
 
     grant_request: GrantRequest
     runner_id: str
-    reading: bool
+    prefilling: bool
     """Whether it has got no event yet."""
 
 
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -283,7 +283,7 @@
                 RequestAdopted(
                     grant_request=placed.grant_request,
                     runner_id=placed.runner_id,
-                    reading=placed.reading,
+                    prefilling=placed.reading,
                 )
             )
         for placed in self._take_held():
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -350,7 +350,7 @@
 @encodes(RequestAdopted)
 def _encode_adopted(message: RequestAdopted) -> list[Any]:
     grant_request = _encode_asked(message.grant_request)
-    return ["adopt", grant_request, message.runner_id, message.reading]
+    return ["adopt", grant_request, message.runner_id, message.prefilling]
 
 
 @decodes("adopt")
@@ -358,7 +358,7 @@
     return RequestAdopted(
         grant_request=_decode_asked(fields[1], edge),
         runner_id=fields[2],
-        reading=fields[3],
+        prefilling=fields[3],
     )
 
 
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -90,7 +90,7 @@
         """Count a request that runs at a runner which another chose."""
         self.handle(
             RequestAdopted(
-                grant_request=grant_request, runner_id=runner_id, reading=reading
+                grant_request=grant_request, runner_id=runner_id, prefilling=reading
             )
         )
 
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -73,7 +73,7 @@
     def test_adopted_request_counts(self) -> None:
         world = make_world(["a"])
         adopted = RequestAdopted(
-            grant_request=make_asked("q1"), runner_id="r0", reading=True
+            grant_request=make_asked("q1"), runner_id="r0", prefilling=True
         )
         world.core.handle(adopted, 0.0)
         assert feed_asked(world, "q2") == []
@@ -121,7 +121,7 @@
         world = make_world(["a"], ["a"])
         for number in range(6):
             adopted = RequestAdopted(
-                grant_request=make_asked(f"s{number}"), runner_id="r0", reading=False
+                grant_request=make_asked(f"s{number}"), runner_id="r0", prefilling=False
             )
             world.core.handle(adopted, 0.0)
         grants = feed_asked(world, "long", tokens=7000)
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -72,7 +72,7 @@
     PermitRequest(request_id="p1", edge="e1", runner_id="r1", started_ms=5),
     make_asked("q1", adapter="x", excluded=("r1",), only=("r2",), repeat=True),
     evolve(make_asked("q1"), customer="acme", cost=150.0, route_priority=2),
-    RequestAdopted(grant_request=make_asked("q2"), runner_id="r1", reading=False),
+    RequestAdopted(grant_request=make_asked("q2"), runner_id="r1", prefilling=False),
     FirstEventSeen(edge="e1", request_id="q1"),
     RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
     Grant(edge="e1", request_id="q1", runner_id="r1"),
