--- a/mangoway/daemons/report_reader.py
+++ b/mangoway/daemons/report_reader.py
@@ -110,7 +110,7 @@
         ]
 
     async def _async_read(self, entry: RunnerEntry) -> None:
-        asked_at = self.clock()
+        requested_at = self.clock()
         try:
             report = await self.control.async_read_report(
                 entry.address, entry.runner_id
@@ -121,7 +121,9 @@
         finally:
             self._open.discard(entry.runner_id)
         self.server.handle(
-            ReportReceived(runner_id=entry.runner_id, report=report, asked_at=asked_at)
+            ReportReceived(
+                runner_id=entry.runner_id, report=report, requested_at=requested_at
+            )
         )
 
 
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -355,7 +355,7 @@
     runner = core.state.find_life(event.runner_id, event.report.started_ms)
     if runner is None:
         return []
-    runner.take_report(event.report, event.asked_at, now)
+    runner.take_report(event.report, event.requested_at, now)
     return core.serve_runner(runner, now)
 
 
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -154,7 +154,7 @@
 
     runner_id: str
     report: RunnerReport
-    asked_at: float
+    requested_at: float
     """When the report was asked for: what was ordered since may not show."""
 
 
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -139,12 +139,14 @@
         if self.order_count is None:
             self.take_models(entry.models, now)
 
-    def take_report(self, report: RunnerReport, asked_at: float, now: float) -> None:
+    def take_report(
+        self, report: RunnerReport, requested_at: float, now: float
+    ) -> None:
         """Take a report, unless an order may have changed things since."""
         self._note_near(report.in_host_memory, report.on_disk)
-        if self.open_order or asked_at - REPORT_LAG_S < self.ordered_at:
+        if self.open_order or requested_at - REPORT_LAG_S < self.ordered_at:
             return
-        fresh = asked_at - TRUSTED_REPORT_S >= self.ordered_at
+        fresh = requested_at - TRUSTED_REPORT_S >= self.ordered_at
         known = self.order_count
         if known is not None and report.order_count < known and not fresh:
             return
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -247,7 +247,7 @@
         def report() -> None:
             seen = self._make_report(self._engines[runner_id])
             self._feed(
-                ReportReceived(runner_id=runner_id, report=seen, asked_at=self.now)
+                ReportReceived(runner_id=runner_id, report=seen, requested_at=self.now)
             )
             self._at(self.now + REPORT_S, report)
 
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -242,7 +242,7 @@
             gap_s = self.gaps.get(request_id)
             if outcome.first_at is None or gap_s is None:
                 continue
-            wait_s = outcome.first_at - outcome.asked_at
+            wait_s = outcome.first_at - outcome.requested_at
             on_time = wait_s <= self.drawn.objective_s
             on_time = on_time and gap_s <= self.drawn.gap_objective_s
             value += 1.0 if on_time else LATE_VALUE
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -233,7 +233,7 @@
         gap_s = world.gaps.get(request_id)
         if outcome.first_at is None or gap_s is None:
             continue
-        on_time = outcome.first_at - outcome.asked_at <= kind.objective_s
+        on_time = outcome.first_at - outcome.requested_at <= kind.objective_s
         on_time = on_time and gap_s <= world.drawn.gap_objective_s
         earned += kind.worth if on_time else kind.late_worth
     return earned / owed
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -46,7 +46,7 @@
     return sum(
         1
         for each in world.outcomes.values()
-        if each.runner_id == runner_id and each.asked_at >= began
+        if each.runner_id == runner_id and each.requested_at >= began
     )
 
 
--- a/tests/policy/scheduling/test_load.py
+++ b/tests/policy/scheduling/test_load.py
@@ -38,7 +38,7 @@
         for outcome in world.outcomes.values():
             assert outcome.first_at is not None or outcome.refused_at is not None
             if outcome.refused_at is not None:
-                assert outcome.refused_at - outcome.asked_at < 2.4
+                assert outcome.refused_at - outcome.requested_at < 2.4
 
     def test_times_to_come_back_are_spread(self) -> None:
         world = self.play()
@@ -89,8 +89,8 @@
             key
             for key, each in world.outcomes.items()
             if key.startswith("b")
-            and each.asked_at > 8.5
-            and (each.first_at is None or each.first_at - each.asked_at > 0.45)
+            and each.requested_at > 8.5
+            and (each.first_at is None or each.first_at - each.requested_at > 0.45)
         ]
         assert len(late) <= 10
 
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -38,7 +38,7 @@
         world.run(4.0)
         outcome = world.outcomes["q1"]
         assert outcome.first_at is not None
-        assert outcome.first_at - outcome.asked_at < 2.0
+        assert outcome.first_at - outcome.requested_at < 2.0
 
     def test_wanted_copy_is_not_taken_away_for_it(self) -> None:
         world = make_ready(["a", "b", "c"], ["d", "e", "g"])
@@ -55,7 +55,7 @@
         world.run(8.0)
         outcome = world.outcomes["q1"]
         assert outcome.refused_at is not None
-        assert outcome.refused_at - outcome.asked_at < 0.2
+        assert outcome.refused_at - outcome.requested_at < 0.2
         assert outcome.refusal is not None
         assert outcome.refusal.retry_after_s > 1.0
 
@@ -189,24 +189,24 @@
     def test_no_order_on_a_report_that_says_busy(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 6, busy=True)
-        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=0.0))
+        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.0))
         assert self.order_for_waiting(world) == []
 
     def test_refused_order_waits_for_a_fresh_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 0)
-        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=0.0))
+        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.0))
         first = len(self.order_for_waiting(world))
         assert first == 1
         world.now = 0.1
         outcome = OrderOutcome.NOT_NOW
         world.feed(OrderEnded(runner_id="r0", outcome=outcome))
-        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=0.15))
+        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.15))
         world.feed(Tick())
         assert len(world.orders) == 1
         newer = make_report(make_residents(("a", "b")), 1)
         world.now = 0.6
-        world.feed(ReportReceived(runner_id="r0", report=newer, asked_at=0.6))
+        world.feed(ReportReceived(runner_id="r0", report=newer, requested_at=0.6))
         world.feed(Tick())
         assert [each.order_count for each in world.orders] == [0, 1]
 
@@ -235,7 +235,7 @@
         world.run(2.0)
         outcome = world.outcomes["q1"]
         assert outcome.first_at is not None
-        assert outcome.first_at - outcome.asked_at < 0.1
+        assert outcome.first_at - outcome.requested_at < 0.1
 
     def test_full_places_give_up_the_adapter_unused_for_longest(self) -> None:
         world = make_ready(["a", "b", "c"])
@@ -257,7 +257,7 @@
         world.run(25.0)
         last = world.outcomes["q8"]
         assert last.first_at is not None
-        assert last.first_at - last.asked_at < 0.1
+        assert last.first_at - last.requested_at < 0.1
 
     def test_model_is_loaded_where_adapters_are_not_asked_for(self) -> None:
         """A runner that loads for 6 s refuses orders for adapters all the while."""
@@ -281,7 +281,7 @@
         world.run(6.0)
         outcome = world.outcomes["q1"]
         assert outcome.refused_at is not None
-        assert outcome.refused_at - outcome.asked_at < 0.2
+        assert outcome.refused_at - outcome.requested_at < 0.2
 
     def test_pending_adapters_of_a_report_are_kept(self) -> None:
         world = make_ready(["a", "b", "c"])
@@ -291,7 +291,7 @@
         report = make_report((resident,), world.runners["r0"].order_count)
         held = world.core.state.runners["r0"].held["a"]
         assert "a7" in held.adapters
-        world.feed(ReportReceived(runner_id="r0", report=report, asked_at=1.2))
+        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=1.2))
         assert "a7" in held.adapters
 
 
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -40,7 +40,7 @@
 ) -> None:
     seen = make_report(make_residents(models), order_count, started_ms=started_ms)
     world.now = at
-    world.core.handle(ReportReceived(runner_id="r0", report=seen, asked_at=at), at)
+    world.core.handle(ReportReceived(runner_id="r0", report=seen, requested_at=at), at)
 
 
 def get_runner(world: World) -> RunnerState:
--- a/tests/policy/scheduling/test_stays.py
+++ b/tests/policy/scheduling/test_stays.py
@@ -45,10 +45,10 @@
         world.run(16.0)
         copies = [each for each in world.runners.values() if "a" in each.models]
         assert len(copies) >= 4
-        later = [each for each in world.outcomes.values() if each.asked_at > 6.0]
+        later = [each for each in world.outcomes.values() if each.requested_at > 6.0]
         on_time = [
             each
             for each in later
-            if each.first_at is not None and each.first_at - each.asked_at < 0.4
+            if each.first_at is not None and each.first_at - each.requested_at < 0.4
         ]
         assert len(on_time) >= 0.95 * len(later)
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -154,7 +154,7 @@
     """What a request's caller got."""
 
     grant_request: GrantRequest
-    asked_at: float
+    requested_at: float
     first_at: float | None = None
     refused_at: float | None = None
     refusal: Refuse | None = None
@@ -251,7 +251,8 @@
         return sum(
             1
             for each in self.outcomes.values()
-            if each.first_at is not None and each.first_at - each.asked_at <= seconds
+            if each.first_at is not None
+            and each.first_at - each.requested_at <= seconds
         )
 
     def _arrive(self, grant_request: GrantRequest) -> None:
@@ -341,7 +342,7 @@
             if report is not None:
                 self.feed(
                     ReportReceived(
-                        runner_id=runner.runner_id, report=report, asked_at=self.now
+                        runner_id=runner.runner_id, report=report, requested_at=self.now
                     )
                 )
         self._at(self.now + REPORT_S, self._report)
