--- a/mangoway/policy/scheduling/prefixes.py
+++ b/mangoway/policy/scheduling/prefixes.py
@@ -14,7 +14,7 @@
 
 
 @define(eq=False)
-class PrefixMemory:
+class PrefixCache:
     """The parts that a runner has read, oldest first, within its memory."""
 
     capacity_tokens: int
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -19,7 +19,7 @@
 from .copies import CopyIndex
 from .demand import Rate
 from .events import SendOrder
-from .prefixes import PrefixMemory
+from .prefixes import PrefixCache
 from .reading import Reading
 from .requests import RequestKey, Running
 
@@ -63,7 +63,7 @@
 
     entry: RunnerEntry
     engine: EngineProfile | None
-    prefixes: PrefixMemory
+    prefixes: PrefixCache
     copies: CopyIndex = field(factory=CopyIndex)
     """Where the service's models are; this runner keeps its own part of it."""
 
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -24,7 +24,7 @@
 from .events import GrantRequest
 from .gaps import Gaps
 from .pace import PaceBook
-from .prefixes import PrefixMemory
+from .prefixes import PrefixCache
 from .queue import ServiceQueue, allows
 from .requests import RequestKey
 from .runners import RunnerState
@@ -302,7 +302,7 @@
         engine = self.get_engine(entry.service)
         capacity = 0 if engine is None else engine.kv_capacity_tokens
         copies = self.get_copies(entry.service)
-        runner = RunnerState(entry, engine, PrefixMemory(capacity), copies)
+        runner = RunnerState(entry, engine, PrefixCache(capacity), copies)
         self.runners[entry.runner_id] = runner
         self._by_service.setdefault(entry.service, {})[entry.runner_id] = runner
         return runner
--- a/tests/daemons/test_report_reader.py
+++ b/tests/daemons/test_report_reader.py
@@ -17,7 +17,7 @@
 )
 from mangoway.models.runner import RunnerReport
 from mangoway.platform.runners import RunnerControl, RunnerUnreachableError
-from mangoway.policy.scheduling.prefixes import PrefixMemory
+from mangoway.policy.scheduling.prefixes import PrefixCache
 from mangoway.policy.scheduling.runners import RunnerState
 from mangoway.util.tasks import Tasks
 
@@ -26,7 +26,7 @@
 
 
 def make_state(**fields: object) -> RunnerState:
-    state = RunnerState(make_runner("r1"), None, PrefixMemory(0))
+    state = RunnerState(make_runner("r1"), None, PrefixCache(0))
     for name, value in fields.items():
         setattr(state, name, value)
     return state
