--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -37,9 +37,9 @@
 
 from ...fakes.fleet import make_runner, make_table
 
-READ_S_PER_TOKEN = 1 / 30_000
-ANSWER_S = 1.5
-WAY_S = 0.0014
+PREFILL_S_PER_TOKEN = 1 / 30_000
+STREAM_S = 1.5
+NETWORK_DELAY_S = 0.0014
 TICK_S = 0.05
 REPORT_S = 0.1
 REPORT_LAG_S = 0.2
@@ -64,7 +64,7 @@
     store_loads: int = 0
     history: list[tuple[float, RunnerReport]] = field(factory=list)
 
-    def carry_out(self, order: SendOrder, now: float) -> OrderOutcome:
+    def execute(self, order: SendOrder, now: float) -> OrderOutcome:
         """Carry out an order, or say why not."""
         if now < self.busy_until or order.order_count != self.order_count:
             return OrderOutcome.NOT_NOW
@@ -98,13 +98,13 @@
     def _sum_disk(self) -> float:
         return sum(self.engine.models[name].weights_mb for name in self.on_disk)
 
-    def settle(self, now: float) -> None:
+    def finish_load(self, now: float) -> None:
         """End a load whose time is over."""
         if self.loading and now >= self.busy_until:
             self.models[self.loading] = set()
             self.loading = ""
 
-    def note_state(self, now: float) -> None:
+    def record_state(self, now: float) -> None:
         """Keep the state for reports, which are late."""
         residents = tuple(
             ResidentModel(name=name, version=1, adapters=frozenset(adapters))
@@ -170,7 +170,7 @@
     load_s: float = 1.2
     disk_mb: float = 0.0
     seed: int = 1
-    read_s_per_token: float = READ_S_PER_TOKEN
+    prefill_s_per_token: float = PREFILL_S_PER_TOKEN
     first_event_s: float = 0.005
     """Time from the end of reading to a first event, in which others are read."""
 
@@ -207,12 +207,12 @@
             runner.on_disk = list(runner.models) if self.disk_mb else []
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
-        self.see_fleet()
+        self.update_fleet()
         self.feed(OrdersAllowed(allowed=True))
         self._at(0.0, self._tick)
         self._at(0.0, self._report)
 
-    def see_fleet(self) -> None:
+    def update_fleet(self) -> None:
         """Tell the core which runners there are."""
         entries: list[RunnerEntry] = [
             make_runner(each.runner_id, tuple(each.models))
@@ -224,10 +224,10 @@
         """Let a new scheduler begin with what the runners report."""
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
-        self.see_fleet()
+        self.update_fleet()
         self.feed(OrdersAllowed(allowed=True))
 
-    def ask(self, grant_request: GrantRequest, at: float) -> None:
+    def add_request(self, grant_request: GrantRequest, at: float) -> None:
         """Let a request come at a time."""
         self._at(at, lambda: self._arrive(grant_request))
 
@@ -237,14 +237,14 @@
             at, _, call = heapq.heappop(self._queue)
             self.now = max(self.now, at)
             for runner in self.runners.values():
-                runner.settle(self.now)
+                runner.finish_load(self.now)
             call()
         self.now = until
 
     def feed(self, event: Event) -> None:
         """Feed the core and carry out its actions."""
         for action in self.core.handle(event, self.now):
-            self._carry_out(action)
+            self._execute(action)
 
     def count_first_in(self, seconds: float) -> int:
         """Return the requests whose first event came in so many seconds."""
@@ -259,9 +259,9 @@
         self.outcomes[grant_request.request_id] = Outcome(grant_request, self.now)
         self.feed(grant_request)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Grant):
-            self._at(self.now + WAY_S, lambda: self._send(action))
+            self._at(self.now + NETWORK_DELAY_S, lambda: self._send(action))
         elif isinstance(action, Refuse):
             outcome = self.outcomes[action.request_id]
             outcome.refused_at, outcome.refusal = self.now, action
@@ -278,15 +278,17 @@
         outcome.runner_id = grant.runner_id
         runner.running[grant.request_id] = grant_request.model
         start = max(self.now, runner.read_until)
-        runner.read_until = start + grant_request.prompt.tokens * self.read_s_per_token
+        runner.read_until = (
+            start + grant_request.prompt.tokens * self.prefill_s_per_token
+        )
         first_at = runner.read_until + self.first_event_s
 
         def show_first() -> None:
             outcome.first_at = self.now
             self.feed(FirstEventSeen(edge=grant.edge, request_id=grant.request_id))
 
-        self._at(first_at + WAY_S, show_first)
-        self._at(first_at + ANSWER_S, lambda: self._end(grant, EndKind.SERVED))
+        self._at(first_at + NETWORK_DELAY_S, show_first)
+        self._at(first_at + STREAM_S, lambda: self._end(grant, EndKind.SERVED))
 
     def _end(self, grant: Grant, kind: EndKind) -> None:
         runner = self.runners.get(grant.runner_id)
@@ -296,30 +298,32 @@
 
     def _order(self, order: SendOrder) -> None:
         self.orders.append(order)
-        fate = self.faults.pop(0) if self.faults else ""
+        fault = self.faults.pop(0) if self.faults else ""
         runner = self.runners.get(order.runner_id)
-        if fate == "lose" or runner is None:
+        if fault == "lose" or runner is None:
             self._answer(order, OrderOutcome.IN_DOUBT, 0.8)
-        elif fate == "late":
+        elif fault == "late":
             delay = self.rng.uniform(2.0, 6.0)
             self._at(self.now + delay, lambda: self._apply(runner, order))
             self._answer(order, OrderOutcome.IN_DOUBT, 0.8)
-        elif fate == "no_answer":
-            self._at(self.now + WAY_S, lambda: self._apply(runner, order))
+        elif fault == "no_answer":
+            self._at(self.now + NETWORK_DELAY_S, lambda: self._apply(runner, order))
             self._answer(order, OrderOutcome.IN_DOUBT, 0.8)
         else:
             self._at(
-                self.now + WAY_S,
-                lambda: self._answer(order, self._apply(runner, order), WAY_S),
+                self.now + NETWORK_DELAY_S,
+                lambda: self._answer(
+                    order, self._apply(runner, order), NETWORK_DELAY_S
+                ),
             )
 
     def _apply(self, runner: FakeRunner, order: SendOrder) -> OrderOutcome:
-        return runner.carry_out(order, self.now)
+        return runner.execute(order, self.now)
 
     def _answer(self, order: SendOrder, outcome: OrderOutcome, after: float) -> None:
         core = self.core
 
-        def tell() -> None:
+        def deliver() -> None:
             if self.core is core:
                 self.feed(
                     OrderEnded(
@@ -329,7 +333,7 @@
                     )
                 )
 
-        self._at(self.now + after, tell)
+        self._at(self.now + after, deliver)
 
     def _tick(self) -> None:
         self.feed(Tick())
@@ -337,7 +341,7 @@
 
     def _report(self) -> None:
         for runner in self.runners.values():
-            runner.note_state(self.now)
+            runner.record_state(self.now)
             report = runner.read_report(self.now)
             if report is not None:
                 self.feed(
