--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -112,7 +112,7 @@
     def handle_relayed_limit(self, said: LimitReport) -> None:
         """Take a limit that another edge has read."""
         if not self._believe_limit(said, "the scheduler"):
-            end = self.limits.find_end(said, self.clock())
+            end = self.limits.find_removal(said, self.clock())
             if end is not None:
                 # It ended while the scheduler was out of reach.
                 self.tell(end)
@@ -151,7 +151,7 @@
             started_ms=runner.started_ms,
             rest_s=rest_s,
         )
-        if self.cooldowns.note(said, self.clock()):
+        if self.cooldowns.update(said, self.clock()):
             log_event(
                 log.RunnerRestSeen(runner_id=said.runner_id, rest_s=round(rest_s, 3))
             )
@@ -191,7 +191,7 @@
 
     def _believe_limit(self, said: LimitReport, told_by: str | None) -> bool:
         """Take a statement; returns whether another limit is believed now."""
-        if not self.limits.note(said, self.clock()):
+        if not self.limits.update(said, self.clock()):
             return False
         log_event(
             log.RunnerLimitSeen(
--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -41,5 +41,5 @@
 """Part of the edges that a runner must want nothing of for placement to do without it:
 the others still use what it holds."""
 
-MAX_WAIT_S: Final = 4.0
+MAX_LIMIT_RETRY_AFTER_S: Final = 4.0
 """Longest time to come back that is worked out from a limit, as for other refusals."""
--- a/mangoway/policy/limits/cooldowns.py
+++ b/mangoway/policy/limits/cooldowns.py
@@ -46,7 +46,7 @@
     _last_end: float = field(default=-math.inf, init=False)
     """End of the rest that lasts longest."""
 
-    def note(self, said: CooldownReport, now: float) -> bool:
+    def update(self, said: CooldownReport, now: float) -> bool:
         """Take a statement; returns whether a rest lasts longer than was known.
 
         Each refusal binds for its own time, so that a shorter rest ends no longer one.
@@ -97,7 +97,9 @@
             if edge in rests and rests[edge].until > now
         ]
 
-    def list_long(self, least_s: float, least_edges: float, now: float) -> set[str]:
+    def list_long_cooldowns(
+        self, least_s: float, least_edges: float, now: float
+    ) -> set[str]:
         """Return the runners that most edges have left alone for a while.
 
         Args:
--- a/mangoway/policy/limits/tracker.py
+++ b/mangoway/policy/limits/tracker.py
@@ -17,7 +17,7 @@
     FREE_REQUESTS,
     FREE_S,
     LEAST_RATE,
-    MAX_WAIT_S,
+    MAX_LIMIT_RETRY_AFTER_S,
     MIN_LIMITED_S,
 )
 from .pacer import Pacer
@@ -79,7 +79,7 @@
 
     _records: dict[str, RunnerLimit] = field(factory=dict, init=False)
 
-    def note(self, said: LimitReport, now: float) -> bool:
+    def update(self, said: LimitReport, now: float) -> bool:
         """Take a statement; returns whether another limit is believed now.
 
         What is surely older than what is known changes nothing: an answer without a
@@ -128,13 +128,13 @@
         rate = self._get_rate(runner_id, record)
         return 1 / rate if rate > 0 else math.inf
 
-    def take(self, runner_id: str, started_ms: int, now: float) -> None:
+    def record_request(self, runner_id: str, started_ms: int, now: float) -> None:
         """Count a request that is sent to a runner."""
         record = self._find(runner_id, started_ms)
         if record is not None:
             record.pacer.take(self._get_rate(runner_id, record), now)
 
-    def promise(self, runner_id: str, started_ms: int, now: float) -> float:
+    def reserve_retry_after(self, runner_id: str, started_ms: int, now: float) -> float:
         """Return when a refused caller is to come back, in seconds.
 
         Each is given a turn of its own: told the same, all but one would come in vain.
@@ -144,12 +144,12 @@
             return 0.0
         wait_s = self.measure_wait(runner_id, started_ms, now)
         turn_at = max(now + wait_s, record.promised_until)
-        turn_at = min(turn_at, now + MAX_WAIT_S)
+        turn_at = min(turn_at, now + MAX_LIMIT_RETRY_AFTER_S)
         spacing_s = self.measure_spacing(runner_id, started_ms)
-        record.promised_until = min(turn_at + spacing_s, now + MAX_WAIT_S)
+        record.promised_until = min(turn_at + spacing_s, now + MAX_LIMIT_RETRY_AFTER_S)
         return turn_at - now
 
-    def find_end(self, said: LimitReport, now: float) -> LimitReport | None:
+    def find_removal(self, said: LimitReport, now: float) -> LimitReport | None:
         """Return the end of a limit that who tells it doesn't know; None without."""
         record = self._records.get(said.runner_id)
         if record is None or record.limit is not None or said.limit is None:
@@ -161,7 +161,7 @@
         ago_s = now - record.lifted_at
         return evolve(said, limit=None, request_age_s=ago_s, response_age_s=ago_s)
 
-    def list_long(self, now: float) -> frozenset[str]:
+    def list_long_limited(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited for a while."""
         return frozenset(
             runner_id
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -295,7 +295,7 @@
 
 @handles(LimitReport)
 def _take_limit(core: SchedulingCore, event: LimitReport, now: float) -> list[Action]:
-    if not core.state.limits.note(event, now):
+    if not core.state.limits.update(event, now):
         return []
     runner = core.state.runners.get(event.runner_id)
     return [] if runner is None else core.serve_runner(runner, now)
@@ -303,7 +303,7 @@
 
 @handles(CooldownReport)
 def _take_rest(core: SchedulingCore, event: CooldownReport, now: float) -> list[Action]:
-    core.state.cooldowns.note(event, now)
+    core.state.cooldowns.update(event, now)
     return []
 
 
@@ -317,11 +317,11 @@
             Refuse(
                 edge=event.edge,
                 request_id=event.request_id,
-                retry_after_s=round(limits.promise(*life, now), 3),
+                retry_after_s=round(limits.reserve_retry_after(*life, now), 3),
                 reason=RATE_LIMITED_REASON,
             )
         ]
-    limits.take(*life, now)
+    limits.record_request(*life, now)
     return [
         Grant(edge=event.edge, request_id=event.request_id, runner_id=event.runner_id)
     ]
--- a/mangoway/policy/scheduling/dispatch.py
+++ b/mangoway/policy/scheduling/dispatch.py
@@ -215,7 +215,7 @@
         grant_request = waiting.grant_request
         place(self.state, waiting, runner, self.now)
         entry = runner.entry
-        self.state.limits.take(entry.runner_id, entry.started_ms, self.now)
+        self.state.limits.record_request(entry.runner_id, entry.started_ms, self.now)
         self._queue.remove(waiting.key)
         self.state.health.note_sent(runner.runner_id, self.now)
         return Grant(
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -195,7 +195,7 @@
     def find_in_need(self, now: float) -> frozenset[str]:
         """Return the runners that have been limited, or at rest, for a while."""
         edges = MIN_COOLDOWN_EDGE_SHARE * len(self.edge_data_centres)
-        return self.limits.list_long(now) | self.cooldowns.list_long(
+        return self.limits.list_long_limited(now) | self.cooldowns.list_long_cooldowns(
             MIN_LIMITED_S, edges, now
         )
 
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -78,8 +78,8 @@
         limits, now = self.core.state.limits, self.clock()
         life = (runner.runner_id, runner.started_ms)
         if limits.measure_wait(*life, now) > 0:
-            return limits.promise(*life, now)
-        limits.take(*life, now)
+            return limits.reserve_retry_after(*life, now)
+        limits.record_request(*life, now)
         return 0.0
 
     def allow_overdraft(self, exhausted: list[str]) -> None:
--- a/tests/edge/test_cooldowns.py
+++ b/tests/edge/test_cooldowns.py
@@ -22,7 +22,7 @@
     """Let a runner have asked the edge for rest."""
     said = CooldownReport(edge="e1", runner_id=runner_id, started_ms=0, rest_s=rest_s)
     watch = edge.forwarder.signal_tracker
-    watch.cooldowns.note(said, watch.clock())
+    watch.cooldowns.update(said, watch.clock())
 
 
 class TestRests:
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -105,18 +105,18 @@
         for said in edge.book.list_reports(self.now):
             self.tell(edge, evolve(said, recent_requests=self.count_lately(edge)))
         for said in scheduler.book.list_reports(self.now):
-            edge.book.note(said, self.now)
+            edge.book.update(said, self.now)
 
     def tell(self, edge: Edge, said: LimitReport) -> None:
         """Let a scheduler hear a statement, and tell it to its other edges."""
         scheduler = edge.scheduler
-        if scheduler is None or not scheduler.book.note(said, self.now):
+        if scheduler is None or not scheduler.book.update(said, self.now):
             return
         for key in sorted(scheduler.edges - {edge.key}):
             other = self.edges[key]
-            if other.book.note(strip_recent_requests(said), self.now):
+            if other.book.update(strip_recent_requests(said), self.now):
                 recent_requests = self.count_lately(other)
-                scheduler.book.note(
+                scheduler.book.update(
                     evolve(said, recent_requests=recent_requests), self.now
                 )
 
@@ -184,7 +184,7 @@
         known = edge.book.get_limit(*LIFE) is not None or edge.scheduler is not None
         if known and book.measure_wait(*LIFE, self.now) > 0:
             return
-        book.take(*LIFE, self.now)
+        book.record_request(*LIFE, self.now)
         edge.sent.append(self.now)
         self.arrivals.append((self.now, edge.key))
         self.answer(edge)
@@ -202,7 +202,7 @@
             response_age_s=0.0,
             recent_requests=self.count_lately(edge) if known is None else 0,
         )
-        if edge.book.note(said, self.now):
+        if edge.book.update(said, self.now):
             self.tell(edge, said)
         self.check()
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -12,7 +12,7 @@
 from mangoway.coordination.view import FleetView, Leader
 from mangoway.models.fleet import Member, Role
 from mangoway.models.signals import LeavingReport
-from mangoway.policy.limits.const import MAX_WAIT_S
+from mangoway.policy.limits.const import MAX_LIMIT_RETRY_AFTER_S
 from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
@@ -245,7 +245,7 @@
         edge = Edge()
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
-        limits.note(SAID, edge.link.clock())
+        limits.update(SAID, edge.link.clock())
         answer = await receive(edge.client.ask(make_asked("q1")))
         edge.task.cancel()
         assert isinstance(answer, Refuse)
@@ -260,10 +260,10 @@
         edge = Edge()
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
-        limits.note(SAID, edge.link.clock())
+        limits.update(SAID, edge.link.clock())
         wait_s = await edge.client.async_request_permit(RUNNER)
         edge.task.cancel()
-        assert wait_s == MAX_WAIT_S
+        assert wait_s == MAX_LIMIT_RETRY_AFTER_S
 
     async def test_permit_that_nobody_answers_is_not_waited_for(self) -> None:
         async with connect() as (_, edge):
