--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -13,8 +13,8 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 from ..policy.crashes.const import (
+    BLOCK_S,
     CRASH_RETENTION_S,
-    HELD_S,
     MAX_BLOCKED,
     MAX_CLEARANCES,
 )
@@ -52,7 +52,7 @@
 
 STAY_S: Final = {
     CRASH_KEYS: CRASH_RETENTION_S,
-    HELD_KEYS: HELD_S,
+    HELD_KEYS: BLOCK_S,
     CLEARED_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
 }
 """Time for which a key of each kind is kept after this process has seen it."""
@@ -116,7 +116,7 @@
     def _list_missing(self) -> tuple[Write, ...]:
         """Return what is to be written of requests that are held back."""
         missing = []
-        for content in self.book.list_held()[-MAX_BLOCKED:]:
+        for content in self.book.list_blocked()[-MAX_BLOCKED:]:
             statement = HeldStatement(
                 content=content, charges=self.book.list_charges(content)
             )
@@ -128,7 +128,7 @@
 
     def _list_old(self, keys: list[str], now: float) -> list[str]:
         """Return the keys that are too old, too many, or hold nothing any more."""
-        held = {HELD_KEYS + each for each in self.book.list_held()}
+        held = {HELD_KEYS + each for each in self.book.list_blocked()}
         old = []
         for kind in STATEMENT_KEYS:
             alike = [each for each in keys if each.startswith(kind)]
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -10,7 +10,7 @@
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.const import BEGIN_S
+from ..policy.crashes.const import EARLY_RUN_S
 from ..policy.crashes.served_requests import ServedRequests
 from ..policy.crashes.tracker import CrashTracker
 from .crash_detector import InterruptedRequest, RunnerCrash
@@ -94,13 +94,13 @@
 
     def note_served(self, identity: RequestIdentity) -> None:
         """Clear a request that has ended well."""
-        self.memory.note(identity, self.clock())
+        self.memory.add(identity, self.clock())
         lives = self.book.list_crashes(identity)
         if lives:
             self._clear(identity, lives, told=len(lives) >= TOLD_FROM)
 
     def _has_just_ended_well(self, identity: RequestIdentity) -> bool:
-        return self.memory.knows(identity, self.clock())
+        return self.memory.contains(identity, self.clock())
 
     def _make_charge(self, lost: InterruptedRequest, life: str) -> Charge:
         content = lost.identity.content
@@ -135,7 +135,7 @@
             if self._has_just_ended_well(identity):
                 self._clear(identity, self.book.list_crashes(identity), told=True)
         served = self.memory.contains_content(content, self.clock())
-        if served and self.book.holds_all(content):
+        if served and self.book.is_content_blocked(content):
             # Others with this content are served, so it takes one of them by itself.
             self._clear(RequestIdentity(content, ""), frozenset(), told=True)
         held = [each for each in identities if self.book.is_blocked(each)]
@@ -160,4 +160,4 @@
     """
     if ran_s <= 0:
         return RunStage.NOTHING_SENT
-    return RunStage.BEGUN if ran_s < BEGIN_S else RunStage.GOING_ON
+    return RunStage.BEGUN if ran_s < EARLY_RUN_S else RunStage.GOING_ON
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -4,7 +4,7 @@
 
 from ...models.crash import RunStage
 
-BEGIN_S: Final = 0.5
+EARLY_RUN_S: Final = 0.5
 """Time from its first event for which a run has only just begun. Requests that make
 runners crash do so at the begin of their runs, mostly before an event comes; others
 have mostly run for longer when a crash cuts them off."""
@@ -48,11 +48,11 @@
 crash cuts off has not made the runner crash: what many callers ask for alike is at each
 runner that is killed. At 50 requests a second of one host it is a minute's."""
 
-HELD_S: Final = 3600.0
+BLOCK_S: Final = 3600.0
 """Time for which a request is held back: by then its runners have been mended. Each
 such hour costs up to three runners."""
 
-RETRY_AFTER_BLOCK_S: Final = HELD_S
+RETRY_AFTER_BLOCK_S: Final = BLOCK_S
 """When to come back: no process knows how much of that time is over."""
 
 CRASH_RETENTION_S: Final = 600.0
--- a/mangoway/policy/crashes/served_requests.py
+++ b/mangoway/policy/crashes/served_requests.py
@@ -26,12 +26,12 @@
     def __len__(self) -> int:
         return len(self._served_at)
 
-    def note(self, identity: RequestIdentity, now: float) -> None:
+    def add(self, identity: RequestIdentity, now: float) -> None:
         """Note that a request was served."""
         _put(self._served_at, identity, now, self.most)
         _put(self._contents, identity.content, now, self.most)
 
-    def knows(self, identity: RequestIdentity, now: float) -> bool:
+    def contains(self, identity: RequestIdentity, now: float) -> bool:
         """Return whether a request was served of late."""
         return now - self._served_at.get(identity, -math.inf) < REMEMBERED_S
 
--- a/mangoway/policy/crashes/tracker.py
+++ b/mangoway/policy/crashes/tracker.py
@@ -86,9 +86,9 @@
 
     def holds(self, variant: str) -> bool:
         """Return whether a variant is held back, by itself or with all others."""
-        return self.weigh(variant) >= POINTS_TO_HOLD or self.holds_all()
+        return self.weigh(variant) >= POINTS_TO_HOLD or self.is_content_blocked()
 
-    def holds_all(self) -> bool:
+    def is_content_blocked(self) -> bool:
         """Return whether the content is held back, whoever sends it.
 
         It is what makes runners crash if several variants were beside crashes and none
@@ -182,10 +182,10 @@
             return False
         return self._records[identity.content].holds(identity.variant)
 
-    def holds_all(self, content: str) -> bool:
+    def is_content_blocked(self, content: str) -> bool:
         """Return whether a content is held back, whoever sends it."""
         record = self._records.get(content)
-        return record is not None and record.holds_all()
+        return record is not None and record.is_content_blocked()
 
     def list_crashes(self, identity: RequestIdentity) -> frozenset[str]:
         """Return the crashes that a request is charged with and not cleared of."""
@@ -199,7 +199,7 @@
             return False
         return record.weigh(identity.variant) >= POINTS_TO_HOLD - MOST_POINTS
 
-    def list_held(self) -> tuple[str, ...]:
+    def list_blocked(self) -> tuple[str, ...]:
         """Return the contents of which a request is held back, oldest first."""
         return tuple(self._held)
 
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -25,7 +25,7 @@
 from mangoway.coordination.view import FleetView
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
 from mangoway.platform.receiver import StoreReceiver
-from mangoway.policy.crashes.const import CRASH_RETENTION_S, HELD_S
+from mangoway.policy.crashes.const import BLOCK_S, CRASH_RETENTION_S
 from mangoway.policy.crashes.tracker import CrashTracker
 
 from ..fakes.coordination_store import FakeCoordinationStore
@@ -278,7 +278,7 @@
             await node.keeper.async_check()
             await async_wait_until(lambda: len(node.mirror.items) == 1)
             assert node.book.is_blocked(CULPRIT)
-            node.shift_s = HELD_S + CRASH_RETENTION_S + 2
+            node.shift_s = BLOCK_S + CRASH_RETENTION_S + 2
             await node.keeper.async_check()
             await async_wait_until(lambda: not node.mirror.items)
             assert not node.book.is_blocked(CULPRIT)
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -13,7 +13,7 @@
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
 from mangoway.platform.requests import decode_request
-from mangoway.policy.crashes.const import BEGIN_S
+from mangoway.policy.crashes.const import EARLY_RUN_S
 from mangoway.policy.crashes.tracker import CrashTracker
 from mangoway.policy.scheduling.events import EndKind
 
@@ -74,9 +74,9 @@
     def test_what_had_run_for_a_while_is_a_weaker_suspect(self) -> None:
         world = Screening()
         for number in range(4):
-            world.crash(f"l{number}", CULPRIT, ran_s=BEGIN_S)
+            world.crash(f"l{number}", CULPRIT, ran_s=EARLY_RUN_S)
         assert not world.crash_filter.is_blocked(CULPRIT)
-        world.crash("l4", CULPRIT, ran_s=BEGIN_S)
+        world.crash("l4", CULPRIT, ran_s=EARLY_RUN_S)
         assert world.crash_filter.is_blocked(CULPRIT)
 
     def test_request_that_breaks_later_is_added(self) -> None:
--- a/tests/policy/crashes/test_served_requests.py
+++ b/tests/policy/crashes/test_served_requests.py
@@ -12,22 +12,22 @@
 
     def test_request_is_known_for_a_while(self) -> None:
         memory = ServedRequests()
-        assert not memory.knows(SERVED, 5.0)
-        memory.note(SERVED, 5.0)
-        assert memory.knows(SERVED, 5.0 + REMEMBERED_S - 1)
-        assert not memory.knows(SERVED, 5.0 + REMEMBERED_S)
+        assert not memory.contains(SERVED, 5.0)
+        memory.add(SERVED, 5.0)
+        assert memory.contains(SERVED, 5.0 + REMEMBERED_S - 1)
+        assert not memory.contains(SERVED, 5.0 + REMEMBERED_S)
 
     def test_content_is_known_whoever_sent_it(self) -> None:
         memory = ServedRequests()
-        memory.note(SERVED, 5.0)
+        memory.add(SERVED, 5.0)
         assert memory.contains_content("c", 6.0)
-        assert not memory.knows(RequestIdentity("c", "w"), 6.0)
+        assert not memory.contains(RequestIdentity("c", "w"), 6.0)
 
     def test_oldest_are_forgotten_first(self) -> None:
         memory = ServedRequests(most=10)
         for number in range(50):
-            memory.note(SERVED, float(number))
-            memory.note(RequestIdentity(f"c{number}", "v"), float(number))
+            memory.add(SERVED, float(number))
+            memory.add(RequestIdentity(f"c{number}", "v"), float(number))
         assert len(memory) == 10
-        assert memory.knows(SERVED, 50.0)
-        assert not memory.knows(RequestIdentity("c3", "v"), 50.0)
+        assert memory.contains(SERVED, 50.0)
+        assert not memory.contains(RequestIdentity("c3", "v"), 50.0)
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -61,7 +61,7 @@
             crash(book, life, OTHER)
         clear(book, OTHER, "l1", "l2", "l3")
         assert not book.is_blocked(OTHER)
-        assert book.list_held() == ()
+        assert book.list_blocked() == ()
 
     @pytest.mark.parametrize(
         ("stage", "crashes"), [(RunStage.BEGUN, 4), (RunStage.GOING_ON, 5)]
@@ -158,7 +158,7 @@
             lives = [f"l{number}-{each}" for each in range(CRASHES)]
             identity = RequestIdentity(f"h{number}", "v")
             book.add_block(f"held/{number}", [Charge(identity, each) for each in lives])
-        assert len(book.list_held()) == MAX_BLOCKED
+        assert len(book.list_blocked()) == MAX_BLOCKED
         assert len(book._records) <= MAX_CLEARANCES + MAX_BLOCKED
 
 
@@ -217,4 +217,4 @@
         for key in [*book._charges, *book._clearances]:
             book.withdraw(key)
         assert (book._records, book.charge_count) == ({}, 0)
-        assert book.list_held() == ()
+        assert book.list_blocked() == ()
