--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -15,7 +15,7 @@
 from ..observability.event_log import log_event
 from ..platform.documents import OWN_PREFIX
 from ..platform.runners import RunnerControl
-from ..policy.customers.const import BEGIN_S
+from ..policy.customers.const import SCHEDULER_STARTUP_S
 from ..policy.customers.quota import QuotaTracker
 from ..policy.limits.tracker import LimitReport
 from ..policy.scheduling.core import SchedulingCore
@@ -254,7 +254,7 @@
         It is that of the edges which it hears: others may ask another scheduler, or
         choose alone.
         """
-        if self.process.clock() < self._began_at + BEGIN_S:
+        if self.process.clock() < self._began_at + SCHEDULER_STARTUP_S:
             return 1.0
         heard = self.server.edge_count
         members = self.process.view.members.values()
--- a/mangoway/policy/customers/const.py
+++ b/mangoway/policy/customers/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-MEMORY_S: Final = 10.0
+SPENDING_RETENTION_S: Final = 10.0
 """Time for which spending is remembered, to tell the next scheduler of it. A customer
 whose spending is older has its whole burst back, at a rate of a burst a second."""
 
@@ -20,7 +20,7 @@
 the next scheduler, as debt. Six times the usual of a customer, for so long and after
 usual spending, stays within a window's overshoot."""
 
-BEGIN_S: Final = 0.75
+SCHEDULER_STARTUP_S: Final = 0.75
 """Time from its begin for which a scheduler grants as if it heard all hosts: they come
 to it one after the other. One that still grants elsewhere adds less than a burst."""
 
--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 from ...models.customer import Customer, CustomerRegistry, Quota
-from .const import LENT_S, MEMORY_S, SLACK_USED
+from .const import LENT_S, SLACK_USED, SPENDING_RETENTION_S
 from .spending import SpendingEntry, SpendingHistory
 
 
@@ -78,7 +78,7 @@
         self._lent_until = now + LENT_S
         self._not_lent = frozenset(exhausted)
 
-    def take(self, name: str, amount: float, now: float) -> float:
+    def try_consume(self, name: str, amount: float, now: float) -> float:
         """Take an amount if the customer's quota has it.
 
         A request that is larger than all that an account holds needs a full one.
@@ -99,7 +99,7 @@
         self.spending.add(name, amount, now)
         return 0.0
 
-    def spend(self, name: str, amount: float, now: float) -> None:
+    def record_spending(self, name: str, amount: float, now: float) -> None:
         """Count what a host let in by itself; a negative amount was given back."""
         quota = self._find_quota(name)
         if quota is not None:
@@ -174,7 +174,7 @@
         """Return an account from what was spent lately."""
         self.begin(now)
         began_at = now if self._began_at is None else self._began_at
-        since = now - MEMORY_S
+        since = now - SPENDING_RETENTION_S
         rate_per_s, capacity = quota.rate_per_s * self.share, self._hold(quota)
         knows = self.starts_full or name in self._told or began_at <= since
         account = Account(capacity, since) if knows else Account(0.0, began_at)
--- a/mangoway/policy/customers/spending.py
+++ b/mangoway/policy/customers/spending.py
@@ -5,7 +5,7 @@
 
 from attrs import define, field, frozen
 
-from .const import MEMORY_S, SLOT_S
+from .const import SLOT_S, SPENDING_RETENTION_S
 
 
 @frozen
@@ -41,14 +41,16 @@
             amount += slots.pop()[1]
         slots.append((end, amount))
         slots.extend(reversed(later))
-        while slots and slots[0][0] < slots[-1][0] - MEMORY_S:
+        while slots and slots[0][0] < slots[-1][0] - SPENDING_RETENTION_S:
             slots.popleft()
 
     def list_slots(self, customer: str, now: float) -> list[tuple[float, float]]:
         """Return the slots of a customer that still matter, oldest first."""
         slots = self._slots.get(customer, ())
         return [
-            (min(end, now), amount) for end, amount in slots if end >= now - MEMORY_S
+            (min(end, now), amount)
+            for end, amount in slots
+            if end >= now - SPENDING_RETENTION_S
         ]
 
     def list_all(self, now: float) -> Iterable[SpendingEntry]:
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -103,7 +103,7 @@
         """Give back what was taken of a quota for a request that waits no more."""
         charge = self.state.charges.pop(key, None)
         if charge is not None:
-            self.state.quotas.spend(charge.customer, -charge.amount, now)
+            self.state.quotas.record_spending(charge.customer, -charge.amount, now)
 
     def serve_request(self, waiting: Waiting, now: float) -> list[Action]:
         """Return what can be done for a request that has just come."""
@@ -207,7 +207,7 @@
 def _take_asked(core: SchedulingCore, event: GrantRequest, now: float) -> list[Action]:
     state = core.state
     if event.cost > 0:
-        wait_s = state.quotas.take(event.customer, event.cost, now)
+        wait_s = state.quotas.try_consume(event.customer, event.cost, now)
         if wait_s > 0:
             return [_refuse_over_quota(event, wait_s)]
         charge = Charge(event.customer, event.cost)
@@ -281,7 +281,7 @@
 
 @handles(QuotaSpent)
 def _take_spent(core: SchedulingCore, event: QuotaSpent, now: float) -> list[Action]:
-    core.state.quotas.spend(event.customer, event.amount, now)
+    core.state.quotas.record_spending(event.customer, event.amount, now)
     return []
 
 
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -71,7 +71,7 @@
     def consume_quota(self, customer: str, amount: float) -> float:
         """Take an amount of a quota; returns the seconds until there is enough."""
         self.handle(Tick())
-        return self.core.state.quotas.take(customer, amount, self.clock())
+        return self.core.state.quotas.try_consume(customer, amount, self.clock())
 
     def take_permit(self, runner: RunnerEntry) -> float:
         """Take a turn at a limited runner; returns the seconds until there is one."""
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -10,7 +10,7 @@
 from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.customers.const import MEMORY_S
+from ..policy.customers.const import SPENDING_RETENTION_S
 from ..policy.limits.tracker import LimitReport, strip_recent_requests
 from ..policy.scheduling.core import SchedulingCore
 from ..policy.scheduling.events import (
@@ -193,7 +193,9 @@
             return
         now = self.clock()
         self._lost_at = {
-            key: at for key, at in self._lost_at.items() if at > now - MEMORY_S
+            key: at
+            for key, at in self._lost_at.items()
+            if at > now - SPENDING_RETENTION_S
         }
         self._lost_at[edge] = now
 
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -9,7 +9,7 @@
 from mangoway.daemons.scheduler import SchedulerProcess
 from mangoway.models.fleet import Role
 from mangoway.models.signals import LeavingReport, RunnerSignals
-from mangoway.policy.customers.const import BEGIN_S
+from mangoway.policy.customers.const import SCHEDULER_STARTUP_S
 from mangoway.settings.fleet import SchedulerSettings
 
 from ..fakes.fleet import make_runner, make_table
@@ -80,7 +80,7 @@
             )
         scheduler._began_at = scheduler.process.clock()
         assert scheduler._measure_share() == 1.0
-        scheduler._began_at -= BEGIN_S
+        scheduler._began_at -= SCHEDULER_STARTUP_S
         assert scheduler._measure_share() == 1 / 8
 
     async def test_it_starts_with_nothing(self) -> None:
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -6,7 +6,7 @@
 from attrs import define, field
 
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
-from mangoway.policy.customers.const import LENT_S, MEMORY_S, SLACK_USED
+from mangoway.policy.customers.const import LENT_S, SLACK_USED, SPENDING_RETENTION_S
 from mangoway.policy.customers.quota import QuotaTracker
 from mangoway.policy.customers.spending import SpendingEntry, SpendingHistory
 
@@ -46,70 +46,70 @@
 
     def test_burst_and_then_the_rate(self) -> None:
         book = make_book()
-        taken = [book.take("acme", 1000.0, 0.0) for _ in range(11)]
+        taken = [book.try_consume("acme", 1000.0, 0.0) for _ in range(11)]
         assert taken[:10] == [0.0] * 10
         assert taken[10] == pytest.approx(0.1)
-        assert book.take("acme", 1000.0, 0.1) == 0.0
-        assert book.take("acme", 1000.0, 0.15) == pytest.approx(0.05)
+        assert book.try_consume("acme", 1000.0, 0.1) == 0.0
+        assert book.try_consume("acme", 1000.0, 0.15) == pytest.approx(0.05)
 
     def test_time_to_come_back_is_when_there_is_room(self) -> None:
         book = make_book()
-        book.take("acme", BURST, 0.0)
-        wait_s = book.take("acme", 4000.0, 0.0)
-        assert book.take("acme", 4000.0, wait_s - 0.001) > 0
-        assert book.take("acme", 4000.0, wait_s) == 0.0
+        book.try_consume("acme", BURST, 0.0)
+        wait_s = book.try_consume("acme", 4000.0, 0.0)
+        assert book.try_consume("acme", 4000.0, wait_s - 0.001) > 0
+        assert book.try_consume("acme", 4000.0, wait_s) == 0.0
 
     def test_request_larger_than_a_burst_needs_a_full_account(self) -> None:
         book = make_book()
-        assert book.take("acme", 2 * BURST, 0.0) == 0.0
-        assert book.take("acme", 100.0, 0.5) > 0
-        assert book.take("acme", 100.0, 1.02) == 0.0
+        assert book.try_consume("acme", 2 * BURST, 0.0) == 0.0
+        assert book.try_consume("acme", 100.0, 0.5) > 0
+        assert book.try_consume("acme", 100.0, 1.02) == 0.0
 
     def test_customers_are_counted_apart(self) -> None:
         book = make_book()
-        book.take("acme", BURST, 0.0)
-        assert book.take("other", BURST, 0.0) == 0.0
+        book.try_consume("acme", BURST, 0.0)
+        assert book.try_consume("other", BURST, 0.0) == 0.0
 
     def test_without_a_limit_all_is_let_through(self) -> None:
         book = make_book()
-        assert all(book.take("free", 1e9, 0.0) == 0.0 for _ in range(9))
-        assert book.take("nobody", 1e9, 0.0) == 0.0
+        assert all(book.try_consume("free", 1e9, 0.0) == 0.0 for _ in range(9))
+        assert book.try_consume("nobody", 1e9, 0.0) == 0.0
 
     def test_what_was_not_run_is_given_back(self) -> None:
         book = make_book()
-        book.take("acme", BURST, 0.0)
-        book.spend("acme", -4000.0, 0.0)
-        assert book.take("acme", 4000.0, 0.0) == 0.0
-        assert book.take("acme", 1.0, 0.0) > 0
+        book.try_consume("acme", BURST, 0.0)
+        book.record_spending("acme", -4000.0, 0.0)
+        assert book.try_consume("acme", 4000.0, 0.0) == 0.0
+        assert book.try_consume("acme", 1.0, 0.0) > 0
 
     def test_debt_is_made_good_first(self) -> None:
         book = make_book()
-        book.spend("acme", 3 * BURST, 0.0)
-        assert book.take("acme", 100.0, 1.9) > 0
-        assert book.take("acme", 100.0, 2.1) == 0.0
+        book.record_spending("acme", 3 * BURST, 0.0)
+        assert book.try_consume("acme", 100.0, 1.9) > 0
+        assert book.try_consume("acme", 100.0, 2.1) == 0.0
 
     def test_lower_limit_binds_at_once(self) -> None:
         book = make_book()
-        book.take("acme", 0.0, 0.0)
+        book.try_consume("acme", 0.0, 0.0)
         book.registry = make_registry(rate=100.0, burst=100.0)
-        assert book.take("acme", 1000.0, 1.0) == 0.0
-        assert book.take("acme", 100.0, 2.0) > 0
+        assert book.try_consume("acme", 1000.0, 1.0) == 0.0
+        assert book.try_consume("acme", 100.0, 2.0) > 0
 
     def test_slack_is_granted_in_part(self) -> None:
         book = make_book(slack=SLACK)
-        assert book.take("acme", BURST + SLACK_USED * SLACK, 0.0) == 0.0
-        assert book.take("acme", 1.0, 0.0) > 0
+        assert book.try_consume("acme", BURST + SLACK_USED * SLACK, 0.0) == 0.0
+        assert book.try_consume("acme", 1.0, 0.0) > 0
 
     def test_exhausted_customers_are_listed_until_they_have_enough(self) -> None:
         book = make_book()
-        book.take("acme", BURST, 0.0)
+        book.try_consume("acme", BURST, 0.0)
         [(name, wait_s)] = book.list_exhausted(0.0)
         assert name == "acme"
         assert book.list_exhausted(wait_s + 0.001) == []
 
     def test_summary_begins_with_who_has_least(self) -> None:
         book = make_book()
-        book.take("other", 0.75 * BURST, 0.0)
+        book.try_consume("other", 0.75 * BURST, 0.0)
         assert book.describe(1, 0.0) == ["other 2500, 0.25 s"]
 
 
@@ -121,21 +121,21 @@
         granted = 0.0
         for step in range(800):
             for book in parts:
-                if book.take("acme", 500.0, step * 0.01) == 0.0:
+                if book.try_consume("acme", 500.0, step * 0.01) == 0.0:
                     granted += 500.0
         assert granted <= RATE * WINDOW_S + BURST
 
     def test_part_of_a_quota_refills_slower(self) -> None:
         book = make_book(share=0.5)
-        assert book.take("acme", BURST / 2, 0.0) == 0.0
-        assert book.take("acme", 1000.0, 0.19) > 0
-        assert book.take("acme", 1000.0, 0.2) == 0.0
+        assert book.try_consume("acme", BURST / 2, 0.0) == 0.0
+        assert book.try_consume("acme", 1000.0, 0.19) > 0
+        assert book.try_consume("acme", 1000.0, 0.2) == 0.0
 
     def test_time_to_come_back_is_that_of_the_whole_quota(self) -> None:
         """A host that is alone hears a scheduler sooner than its part is refilled."""
         book = make_book(share=1 / 73)
-        book.take("acme", BURST, 0.0)
-        assert book.take("acme", 100.0, 0.0) < 1.1
+        book.try_consume("acme", BURST, 0.0)
+        assert book.try_consume("acme", 100.0, 0.0) < 1.1
 
 
 class TestLending:
@@ -144,17 +144,17 @@
     def test_customer_who_had_something_left_goes_on_for_a_moment(self) -> None:
         book = make_book(share=1 / 73)
         book.allow_overdraft(["other"], 0.0)
-        assert all(book.take("acme", 1500.0, 0.1) == 0.0 for _ in range(5))
-        book.take("other", 1500.0, 0.1)
-        assert book.take("other", 1500.0, 0.1) > 0
-        assert book.take("acme", 1500.0, LENT_S) > 0
+        assert all(book.try_consume("acme", 1500.0, 0.1) == 0.0 for _ in range(5))
+        book.try_consume("other", 1500.0, 0.1)
+        assert book.try_consume("other", 1500.0, 0.1) > 0
+        assert book.try_consume("acme", 1500.0, LENT_S) > 0
 
     def test_what_was_lent_is_a_debt(self) -> None:
         book = make_book(share=1 / 73)
         book.allow_overdraft([], 0.0)
         for _ in range(5):
-            book.take("acme", 1500.0, 0.1)
-        assert book.take("acme", 100.0, 40.0) > 0
+            book.try_consume("acme", 1500.0, 0.1)
+        assert book.try_consume("acme", 100.0, 40.0) > 0
         assert [each.amount for each in book.spending.list_all(1.0)] == [7500.0]
 
 
@@ -163,30 +163,30 @@
 
     def test_restart_gives_no_second_burst(self) -> None:
         book = make_book(starts_full=False)
-        assert book.take("acme", 5000.0, 0.0) == pytest.approx(0.5)
-        assert book.take("acme", 5000.0, 0.5) == 0.0
+        assert book.try_consume("acme", 5000.0, 0.0) == pytest.approx(0.5)
+        assert book.try_consume("acme", 5000.0, 0.5) == 0.0
 
     def test_customer_who_spent_long_ago_has_his_burst(self) -> None:
         book = make_book(starts_full=False)
-        assert book.take("acme", BURST, MEMORY_S) == 0.0
+        assert book.try_consume("acme", BURST, SPENDING_RETENTION_S) == 0.0
 
     def test_links_tell_what_was_spent(self) -> None:
         book = make_book(starts_full=False)
         rows = [SpendingEntry("acme", age_s, RATE) for age_s in (0.5, 1.5, 2.5, 3.5)]
         book.add_reported_spending(rows, 1.0)
-        wait_s = book.take("acme", BURST, 1.0)
+        wait_s = book.try_consume("acme", BURST, 1.0)
         assert 0.3 <= wait_s <= 1.0
 
     def test_links_tell_that_little_was_spent(self) -> None:
         book = make_book(starts_full=False)
         book.add_reported_spending([SpendingEntry("acme", 1.0, 100.0)], 0.2)
-        assert book.take("acme", 0.9 * BURST, 0.2) == 0.0
+        assert book.try_consume("acme", 0.9 * BURST, 0.2) == 0.0
 
     def test_late_word_of_spending_counts_as_well(self) -> None:
         book = make_book()
-        book.take("acme", 100.0, 5.0)
+        book.try_consume("acme", 100.0, 5.0)
         book.add_reported_spending([SpendingEntry("acme", 0.1, BURST)], 5.0)
-        assert book.take("acme", 2000.0, 5.0) > 0
+        assert book.try_consume("acme", 2000.0, 5.0) > 0
 
     def test_spending_comes_back_with_time(self) -> None:
         spending = SpendingHistory()
@@ -200,7 +200,7 @@
             (2.5, 150.0),
             (0.5, -50.0),
         ]
-        assert list(spending.list_all(1.0 + 2 * MEMORY_S)) == []
+        assert list(spending.list_all(1.0 + 2 * SPENDING_RETENTION_S)) == []
 
 
 @define(eq=False)
@@ -260,7 +260,7 @@
                 continue
             host = self.random.randrange(self.hosts)
             book = self.alone.get(host, self.scheduler)
-            if book.take("acme", amount, now) > 0:
+            if book.try_consume("acme", amount, now) > 0:
                 self.refused += 1
             else:
                 self.arrivals.append((now, amount))
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -101,7 +101,7 @@
             host = self.hosts[self.next_host]
             self.next_host = (self.next_host + 1) % HOSTS
             book = self.choose(host)
-            if book is not None and book.take("acme", amount, self.now) == 0.0:
+            if book is not None and book.try_consume("acme", amount, self.now) == 0.0:
                 self.arrivals.append((self.now, amount))
                 host.spending.add("acme", amount, self.now)
 
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from mangoway.policy.customers.const import BEGIN_S
+from mangoway.policy.customers.const import SCHEDULER_STARTUP_S
 from mangoway.policy.edge.shares import DisconnectedShare
 from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, RECENT_REQUESTS_S
 from mangoway.policy.limits.tracker import (
@@ -91,7 +91,7 @@
             self.connect(edge, scheduler)
 
     def measure_share(self, scheduler: Scheduler) -> float:
-        if self.now < scheduler.began_at + BEGIN_S:
+        if self.now < scheduler.began_at + SCHEDULER_STARTUP_S:
             return 1.0
         return max(1, len(scheduler.edges)) / EDGES
 
