--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -16,7 +16,7 @@
 from ..platform.requests import RequestFields, encode_for_runner
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
-from ..policy.edge.retries import FailedAttempt, Next, RetryCause, decide_retry
+from ..policy.edge.retries import FailedAttempt, RetryCause, RetryDecision, decide_retry
 from ..policy.scheduling.events import EndKind, Refuse
 from .admission import Admission, Caller, Denial
 from .attempt import Attempt, AttemptResult, WholeResponse, deliver_whole
@@ -126,7 +126,7 @@
             self._cause = self._find_cause(result)
             decision = self._decide(result)
             self.log.note_attempt(placed, result, decision)
-            if decision is Next.RETRY:
+            if decision is RetryDecision.RETRY:
                 continue
             self._give_up(result, decision)
             return
@@ -232,7 +232,7 @@
         alone = not self._finder.reached
         return bool(objective_s and alone and self.delivery.longest_gap_s > objective_s)
 
-    def _decide(self, result: AttemptResult) -> Next:
+    def _decide(self, result: AttemptResult) -> RetryDecision:
         failed = FailedAttempt(
             verdict=result.verdict,
             ran_before=self._may_have_run,
@@ -241,7 +241,7 @@
             time_left_s=self._deadline - self._clock(),
         )
         decision = decide_retry(self.route, failed, budget_left=True)
-        needs_credit = decision is Next.RETRY and result.was_sent
+        needs_credit = decision is RetryDecision.RETRY and result.was_sent
         if needs_credit and not self._finder.payment.pay():
             self._budget_spent = True
             decision = decide_retry(self.route, failed, budget_left=False)
@@ -256,11 +256,11 @@
             return RetryCause.SILENT
         return RetryCause.RESUMED if self.delivery.events else RetryCause.FAILED
 
-    def _give_up(self, result: AttemptResult, decision: Next) -> None:
+    def _give_up(self, result: AttemptResult, decision: RetryDecision) -> None:
         reason, retry_after_s = result.reason, RETRY_AFTER_OUTAGE_S
         if self._budget_spent:
             reason, retry_after_s = BUDGET_SPENT, RETRY_AFTER_BUDGET_S
-        if decision is Next.REFUSE:
+        if decision is RetryDecision.REFUSE:
             self._refuse(reason, retry_after_s)
         else:
             self._fail(STATUS_FAILED, reason)
--- a/mangoway/edge/plain_grant_provider.py
+++ b/mangoway/edge/plain_grant_provider.py
@@ -75,16 +75,16 @@
         )
         if runner is None:
             return _refuse(NO_RUNNER)
-        self.health.note_sent(runner.runner_id, now)
+        self.health.record_attempt(runner.runner_id, now)
         return runner
 
     def note(self, runner_id: str, kind: EndKind) -> None:
         """Judge a runner by how a request ended there."""
         if kind.was_served:
-            if self.health.note_success(runner_id):
+            if self.health.record_success(runner_id):
                 log_event(log.RunnerTrusted(runner_id=runner_id))
         elif kind in (EndKind.FAILED, EndKind.UNREACHABLE):
-            failures = self.health.note_failure(
+            failures = self.health.record_failure(
                 runner_id, self.clock(), unreachable=kind is EndKind.UNREACHABLE
             )
             if failures:
--- a/mangoway/edge/repeat_payment.py
+++ b/mangoway/edge/repeat_payment.py
@@ -45,7 +45,7 @@
         """Return what was paid for a repeat that is not sent."""
         credit, self._next = self._next, None
         if credit is not None:
-            credit.give_back()
+            credit.refund()
 
     def end(self) -> None:
         """Keep nothing: the request is over."""
--- a/mangoway/edge/request_log.py
+++ b/mangoway/edge/request_log.py
@@ -11,7 +11,7 @@
 from ..observability.event_log import log_event
 from ..observability.metrics import Metrics
 from ..platform.requests import RequestFields
-from ..policy.edge.retries import Next, RetryCause
+from ..policy.edge.retries import RetryCause, RetryDecision
 from .attempt import AttemptResult
 from .delivery import Delivery
 
@@ -128,7 +128,7 @@
         )
 
     def note_attempt(
-        self, runner: RunnerEntry, result: AttemptResult, decision: Next
+        self, runner: RunnerEntry, result: AttemptResult, decision: RetryDecision
     ) -> None:
         """Log a try that failed, and what follows."""
         log_event(
--- a/mangoway/edge/retry_budgets.py
+++ b/mangoway/edge/retry_budgets.py
@@ -29,12 +29,12 @@
     def note_request(self, service: str) -> None:
         """Count a request of a caller."""
         share = self.share.measure(self.boot_clock())
-        self.get(service).note_request(self.clock(), share)
+        self.get(service).record_request(self.clock(), share)
 
     def take(self, service: str) -> RetryCredit | None:
         """Take the credit for one repeat; None if there is none."""
         share = self.share.measure(self.boot_clock())
-        return self.get(service).take(self.clock(), share)
+        return self.get(service).try_acquire(self.clock(), share)
 
     def sum_up(self) -> None:
         """Log the budgets that were used since the last call."""
--- a/mangoway/policy/edge/health.py
+++ b/mangoway/policy/edge/health.py
@@ -28,12 +28,12 @@
 
     _records: dict[str, RunnerHealth] = field(factory=dict, init=False)
 
-    def note_success(self, runner_id: str) -> bool:
+    def record_success(self, runner_id: str) -> bool:
         """Count a good answer; returns whether the runner was avoided until now."""
         record = self._records.pop(runner_id, None)
         return record is not None and record.avoided
 
-    def note_failure(
+    def record_failure(
         self, runner_id: str, now: float, *, unreachable: bool = False
     ) -> int:
         """Count a failure.
@@ -70,7 +70,7 @@
         )
         return NONE if len(avoided) > AVOIDED_SHARE * len(runner_ids) else avoided
 
-    def note_sent(self, runner_id: str, now: float) -> None:
+    def record_attempt(self, runner_id: str, now: float) -> None:
         """Note a try, after which an avoided runner waits for its outcome."""
         record = self._records.get(runner_id)
         if record is not None and record.avoided:
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -9,7 +9,7 @@
 from .const import MIN_RETRY_TIME_S
 
 
-class Next(Enum):
+class RetryDecision(Enum):
     """What follows a failed try."""
 
     RETRY = "retry"
@@ -55,7 +55,9 @@
     time_left_s: float
 
 
-def decide_retry(route: Route, failed: FailedAttempt, *, budget_left: bool) -> Next:
+def decide_retry(
+    route: Route, failed: FailedAttempt, *, budget_left: bool
+) -> RetryDecision:
     """Return what follows a failed try.
 
     What may have run goes out again only on a route whose requests may be repeated;
@@ -69,5 +71,5 @@
     )
     in_time = failed.time_left_s > MIN_RETRY_TIME_S
     if allowed and attempts_left and in_time and (budget_left or not failed.was_sent):
-        return Next.RETRY
-    return Next.FAIL if may_have_run else Next.REFUSE
+        return RetryDecision.RETRY
+    return RetryDecision.FAIL if may_have_run else RetryDecision.REFUSE
--- a/mangoway/policy/edge/retry_budget.py
+++ b/mangoway/policy/edge/retry_budget.py
@@ -73,7 +73,7 @@
             self.state = CreditState.SPENT
             self.budget.settle(self, now)
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return the credit, as nothing was sent."""
         if self.state is CreditState.HELD:
             self.state = CreditState.RETURNED
@@ -116,13 +116,13 @@
         """Return the credits of repeats that may be on their way."""
         return self._held_saved + self._held_from_window
 
-    def note_request(self, now: float, share: float) -> None:
+    def record_request(self, now: float, share: float) -> None:
         """Count a request of a caller, once."""
         self._fill(now, share)
         self.requests += 1
         self._add(self.limits.ratio)
 
-    def take(self, now: float, share: float) -> RetryCredit | None:
+    def try_acquire(self, now: float, share: float) -> RetryCredit | None:
         """Take the credit for one repeat; None if there is none.
 
         Args:
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -192,11 +192,11 @@
         """Judge a runner by how a request ended there."""
         health = self.state.health
         if kind.was_served:
-            if health.note_success(running.runner_id):
+            if health.record_success(running.runner_id):
                 self.on_health(running.runner_id, 0)
         elif kind in (EndKind.FAILED, EndKind.UNREACHABLE):
             unreachable = kind is EndKind.UNREACHABLE
-            failures = health.note_failure(
+            failures = health.record_failure(
                 running.runner_id, now, unreachable=unreachable
             )
             if failures:
--- a/mangoway/policy/scheduling/dispatch.py
+++ b/mangoway/policy/scheduling/dispatch.py
@@ -217,7 +217,7 @@
         entry = runner.entry
         self.state.limits.record_request(entry.runner_id, entry.started_ms, self.now)
         self._queue.remove(waiting.key)
-        self.state.health.note_sent(runner.runner_id, self.now)
+        self.state.health.record_attempt(runner.runner_id, self.now)
         return Grant(
             edge=grant_request.edge,
             request_id=grant_request.request_id,
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -221,7 +221,7 @@
     async def test_timeout_of_the_route_ends_the_wait(self) -> None:
         async with RawServer(answer()) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
-            edge.forwarder.plain.health.note_success("r1")
+            edge.forwarder.plain.health.record_success("r1")
             reply = await edge.async_call("/short/x")
         assert reply.status in (502, 504)
 
--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -62,10 +62,10 @@
         while now < until:
             now += STEP_S
             budget = next(edges)
-            budget.note_request(now, share)
+            budget.record_request(now, share)
             seen.requests.append(now)
             for _ in range(TRIES if now >= 20 else 0):
-                credit = budget.take(now, share)
+                credit = budget.try_acquire(now, share)
                 if credit is not None:
                     credit.spend(now)
                     seen.repeats.append(now)
@@ -183,12 +183,12 @@
         if not edge.paused:
             share = edge.share.measure(self.now)
             for _ in range(requests):
-                edge.budget.note_request(self.now, share)
+                edge.budget.record_request(self.now, share)
             self.seen.requests += [self.now] * requests
 
     def pay(self, edge: Edge, wanted: int) -> None:
         share = edge.share.measure(self.now)
-        credits = [edge.budget.take(self.now, share) for _ in range(wanted)]
+        credits = [edge.budget.try_acquire(self.now, share) for _ in range(wanted)]
         edge.on_their_way += [each for each in credits if each is not None]
 
     @rule(data=st.data())
--- a/tests/policy/edge/test_health.py
+++ b/tests/policy/edge/test_health.py
@@ -8,7 +8,7 @@
 
 def break_runner(book: HealthTracker, runner_id: str, now: float = 0.0) -> None:
     for _ in range(FAILURES_TO_AVOID):
-        book.note_failure(runner_id, now)
+        book.record_failure(runner_id, now)
 
 
 class TestHealthBook:
@@ -16,7 +16,7 @@
 
     def test_single_failure_changes_nothing(self) -> None:
         book = HealthTracker()
-        assert book.note_failure("r1", 0.0) == 0
+        assert book.record_failure("r1", 0.0) == 0
         assert book.list_usable(RUNNERS, 0.0) == RUNNERS
 
     def test_failures_in_a_row_avoid_it(self) -> None:
@@ -26,27 +26,27 @@
 
     def test_one_failed_connection_is_enough(self) -> None:
         book = HealthTracker()
-        assert book.note_failure("r1", 0.0, unreachable=True) > 0
+        assert book.record_failure("r1", 0.0, unreachable=True) > 0
         assert book.list_usable(RUNNERS, 0.0) == ["r2", "r3"]
 
     def test_success_in_between_counts(self) -> None:
         book = HealthTracker()
         for _ in range(10):
-            book.note_failure("r1", 0.0)
-            book.note_success("r1")
+            book.record_failure("r1", 0.0)
+            book.record_success("r1")
         assert book.list_usable(RUNNERS, 0.0) == RUNNERS
 
     def test_it_is_tried_now_and_then(self) -> None:
         book = HealthTracker()
         break_runner(book, "r1")
         assert "r1" in book.list_usable(RUNNERS, AVOID_S)
-        book.note_sent("r1", AVOID_S)
+        book.record_attempt("r1", AVOID_S)
         assert "r1" not in book.list_usable(RUNNERS, AVOID_S + 0.1)
 
     def test_good_answer_brings_it_back(self) -> None:
         book = HealthTracker()
         break_runner(book, "r1")
-        assert book.note_success("r1")
+        assert book.record_success("r1")
         assert book.list_usable(RUNNERS, 0.0) == RUNNERS
 
     def test_not_more_than_half_are_avoided(self) -> None:
--- a/tests/policy/edge/test_retry_budget.py
+++ b/tests/policy/edge/test_retry_budget.py
@@ -22,12 +22,12 @@
 def save_up(budget: RetryBudget, now: float = 0.0, share: float = 1.0) -> None:
     """Let requests earn all that may be saved up."""
     for _ in range(1000):
-        budget.note_request(now, share)
+        budget.record_request(now, share)
 
 
 def use_up(budget: RetryBudget, now: float, share: float = 1.0) -> int:
     """Return how many repeats the budget pays for at a time."""
-    credits = [budget.take(now, share) for _ in range(1000)]
+    credits = [budget.try_acquire(now, share) for _ in range(1000)]
     taken = [each for each in credits if each is not None]
     for each in taken:
         each.spend(now)
@@ -43,7 +43,7 @@
     def test_requests_earn_repeats(self) -> None:
         budget = make_budget()
         for _ in range(50):
-            budget.note_request(0.0, 1.0)
+            budget.record_request(0.0, 1.0)
         assert use_up(budget, 0.0) == 10
 
     def test_no_more_is_saved_up_than_the_part(self) -> None:
@@ -63,7 +63,7 @@
 
     def test_time_adds_a_part_over_a_window(self) -> None:
         budget = make_budget(began_at=1e9)
-        budget.take(0.0, 1.0)
+        budget.try_acquire(0.0, 1.0)
         added = LIMITS.slack * ADDED_PART
         assert use_up(budget, LIMITS.window_s) == int(added)
         assert use_up(budget, 4 * LIMITS.window_s) == int(3 * added)
@@ -86,7 +86,7 @@
     def test_savings_go_first(self) -> None:
         budget = make_budget()
         save_up(budget, 10.0)
-        credit = budget.take(10.0, 1.0)
+        credit = budget.try_acquire(10.0, 1.0)
         assert credit is not None
         assert (credit.saved, credit.from_window) == (1.0, 0.0)
 
@@ -94,14 +94,14 @@
         """Else large fleets, with a credit or two an edge, could send fewer."""
         budget = make_budget()
         for _ in range(3):
-            budget.note_request(10.0, 1.0)
-        credit = budget.take(10.0, 1.0)
+            budget.record_request(10.0, 1.0)
+        credit = budget.try_acquire(10.0, 1.0)
         assert credit is not None
         assert credit.from_window == pytest.approx(0.4)
 
     def test_repeats_on_their_way_count(self) -> None:
         budget = make_budget()
-        credits = [budget.take(10.0, 1.0) for _ in range(100)]
+        credits = [budget.try_acquire(10.0, 1.0) for _ in range(100)]
         assert sum(each is not None for each in credits) == int(IN_WINDOW)
         # What time has added since is all that there is.
         assert use_up(budget, 30.0) == int(2 * LIMITS.slack * ADDED_PART)
@@ -124,10 +124,10 @@
     def test_it_counts_once(self) -> None:
         budget = make_budget()
         save_up(budget)
-        credit = budget.take(0.0, 1.0)
+        credit = budget.try_acquire(0.0, 1.0)
         assert credit is not None
         credit.spend(0.0)
-        credit.give_back()
+        credit.refund()
         credit.spend(0.0)
         assert budget.balance == pytest.approx(SAVED - 1)
         assert budget.held == pytest.approx(0)
@@ -138,11 +138,11 @@
         if saves:
             save_up(budget, 10.0)
         before = budget.measure_available(10.0, 1.0)
-        credit = budget.take(10.0, 1.0)
+        credit = budget.try_acquire(10.0, 1.0)
         assert credit is not None
         assert budget.measure_available(10.0, 1.0) == pytest.approx(before - 1)
-        credit.give_back()
-        credit.give_back()
+        credit.refund()
+        credit.refund()
         assert budget.measure_available(10.0, 1.0) == pytest.approx(before)
         assert budget.held == pytest.approx(0)
 
@@ -150,7 +150,7 @@
         """Else those that arrive late add to what was saved up meanwhile."""
         budget = make_budget()
         save_up(budget)
-        credits = [budget.take(0.0, 1.0) for _ in range(20)]
+        credits = [budget.try_acquire(0.0, 1.0) for _ in range(20)]
         save_up(budget)
         assert use_up(budget, 0.0) == int(SAVED) - 20
         for credit in credits:
@@ -180,10 +180,10 @@
         for pause_s, requests, wanted in steps:
             now += pause_s
             for _ in range(requests):
-                budget.note_request(now, 1.0)
+                budget.record_request(now, 1.0)
             seen.requests += [now] * requests
             arriving = on_their_way if delayed else []
-            taken = [budget.take(now, 1.0) for _ in range(wanted)]
+            taken = [budget.try_acquire(now, 1.0) for _ in range(wanted)]
             on_their_way = [each for each in taken if each is not None]
             for credit in arriving if delayed else on_their_way:
                 credit.spend(now)
@@ -209,11 +209,11 @@
             budget = RetryBudget(limits, 0.0, share.make_divider("plain"))
             for number in range(self.REQUESTS // 10):
                 now = number * self.STEP_S
-                budget.note_request(now, 1 / edges)
+                budget.record_request(now, 1 / edges)
                 if number % self.FAILING_EACH:
                     continue
                 failed += 1
-                credit = budget.take(now, 1 / edges)
+                credit = budget.try_acquire(now, 1 / edges)
                 if credit is not None:
                     credit.spend(now)
                     repeated += 1
