--- a/tests/policy/edge/test_retries.py
+++ b/tests/policy/edge/test_retries.py
@@ -16,7 +16,7 @@
     fields = {
         "verdict": verdict,
         "ran_before": False,
-        "runners_reached": 1,
+        "runners_tried": 1,
         "was_sent": True,
         "time_left_s": 2.0,
         **changes,
