--- a/mangoway/policy/edge/shares.py
+++ b/mangoway/policy/edge/shares.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 from ...util.rendezvous import is_chosen
-from ..limits.const import LONE_EDGES, LONE_PART
+from ..limits.const import DISCONNECTED_SHARE, MAX_DISCONNECTED_EDGES
 from .const import MEMBERS_POLL_S
 from .retry_budget import Divider
 
@@ -118,5 +118,5 @@
 
     def measure(self, runner_id: str) -> float:
         """Return the part of a runner's limit, 0 to 1."""
-        count = min(LONE_EDGES, max(1, len(self._choice.members)))
-        return LONE_PART / count * self._choice.get(runner_id, count)
+        count = min(MAX_DISCONNECTED_EDGES, max(1, len(self._choice.members)))
+        return DISCONNECTED_SHARE / count * self._choice.get(runner_id, count)
--- a/mangoway/policy/limits/__init__.py
+++ b/mangoway/policy/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps to the requests a second that runners say they take."""
+"""Enforces the request rate limits that runners report."""
--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -1,45 +1,48 @@
-"""Thresholds of runners' limits, with their units and reasons."""
+"""Thresholds of runners' rate limits and cooldowns."""
 
 from typing import Final
 
-LEAST_RATE: Final = 0.25
-"""Requests a second that a limited runner gets at least: only its answers say when the
-limit ends, also one of zero."""
+MIN_REQUESTS_PER_S: Final = 0.25
+"""Minimum rate to a limited runner, even at a limit of zero: the removal of the limit
+is reported only in responses."""
 
 BURST_S: Final = 0.5
-"""Time whose requests a limited runner may get at once, beyond the first one."""
+"""Size of the burst that a limited runner may get beyond the first request, in seconds
+of its limit."""
 
 RECENT_REQUESTS_S: Final = 1.2
-"""Time before a limit was read whose requests count against it: a runner in need is not
-sent as many again while it still works on these."""
+"""Time before a limit was received whose requests count against it, so that an
+overloaded runner doesn't get as many again while it still processes these."""
 
-FREE_S: Final = 2.0
-FREE_REQUESTS: Final = 4.0
-"""Time whose requests at the limit, and requests beyond, are not held against the next
-ones: a runner that pauses for as long as it was sent too many is idle meanwhile."""
+UNCHARGED_S: Final = 2.0
+UNCHARGED_REQUESTS: Final = 4.0
+"""Recent requests that are not charged: those of so many seconds at the limit, and so
+many requests on top. If all were charged, the runner would be idle while the excess is
+paid off."""
 
-LONE_PART: Final = 0.3
-"""Part of a limit that edges which reach no scheduler use together, beside a scheduler
-that grants to all others."""
+DISCONNECTED_SHARE: Final = 0.3
+"""Share of a limit that edges without a connection to a scheduler use together, in
+addition to what the scheduler grants to all others."""
 
-LONE_EDGES: Final = 2
-"""Edges that have that part of one runner: shared among hundreds, it would be less than
-a request for each."""
+MAX_DISCONNECTED_EDGES: Final = 2
+"""Edges that divide that share of one runner: divided among hundreds, it would be less
+than one request for each."""
 
 MIN_LIMITED_S: Final = 1.0
-"""Time after which a limit counts when models are placed; some last for moments."""
+"""Time after which a limit or a cooldown is considered in placement; some last only for
+moments."""
 
-FORGET_S: Final = 60.0
-"""Time for which the limit of a runner is remembered that isn't known any more: longer
-than an outage of the store in which entries lapse."""
+LIMIT_RETENTION_S: Final = 60.0
+"""Time for which the limit of a runner without an entry is kept: longer than a store
+outage during which entries expire."""
 
 MAX_LIMITED_SHARE: Final = 0.5
-"""Largest part of a service's runners that placement does without since they are
-limited: with more, the others can't take their models."""
+"""Largest share of a service's runners that placement avoids because they are limited:
+with more, the other runners lack the capacity for their models."""
 
 MIN_COOLDOWN_EDGE_SHARE: Final = 0.5
-"""Part of the edges that a runner must want nothing of for placement to do without it:
-the others still use what it holds."""
+"""Share of the edges to which a runner must have sent a cooldown for placement to avoid
+it: the other edges still use its models."""
 
 MAX_LIMIT_RETRY_AFTER_S: Final = 4.0
-"""Longest time to come back that is worked out from a limit, as for other refusals."""
+"""Longest retry-after time that is computed from a limit, as for other rejections."""
--- a/mangoway/policy/limits/cooldowns.py
+++ b/mangoway/policy/limits/cooldowns.py
@@ -1,7 +1,8 @@
-"""Until when runners want nothing of an edge that they have turned away.
+"""Cooldowns: times for which an edge must send no requests to a runner.
 
-A rest is between one runner and one edge: others may go on. Who grants places to the
-requests of several edges keeps them apart.
+A cooldown applies to one runner and one edge; other edges may continue to send. A
+scheduler that grants the requests of several edges keeps the cooldowns of each edge
+apart.
 """
 
 import math
@@ -13,117 +14,122 @@
 
 @frozen(kw_only=True)
 class CooldownReport:
-    """A runner refused a request of an edge, and asked it for rest."""
+    """A cooldown that a runner requested when it rejected a request of an edge."""
 
     edge: str
     """Incarnation of the edge."""
 
     runner_id: str
     started_ms: int
-    """Life of the runner, as in its entry."""
+    """Start time of the runner in Unix ms, as in its entry; identifies the
+    incarnation."""
 
     rest_s: float
+    """Duration of the cooldown."""
 
 
 @define
-class Rest:
-    """The rest that one life of a runner asked one edge for."""
+class Cooldown:
+    """The cooldown that one incarnation of a runner requested from one edge."""
 
     started_ms: int
     since: float
-    """Begin of the first of the rests that follow each other."""
+    """Start of the first cooldown in an uninterrupted series."""
 
     until: float
 
 
 @define(eq=False)
 class CooldownTracker:
-    """The rests of all runners and edges, as one process knows them."""
+    """Cooldowns of all runners and edges, as received by one process."""
 
-    _rests: dict[str, dict[str, Rest]] = field(factory=dict, init=False)
-    """By runner and edge; those that are over are dropped when they are met."""
+    _cooldowns: dict[str, dict[str, Cooldown]] = field(factory=dict, init=False)
+    """By runner and edge; an expired one is dropped when it is looked up."""
 
     _last_end: float = field(default=-math.inf, init=False)
-    """End of the rest that lasts longest."""
+    """End of the cooldown that lasts longest."""
 
-    def update(self, said: CooldownReport, now: float) -> bool:
-        """Take a statement; returns whether a rest lasts longer than was known.
+    def update(self, report: CooldownReport, now: float) -> bool:
+        """Process a report; return whether it starts or extends a cooldown.
 
-        Each refusal binds for its own time, so that a shorter rest ends no longer one.
+        Each rejection applies for its own duration, so a shorter cooldown doesn't end a
+        longer one.
         """
-        rests = self._rests.setdefault(said.runner_id, {})
-        known = rests.get(said.edge)
-        if known is not None and is_later_life(known.started_ms, said.started_ms):
+        cooldowns = self._cooldowns.setdefault(report.runner_id, {})
+        current = cooldowns.get(report.edge)
+        if current is not None and is_later_life(current.started_ms, report.started_ms):
             return False
-        until = now + said.rest_s
+        until = now + report.rest_s
         self._last_end = max(self._last_end, until)
-        goes_on = known is not None and now < known.until
-        if known is None or not goes_on or known.started_ms != said.started_ms:
-            rests[said.edge] = Rest(said.started_ms, now, until)
+        is_active = current is not None and now < current.until
+        if current is None or not is_active or current.started_ms != report.started_ms:
+            cooldowns[report.edge] = Cooldown(report.started_ms, now, until)
             return True
-        longer = until > known.until
-        known.until = max(known.until, until)
-        return longer
+        is_extended = until > current.until
+        current.until = max(current.until, until)
+        return is_extended
 
     def measure_wait(
         self, edge: str, runner_id: str, started_ms: int, now: float
     ) -> float:
-        """Return the seconds for which a runner wants nothing of an edge."""
-        rests = self._rests.get(runner_id)
-        rest = None if rests is None else rests.get(edge)
-        if rests is None or rest is None:
+        """Return the seconds for which an edge must send no requests to a runner."""
+        cooldowns = self._cooldowns.get(runner_id)
+        cooldown = None if cooldowns is None else cooldowns.get(edge)
+        if cooldowns is None or cooldown is None:
             return 0.0
-        if now >= rest.until or is_later_life(started_ms, rest.started_ms):
-            del rests[edge]
-            if not rests:
-                del self._rests[runner_id]
+        if now >= cooldown.until or is_later_life(started_ms, cooldown.started_ms):
+            del cooldowns[edge]
+            if not cooldowns:
+                del self._cooldowns[runner_id]
             return 0.0
-        return rest.until - now
+        return cooldown.until - now
 
     def has_cooldowns(self, now: float) -> bool:
-        """Return whether any runner may be resting."""
+        """Return whether any cooldown may be active."""
         return now < self._last_end
 
     def list_reports(self, edge: str, now: float) -> list[CooldownReport]:
-        """Return what is left of an edge's rests, to tell it to another process."""
+        """Return reports of an edge's active cooldowns, to send to another process."""
         return [
             CooldownReport(
                 edge=edge,
                 runner_id=runner_id,
-                started_ms=rests[edge].started_ms,
-                rest_s=rests[edge].until - now,
+                started_ms=cooldowns[edge].started_ms,
+                rest_s=cooldowns[edge].until - now,
             )
-            for runner_id, rests in self._rests.items()
-            if edge in rests and rests[edge].until > now
+            for runner_id, cooldowns in self._cooldowns.items()
+            if edge in cooldowns and cooldowns[edge].until > now
         ]
 
     def list_long_cooldowns(
-        self, least_s: float, least_edges: float, now: float
+        self, min_duration_s: float, min_edges: float, now: float
     ) -> set[str]:
-        """Return the runners that most edges have left alone for a while.
+        """Return the runners that have long cooldowns at several edges.
 
         Args:
-            least_s: Time for which a rest has lasted, in seconds.
-            least_edges: Edges that a runner wants nothing of.
+            min_duration_s: Seconds for which a cooldown must have lasted.
+            min_edges: Number of edges with such a cooldown.
             now: Time in seconds.
         """
         return {
             runner_id
-            for runner_id, rests in self._rests.items()
-            if sum(1 for each in rests.values() if _is_long(each, least_s, now))
-            >= max(1.0, least_edges)
+            for runner_id, cooldowns in self._cooldowns.items()
+            if sum(
+                1 for each in cooldowns.values() if _is_long(each, min_duration_s, now)
+            )
+            >= max(1.0, min_edges)
         }
 
     def forget_edge(self, edge: str) -> None:
-        """Forget the rests of an edge that is gone."""
-        for rests in self._rests.values():
-            rests.pop(edge, None)
+        """Drop the cooldowns of an edge that has left."""
+        for cooldowns in self._cooldowns.values():
+            cooldowns.pop(edge, None)
 
     def keep_only(self, runner_ids: set[str]) -> None:
-        """Forget runners that are gone."""
-        for runner_id in set(self._rests) - runner_ids:
-            del self._rests[runner_id]
+        """Drop the cooldowns of all runners but these."""
+        for runner_id in set(self._cooldowns) - runner_ids:
+            del self._cooldowns[runner_id]
 
 
-def _is_long(rest: Rest, least_s: float, now: float) -> bool:
-    return rest.since + least_s <= now < rest.until
+def _is_long(cooldown: Cooldown, min_duration_s: float, now: float) -> bool:
+    return cooldown.since + min_duration_s <= now < cooldown.until
--- a/mangoway/policy/limits/tracker.py
+++ b/mangoway/policy/limits/tracker.py
@@ -1,9 +1,9 @@
-"""The limits that runners name, and what may be sent to them.
+"""Rate limits that runners report, and the requests that these limits allow.
 
-A limit holds over all hosts. Who grants places to the requests of others has the part
-of those others, and an edge that reaches nobody has a small part or none, so that all
-together send no more than the runner takes. What was sent just before the limit was
-read is told by each edge and counts against it.
+A limit applies to all hosts together. A scheduler has the share of the edges to which
+it sends grants, and a disconnected edge has a small share or none, so that all together
+send no more than the runner accepts. Each edge reports the requests that it sent
+shortly before the limit was received, and these count against the limit.
 """
 
 import math
@@ -13,115 +13,121 @@
 
 from ...models.runner import is_later_life
 from .const import (
-    FORGET_S,
-    FREE_REQUESTS,
-    FREE_S,
-    LEAST_RATE,
+    LIMIT_RETENTION_S,
     MAX_LIMIT_RETRY_AFTER_S,
     MIN_LIMITED_S,
+    MIN_REQUESTS_PER_S,
+    UNCHARGED_REQUESTS,
+    UNCHARGED_S,
 )
-from .pacer import Pacer
+from .rate_limiter import RateLimiter
 
 
 @frozen(kw_only=True)
 class LimitReport:
-    """A runner named a limit of its requests in an answer, or named none any more."""
+    """A rate limit that a runner reported in a response, or the removal of one."""
 
     runner_id: str
     started_ms: int
-    """Life of the runner, as in its entry."""
+    """Start time of the runner in Unix ms, as in its entry; identifies the
+    incarnation."""
 
     limit: float | None
-    """Requests a second that it takes from all hosts together; None: no limit."""
+    """Requests per second from all hosts together; None: no limit."""
 
     request_age_s: float
-    """Time since the request was sent whose answer says so."""
+    """Time since the request was sent whose response carried this report."""
 
     response_age_s: float
-    """Time since the answer was read."""
+    """Time since that response was received."""
 
     recent_requests: int = 0
-    """Requests that the edge that tells it sent there in the time before."""
+    """Requests that the reporting edge sent to the runner within `RECENT_REQUESTS_S`
+    before."""
 
 
 @define(eq=False)
 class RunnerLimit:
-    """What is known of one life of a runner."""
+    """Limit of one incarnation of a runner."""
 
     started_ms: int
-    pacer: Pacer
+    rate_limiter: RateLimiter
     limit: float | None = None
-    named_at: float = -math.inf
-    """When the last answer was read that names the limit."""
+    received_at: float = -math.inf
+    """When the latest response with the limit was received."""
 
-    lifted_at: float = -math.inf
-    """When the request was sent whose answer named none any more."""
+    removed_at: float = -math.inf
+    """When the request was sent whose response removed the limit."""
 
-    since: float = 0.0
-    """Since when it is limited."""
+    limited_since: float = 0.0
+    """When the runner became limited."""
 
-    owed: float = 0.0
-    """Requests that edges sent in the time before the limit was read."""
+    reported_requests: float = 0.0
+    """Requests that edges sent shortly before they received the limit."""
 
-    promised_until: float = -math.inf
-    """Time up to which refused callers were told to come back."""
+    reserved_until: float = -math.inf
+    """End of the last retry slot that was given to a rejected caller."""
 
-    gone_since: float | None = None
-    """Since when the runner isn't among those that are known."""
+    missing_since: float | None = None
+    """Since when the runner has had no entry; None while it has one."""
 
 
 @define(eq=False)
 class LimitTracker:
-    """The limits of all runners, as one process knows them."""
+    """Limits of all runners, as received by one process."""
 
     get_share: Callable[[str], float] = lambda runner_id: 1.0
-    """Returns the part of a runner's limit that this process may use now."""
+    """Returns the share of a runner's limit that this process may use now, 0 to 1."""
 
     _records: dict[str, RunnerLimit] = field(factory=dict, init=False)
 
-    def update(self, said: LimitReport, now: float) -> bool:
-        """Take a statement; returns whether another limit is believed now.
+    def update(self, report: LimitReport, now: float) -> bool:
+        """Process a report; return whether the limit changed.
 
-        What is surely older than what is known changes nothing: an answer without a
-        limit ends it only if its request was sent after the limit was last read.
+        Outdated reports are ignored: a response without a limit removes it only if its
+        request was sent after the limit was last received.
         """
-        record = self._find_life(said, now)
+        record = self._find_or_create(report, now)
         if record is None:
             return False
-        read_at, asked_at = now - said.response_age_s, now - said.request_age_s
-        if said.limit is None:
-            return self._lift(record, asked_at)
-        if read_at < record.lifted_at:
+        response_at, request_at = (
+            now - report.response_age_s,
+            now - report.request_age_s,
+        )
+        if report.limit is None:
+            return self._remove_limit(record, request_at)
+        if response_at < record.removed_at:
             return False
-        changed = said.limit != record.limit and read_at >= record.named_at
+        changed = report.limit != record.limit and response_at >= record.received_at
         if record.limit is None:
-            record.since, record.owed = now, 0.0
-            record.pacer = Pacer(now)
+            record.limited_since, record.reported_requests = now, 0.0
+            record.rate_limiter = RateLimiter(now)
         if changed:
-            record.limit = said.limit
-        record.named_at = max(record.named_at, read_at)
-        self._charge(record, said.recent_requests)
+            record.limit = report.limit
+        record.received_at = max(record.received_at, response_at)
+        self._charge(record, report.recent_requests)
         return changed
 
     def get_limit(self, runner_id: str, started_ms: int = 0) -> float | None:
-        """Return the limit of a life of a runner; None without one.
+        """Return the limit of an incarnation of a runner; None if there is none.
 
         Args:
             runner_id: The runner.
-            started_ms: When the life began, in Unix ms; 0 stands for the present one.
+            started_ms: Start time of the incarnation, in Unix ms; 0 for the current
+                one.
         """
         record = self._find(runner_id, started_ms)
         return None if record is None else record.limit
 
     def measure_wait(self, runner_id: str, started_ms: int, now: float) -> float:
-        """Return the seconds until this process may send a runner a request."""
+        """Return the seconds until this process may send a request to a runner."""
         record = self._find(runner_id, started_ms)
         if record is None:
             return 0.0
-        return record.pacer.measure_wait(self._get_rate(runner_id, record), now)
+        return record.rate_limiter.measure_wait(self._get_rate(runner_id, record), now)
 
     def measure_spacing(self, runner_id: str, started_ms: int) -> float:
-        """Return the seconds between two requests at a runner's limit."""
+        """Return the seconds between two requests to a runner at its limit."""
         record = self._find(runner_id, started_ms)
         if record is None:
             return 0.0
@@ -132,73 +138,74 @@
         """Count a request that is sent to a runner."""
         record = self._find(runner_id, started_ms)
         if record is not None:
-            record.pacer.take(self._get_rate(runner_id, record), now)
+            record.rate_limiter.consume(self._get_rate(runner_id, record), now)
 
     def reserve_retry_after(self, runner_id: str, started_ms: int, now: float) -> float:
-        """Return when a refused caller is to come back, in seconds.
+        """Return the seconds after which a rejected caller may retry.
 
-        Each is given a turn of its own: told the same, all but one would come in vain.
+        Each caller gets a retry time of its own: of several callers with the same
+        retry time, all but one would be rejected again.
         """
         record = self._find(runner_id, started_ms)
         if record is None:
             return 0.0
         wait_s = self.measure_wait(runner_id, started_ms, now)
-        turn_at = max(now + wait_s, record.promised_until)
-        turn_at = min(turn_at, now + MAX_LIMIT_RETRY_AFTER_S)
+        retry_at = max(now + wait_s, record.reserved_until)
+        retry_at = min(retry_at, now + MAX_LIMIT_RETRY_AFTER_S)
         spacing_s = self.measure_spacing(runner_id, started_ms)
-        record.promised_until = min(turn_at + spacing_s, now + MAX_LIMIT_RETRY_AFTER_S)
-        return turn_at - now
+        record.reserved_until = min(retry_at + spacing_s, now + MAX_LIMIT_RETRY_AFTER_S)
+        return retry_at - now
 
-    def find_removal(self, said: LimitReport, now: float) -> LimitReport | None:
-        """Return the end of a limit that who tells it doesn't know; None without."""
-        record = self._records.get(said.runner_id)
-        if record is None or record.limit is not None or said.limit is None:
+    def find_removal(self, report: LimitReport, now: float) -> LimitReport | None:
+        """Return the removal of a limit that a sender still reports, or None."""
+        record = self._records.get(report.runner_id)
+        if record is None or record.limit is not None or report.limit is None:
             return None
-        if is_later_life(said.started_ms, record.started_ms):
+        if is_later_life(report.started_ms, record.started_ms):
             return None
-        if now - said.response_age_s >= record.lifted_at:
+        if now - report.response_age_s >= record.removed_at:
             return None
-        ago_s = now - record.lifted_at
-        return evolve(said, limit=None, request_age_s=ago_s, response_age_s=ago_s)
+        age_s = now - record.removed_at
+        return evolve(report, limit=None, request_age_s=age_s, response_age_s=age_s)
 
     def list_long_limited(self, now: float) -> frozenset[str]:
-        """Return the runners that have been limited for a while."""
+        """Return the runners that have been limited for at least `MIN_LIMITED_S`."""
         return frozenset(
             runner_id
             for runner_id, record in self._records.items()
-            if record.limit is not None and now - record.since >= MIN_LIMITED_S
+            if record.limit is not None and now - record.limited_since >= MIN_LIMITED_S
         )
 
     def list_reports(self, now: float) -> list[LimitReport]:
-        """Return the limits that are known, to tell them to another process."""
+        """Return reports of all current limits, to send to another process."""
         return [
             LimitReport(
                 runner_id=runner_id,
                 started_ms=record.started_ms,
                 limit=record.limit,
-                request_age_s=now - record.named_at,
-                response_age_s=now - record.named_at,
+                request_age_s=now - record.received_at,
+                response_age_s=now - record.received_at,
             )
             for runner_id, record in self._records.items()
             if record.limit is not None
         ]
 
     def keep_only(self, runner_ids: set[str], now: float) -> None:
-        """Forget runners that have been gone for a while.
+        """Drop runners that have had no entry for `LIMIT_RETENTION_S`.
 
-        An entry may vanish and come back, while edges that have told the limit go on
-        believing it and don't tell it again.
+        An entry may vanish and reappear. Edges that have reported the limit still apply
+        it then, and don't report it again.
         """
         for runner_id, record in list(self._records.items()):
             if runner_id in runner_ids:
-                record.gone_since = None
-            elif record.gone_since is None:
-                record.gone_since = now
-            elif now - record.gone_since >= FORGET_S:
+                record.missing_since = None
+            elif record.missing_since is None:
+                record.missing_since = now
+            elif now - record.missing_since >= LIMIT_RETENTION_S:
                 del self._records[runner_id]
 
     def _find(self, runner_id: str, started_ms: int) -> RunnerLimit | None:
-        """Return the record of a limited life; None for another life."""
+        """Return the record of a limited incarnation; None for a later incarnation."""
         if not self._records:
             return None
         record = self._records.get(runner_id)
@@ -206,42 +213,45 @@
             return None
         return None if is_later_life(started_ms, record.started_ms) else record
 
-    def _find_life(self, said: LimitReport, now: float) -> RunnerLimit | None:
-        """Return the record of the life that a statement is about.
+    def _find_or_create(self, report: LimitReport, now: float) -> RunnerLimit | None:
+        """Return the record of the incarnation that a report is about.
 
-        None for one of an earlier life, and for one that ends no limit.
+        None for a report about an earlier incarnation, and for a removal without a
+        limit.
         """
-        record = self._records.get(said.runner_id)
-        if record is not None and is_later_life(record.started_ms, said.started_ms):
+        record = self._records.get(report.runner_id)
+        if record is not None and is_later_life(record.started_ms, report.started_ms):
             return None
-        if record is None or is_later_life(said.started_ms, record.started_ms):
-            if said.limit is None:
+        if record is None or is_later_life(report.started_ms, record.started_ms):
+            if report.limit is None:
                 return None
-            record = RunnerLimit(said.started_ms, Pacer(now))
-            self._records[said.runner_id] = record
-        record.started_ms = record.started_ms or said.started_ms
+            record = RunnerLimit(report.started_ms, RateLimiter(now))
+            self._records[report.runner_id] = record
+        record.started_ms = record.started_ms or report.started_ms
         return record
 
-    def _lift(self, record: RunnerLimit, asked_at: float) -> bool:
-        if record.limit is None or asked_at < record.named_at:
+    def _remove_limit(self, record: RunnerLimit, request_at: float) -> bool:
+        if record.limit is None or request_at < record.received_at:
             return False
-        record.limit, record.lifted_at = None, asked_at
+        record.limit, record.removed_at = None, request_at
         return True
 
     def _charge(self, record: RunnerLimit, recent_requests: int) -> None:
-        """Count what an edge sent before, beyond what is not held against a runner."""
+        """Charge an edge's recent requests, except the first ones, which are free."""
         if not recent_requests or record.limit is None:
             return
-        free = record.limit * FREE_S + FREE_REQUESTS
-        before = max(0.0, record.owed - free)
-        record.owed += recent_requests
-        record.pacer.owe(max(0.0, record.owed - free) - before)
+        uncharged = record.limit * UNCHARGED_S + UNCHARGED_REQUESTS
+        charged_before = max(0.0, record.reported_requests - uncharged)
+        record.reported_requests += recent_requests
+        record.rate_limiter.charge(
+            max(0.0, record.reported_requests - uncharged) - charged_before
+        )
 
     def _get_rate(self, runner_id: str, record: RunnerLimit) -> float:
-        limit = max(LEAST_RATE, record.limit or 0.0)
+        limit = max(MIN_REQUESTS_PER_S, record.limit or 0.0)
         return limit * self.get_share(runner_id)
 
 
-def strip_recent_requests(said: LimitReport) -> LimitReport:
-    """Return a statement without what its teller sent, to pass it on."""
-    return evolve(said, recent_requests=0)
+def strip_recent_requests(report: LimitReport) -> LimitReport:
+    """Return a report without the count of its sender's requests, to relay it."""
+    return evolve(report, recent_requests=0)
--- a/tests/policy/limits/__init__.py
+++ b/tests/policy/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of keeping to runners' limits."""
+"""Tests of the enforcement of runners' rate limits."""
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""Tests of a runner's limit over a fleet whose edges and schedulers come and go."""
+"""Tests of a runner's limit over a fleet whose edges and schedulers start and stop."""
 
 from typing import Any, Final
 
@@ -9,7 +9,11 @@
 
 from mangoway.policy.customers.const import SCHEDULER_STARTUP_S
 from mangoway.policy.edge.shares import DisconnectedShare
-from mangoway.policy.limits.const import LONE_EDGES, LONE_PART, RECENT_REQUESTS_S
+from mangoway.policy.limits.const import (
+    DISCONNECTED_SHARE,
+    MAX_DISCONNECTED_EDGES,
+    RECENT_REQUESTS_S,
+)
 from mangoway.policy.limits.tracker import (
     LimitReport,
     LimitTracker,
@@ -18,74 +22,74 @@
 
 EDGES: Final = 6
 WINDOW_S: Final = 4.0
-STABLE_S: Final = 3.0
-TOLD_S: Final = 0.5
+SETTLING_S: Final = 3.0
+REPORT_DELAY_S: Final = 0.5
 FACTOR: Final = 1.5
 SLACK: Final = 5
 STEP_S: Final = 0.02
-WAY_S: Final = 0.005
-"""Time from a request's sending to its answer."""
+RESPONSE_TIME_S: Final = 0.005
+"""Time from sending a request to its response."""
 
-UNLIMITED_EACH: Final = 5
-"""One in so many requests goes to the runner while it names no limit."""
+UNLIMITED_INTERVAL: Final = 5
+"""One in so many requests is sent to the runner while it reports no limit."""
 
-LIFE: Final = ("r1", 0)
+RUNNER: Final = ("r1", 0)
 
 
 @define(eq=False)
 class Scheduler:
-    """A process that grants, with the edges that it hears."""
+    """A scheduler, with the edges that are connected to it."""
 
     began_at: float
-    book: LimitTracker = field(factory=LimitTracker)
+    tracker: LimitTracker = field(factory=LimitTracker)
     edges: set[str] = field(factory=set)
 
 
 @define(eq=False)
 class Edge:
-    """One life of an edge."""
+    """One incarnation of an edge."""
 
     key: str
-    book: LimitTracker = field(factory=LimitTracker)
+    tracker: LimitTracker = field(factory=LimitTracker)
     scheduler: Scheduler | None = None
     sent: list[float] = field(factory=list)
 
 
 class FleetLimits(RuleBasedStateMachine):
-    """Edges ask schedulers or choose alone, while a runner's limit changes."""
+    """Edges use a scheduler or are disconnected, while a runner's limit changes."""
 
     @initialize()
     def start(self) -> None:
         self.now = 0.0
         self.limit: float | None = None
-        self.spell_began = 0.0
-        self.named: list[tuple[float, float]] = []
-        """Limits of the present spell, and when each was named."""
+        self.limited_since = 0.0
+        self.limits: list[tuple[float, float]] = []
+        """Limits since the runner became limited, and when each was set."""
 
         self.calls = 0
-        self.told: dict[str, float] = {}
+        self.first_reported_at: dict[str, float] = {}
         self.arrivals: list[tuple[float, str]] = []
         self.schedulers: list[Scheduler] = []
         self.edges: dict[str, Edge] = {}
         for number in range(EDGES):
-            self.add(f"e{number}")
+            self.start_edge(f"e{number}")
         self.elect()
 
-    def add(self, key: str) -> None:
+    def start_edge(self, key: str) -> None:
         edge = Edge(key)
-        lone = DisconnectedShare()
-        lone.update(key, [f"e{number}" for number in range(EDGES)])
-        edge.book.get_share = lone.measure
+        disconnected_share = DisconnectedShare()
+        disconnected_share.update(key, [f"e{number}" for number in range(EDGES)])
+        edge.tracker.get_share = disconnected_share.measure
         self.edges[key] = edge
-        self.told.pop(key, None)
-        # What an edge sent before it ended doesn't bind the next life of it.
+        self.first_reported_at.pop(key, None)
+        # Requests of an edge before its restart don't count for the next incarnation.
         self.arrivals = [(at, "" if by == key else by) for at, by in self.arrivals]
 
     @rule()
     def elect(self) -> None:
-        """Let all edges go to a new scheduler, which knows nothing."""
+        """Connect all edges to a new scheduler without any state."""
         scheduler = Scheduler(self.now)
-        scheduler.book.get_share = lambda runner_id: self.measure_share(scheduler)
+        scheduler.tracker.get_share = lambda runner_id: self.measure_share(scheduler)
         self.schedulers = [*self.schedulers, scheduler][-2:]
         for edge in self.edges.values():
             self.connect(edge, scheduler)
@@ -102,37 +106,39 @@
         if scheduler is None:
             return
         scheduler.edges.add(edge.key)
-        for said in edge.book.list_reports(self.now):
-            self.tell(edge, evolve(said, recent_requests=self.count_lately(edge)))
-        for said in scheduler.book.list_reports(self.now):
-            edge.book.update(said, self.now)
-
-    def tell(self, edge: Edge, said: LimitReport) -> None:
-        """Let a scheduler hear a statement, and tell it to its other edges."""
+        for report in edge.tracker.list_reports(self.now):
+            self.send_report(
+                edge, evolve(report, recent_requests=self.count_recent_requests(edge))
+            )
+        for report in scheduler.tracker.list_reports(self.now):
+            edge.tracker.update(report, self.now)
+
+    def send_report(self, edge: Edge, report: LimitReport) -> None:
+        """Send a report to the scheduler, which relays it to its other edges."""
         scheduler = edge.scheduler
-        if scheduler is None or not scheduler.book.update(said, self.now):
+        if scheduler is None or not scheduler.tracker.update(report, self.now):
             return
         for key in sorted(scheduler.edges - {edge.key}):
             other = self.edges[key]
-            if other.book.update(strip_recent_requests(said), self.now):
-                recent_requests = self.count_lately(other)
-                scheduler.book.update(
-                    evolve(said, recent_requests=recent_requests), self.now
+            if other.tracker.update(strip_recent_requests(report), self.now):
+                recent_requests = self.count_recent_requests(other)
+                scheduler.tracker.update(
+                    evolve(report, recent_requests=recent_requests), self.now
                 )
 
-    def count_lately(self, edge: Edge) -> int:
+    def count_recent_requests(self, edge: Edge) -> int:
         return sum(1 for at in edge.sent if at >= self.now - RECENT_REQUESTS_S)
 
-    @rule(data=st.data(), alone=st.booleans())
-    def move(self, data: Any, alone: bool) -> None:
-        """Cut an edge off, or let it go to one of two schedulers."""
+    @rule(data=st.data(), disconnected=st.booleans())
+    def move(self, data: Any, disconnected: bool) -> None:
+        """Disconnect an edge, or connect it to one of two schedulers."""
         edge = self.edges[data.draw(st.sampled_from(sorted(self.edges)))]
         scheduler = data.draw(st.sampled_from(self.schedulers))
-        self.connect(edge, None if alone else scheduler)
+        self.connect(edge, None if disconnected else scheduler)
 
     @rule(choices=st.lists(st.integers(0, 2), min_size=EDGES, max_size=EDGES))
     def split(self, choices: list[int]) -> None:
-        """Divide the edges among two schedulers, and those that choose alone."""
+        """Divide the edges among two schedulers and the disconnected state."""
         targets: list[Scheduler | None] = [None, *self.schedulers]
         for number, choice in enumerate(choices):
             target = targets[choice % len(targets)]
@@ -142,34 +148,34 @@
     def restart(self, data: Any) -> None:
         key = data.draw(st.sampled_from(sorted(self.edges)))
         self.connect(self.edges[key], None)
-        self.add(key)
+        self.start_edge(key)
 
     @rule(seconds=st.floats(0.05, 20.0))
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
     @rule(limit=st.floats(0.0, 8.0))
-    def name_limit(self, limit: float) -> None:
-        """Let the runner name a limit that what it got just before doesn't exceed."""
-        lately = sum(1 for at, _ in self.arrivals if at > self.now - RECENT_REQUESTS_S)
+    def set_limit(self, limit: float) -> None:
+        """Set a limit that the requests of the moments before don't exceed."""
+        recent = sum(1 for at, _ in self.arrivals if at > self.now - RECENT_REQUESTS_S)
         if self.limit is None:
-            self.spell_began = self.now
-            self.named, self.told = [], {}
-        self.limit = max(limit, (lately - SLACK) / WINDOW_S)
-        self.named.append((self.now, self.limit))
+            self.limited_since = self.now
+            self.limits, self.first_reported_at = [], {}
+        self.limit = max(limit, (recent - SLACK) / WINDOW_S)
+        self.limits.append((self.now, self.limit))
 
     @rule()
-    def lift_limit(self) -> None:
+    def remove_limit(self) -> None:
         self.limit = None
 
     @rule(seconds=st.floats(4.0, 8.0))
-    def press(self, seconds: float) -> None:
-        """Let requests come to all edges, more than a limited runner takes."""
+    def call_all(self, seconds: float) -> None:
+        """Send requests to all edges, more than a limited runner accepts."""
         self.call(seconds, set(range(EDGES)))
 
     @rule(seconds=st.floats(0.1, 6.0), keys=st.sets(st.integers(0, EDGES - 1)))
     def call(self, seconds: float, keys: set[int]) -> None:
-        """Let requests come to some edges, more than a limited runner takes."""
+        """Send requests to some edges, more than a limited runner accepts."""
         ended = self.now + seconds
         while self.now < ended:
             self.now += STEP_S
@@ -178,49 +184,53 @@
 
     def send(self, edge: Edge) -> None:
         self.calls += 1
-        if self.limit is None and self.calls % UNLIMITED_EACH:
+        if self.limit is None and self.calls % UNLIMITED_INTERVAL:
             return
-        book = edge.book if edge.scheduler is None else edge.scheduler.book
-        known = edge.book.get_limit(*LIFE) is not None or edge.scheduler is not None
-        if known and book.measure_wait(*LIFE, self.now) > 0:
+        tracker = edge.tracker if edge.scheduler is None else edge.scheduler.tracker
+        is_tracked = (
+            edge.tracker.get_limit(*RUNNER) is not None or edge.scheduler is not None
+        )
+        if is_tracked and tracker.measure_wait(*RUNNER, self.now) > 0:
             return
-        book.record_request(*LIFE, self.now)
+        tracker.record_request(*RUNNER, self.now)
         edge.sent.append(self.now)
         self.arrivals.append((self.now, edge.key))
-        self.answer(edge)
+        self.receive_response(edge)
 
-    def answer(self, edge: Edge) -> None:
-        """Let the edge read what the runner says."""
+    def receive_response(self, edge: Edge) -> None:
+        """Let the edge process the runner's response."""
         if self.limit is not None:
-            self.told.setdefault(edge.key, self.now)
-        known = edge.book.get_limit(*LIFE)
-        said = LimitReport(
+            self.first_reported_at.setdefault(edge.key, self.now)
+        known_limit = edge.tracker.get_limit(*RUNNER)
+        report = LimitReport(
             runner_id="r1",
             started_ms=0,
             limit=self.limit,
-            request_age_s=WAY_S,
+            request_age_s=RESPONSE_TIME_S,
             response_age_s=0.0,
-            recent_requests=self.count_lately(edge) if known is None else 0,
+            recent_requests=self.count_recent_requests(edge)
+            if known_limit is None
+            else 0,
         )
-        if edge.book.update(said, self.now):
-            self.tell(edge, said)
+        if edge.tracker.update(report, self.now):
+            self.send_report(edge, report)
         self.check()
 
     def check(self) -> None:
-        """Hold the last window against the promise."""
-        if self.limit is None or self.now < self.spell_began + STABLE_S:
+        """Check the requests of the last window against the allowed number."""
+        if self.limit is None or self.now < self.limited_since + SETTLING_S:
             return
         count = sum(
             1
             for at, key in self.arrivals
             if at > self.now - WINDOW_S
-            and key in self.told
-            and self.told[key] <= self.now - TOLD_S
+            and key in self.first_reported_at
+            and self.first_reported_at[key] <= self.now - REPORT_DELAY_S
         )
-        ended = [at for at, _ in self.named[1:]] + [self.now]
+        ended = [at for at, _ in self.limits[1:]] + [self.now]
         most = max(
             limit
-            for (_, limit), until in zip(self.named, ended, strict=True)
+            for (_, limit), until in zip(self.limits, ended, strict=True)
             if until > self.now - WINDOW_S
         )
         assert count <= FACTOR * most * WINDOW_S + SLACK
@@ -231,59 +241,62 @@
 
 
 def start_fleet(limit: float) -> FleetLimits:
-    """Return a fleet whose edges all know the limit of a runner that was calm."""
+    """Return a fleet whose edges all have received the limit of an idle runner."""
     fleet = FleetLimits()
     fleet.start()
-    fleet.name_limit(limit)
+    fleet.set_limit(limit)
     for number in range(EDGES):
         fleet.call(0.5, {number})
     return fleet
 
 
 class TestChanges:
-    """What the state machine seldom reaches."""
+    """Cases that the state machine seldom reaches."""
 
-    def test_two_schedulers_divide_a_limit(self) -> None:
+    def test_two_schedulers_divide_limit(self) -> None:
         fleet = start_fleet(8.0)
         fleet.elect()
         fleet.split([1, 1, 1, 2, 2, 2])
-        fleet.press(8.0)
+        fleet.call_all(8.0)
 
-    def test_schedulers_that_follow_each_other_share_a_window(self) -> None:
+    def test_successive_schedulers_share_window(self) -> None:
         fleet = start_fleet(1.0)
         for _ in range(30):
             fleet.wait(0.2)
             fleet.elect()
-            fleet.press(0.05)
+            fleet.call_all(0.05)
 
-    def test_edges_alone_add_little_to_a_scheduler(self) -> None:
+    def test_disconnected_edges_add_little_to_scheduler(self) -> None:
         fleet = start_fleet(8.0)
         fleet.split([0, 0, 0, 0, 0, 1])
-        fleet.press(8.0)
-        assert fleet.count_lately(fleet.edges["e5"]) > 0
+        fleet.call_all(8.0)
+        assert fleet.count_recent_requests(fleet.edges["e5"]) > 0
 
-    def test_edges_alone_serve_some(self) -> None:
+    def test_disconnected_edges_use_their_share(self) -> None:
         fleet = start_fleet(4.0)
         fleet.split([0] * EDGES)
         before = len(fleet.arrivals)
-        fleet.press(8.0)
-        assert len(fleet.arrivals) - before >= 0.9 * LONE_PART * 4.0 * 8.0 - LONE_EDGES
+        fleet.call_all(8.0)
+        assert (
+            len(fleet.arrivals) - before
+            >= 0.9 * DISCONNECTED_SHARE * 4.0 * 8.0 - MAX_DISCONNECTED_EDGES
+        )
 
-    def test_requests_of_the_second_before_count(self) -> None:
+    def test_requests_shortly_before_limit_count(self) -> None:
         fleet = FleetLimits()
         fleet.start()
         fleet.call(2.0, set(range(EDGES)))
-        fleet.name_limit(0.0)
-        fleet.press(8.0)
+        fleet.set_limit(0.0)
+        fleet.call_all(8.0)
 
-    def test_silence_saves_up_no_crowd(self) -> None:
+    def test_idle_time_saves_up_no_burst(self) -> None:
         fleet = start_fleet(8.0)
         fleet.wait(60.0)
-        fleet.press(6.0)
+        fleet.call_all(6.0)
 
-    def test_limit_that_falls_holds_from_then_on(self) -> None:
+    def test_reduced_limit_applies_at_once(self) -> None:
         fleet = start_fleet(8.0)
-        fleet.press(5.0)
+        fleet.call_all(5.0)
         fleet.limit = 1.0
-        fleet.named.append((fleet.now, 1.0))
-        fleet.press(8.0)
+        fleet.limits.append((fleet.now, 1.0))
+        fleet.call_all(8.0)
