--- a/mangoway/policy/crashes/__init__.py
+++ b/mangoway/policy/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Decides which requests make their runners crash, and are sent to none any more."""
+"""Detects requests that crash their runners, and blocks them."""
--- a/mangoway/policy/crashes/served_requests.py
+++ b/mangoway/policy/crashes/served_requests.py
@@ -1,4 +1,4 @@
-"""Remembers for a while which requests ended well."""
+"""Recently served requests."""
 
 import math
 from collections.abc import Hashable
@@ -7,42 +7,44 @@
 from attrs import define, field
 
 from ...models.crash import RequestIdentity
-from .const import MAX_REMEMBERED, REMEMBERED_S
+from .const import MAX_SERVED, SERVED_RETENTION_S
 
 KeyT = TypeVar("KeyT", bound=Hashable)
 
 
 @define(eq=False)
 class ServedRequests:
-    """Requests that were served of late."""
+    """Requests that were served within the last `SERVED_RETENTION_S`."""
 
-    most: int = MAX_REMEMBERED
+    max_entries: int = MAX_SERVED
     _served_at: dict[RequestIdentity, float] = field(factory=dict, init=False)
-    """By request, oldest first."""
+    """Time by request, oldest first."""
 
-    _contents: dict[str, float] = field(factory=dict, init=False)
-    """By content, oldest first."""
+    _content_served_at: dict[str, float] = field(factory=dict, init=False)
+    """Time by content, oldest first."""
 
     def __len__(self) -> int:
         return len(self._served_at)
 
     def add(self, identity: RequestIdentity, now: float) -> None:
-        """Note that a request was served."""
-        _put(self._served_at, identity, now, self.most)
-        _put(self._contents, identity.content, now, self.most)
+        """Add a request that was served."""
+        _insert(self._served_at, identity, now, self.max_entries)
+        _insert(self._content_served_at, identity.content, now, self.max_entries)
 
     def contains(self, identity: RequestIdentity, now: float) -> bool:
-        """Return whether a request was served of late."""
-        return now - self._served_at.get(identity, -math.inf) < REMEMBERED_S
+        """Return whether a request was served recently."""
+        return now - self._served_at.get(identity, -math.inf) < SERVED_RETENTION_S
 
     def contains_content(self, content: str, now: float) -> bool:
-        """Return whether any request with a content was served of late."""
-        return now - self._contents.get(content, -math.inf) < REMEMBERED_S
+        """Return whether any request with a content was served recently."""
+        return (
+            now - self._content_served_at.get(content, -math.inf) < SERVED_RETENTION_S
+        )
 
 
-def _put(times: dict[KeyT, float], key: KeyT, now: float, most: int) -> None:
-    """Put a key at the end, and drop the oldest one if there are too many."""
+def _insert(times: dict[KeyT, float], key: KeyT, now: float, max_entries: int) -> None:
+    """Insert a key at the end, and drop the oldest one if there are too many."""
     times.pop(key, None)
-    if len(times) >= most:
+    if len(times) >= max_entries:
         del times[next(iter(times))]
     times[key] = now
--- a/mangoway/policy/crashes/tracker.py
+++ b/mangoway/policy/crashes/tracker.py
@@ -1,13 +1,14 @@
-"""Counts the crashes that each request was beside, over the whole fleet.
+"""Tracks the runner crashes that interrupted each request, over the whole fleet.
 
-All that runs at a runner is cut off when it crashes, and any of it may be the cause. A
-request is the cause for sure only if its runners crash each time. So each request is
-charged with the crashes that it was beside; a run of it that ends well, at any runner,
-clears it; and after three crashes without such a run it is held back. The further a run
-had come at its crash the weaker is the suspicion, and the more crashes it takes.
+A crash interrupts all requests in progress at its runner, and any of them may be the
+cause. A request is certainly the cause only if its runners crash each time. Each
+request is therefore charged with the crashes that interrupted it, and a successful run
+at any runner clears it. After three crashes without a successful run it is blocked. The
+further a run had progressed before its crash, the weaker the suspicion and the more
+crashes are required.
 
-What is known comes as statements under keys, from this process and from others, in any
-order and more than once. Processes that know the same statements decide alike.
+The input consists of keyed statements from this process and others, in any order and
+possibly repeated. Processes with the same statements make the same decisions.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,196 +18,210 @@
 
 from ...models.crash import Charge, Clearance, RequestIdentity, RunStage
 from .const import (
+    BLOCK_POINTS,
+    CONTENT_BLOCK_POINTS,
     MAX_BLOCKED,
     MAX_CHARGES,
     MAX_CLEARANCES,
-    MOST_POINTS,
-    POINTS,
-    POINTS_TO_HOLD,
-    POINTS_TO_HOLD_CONTENT,
+    MAX_SUSPICION_POINTS,
+    SUSPICION_POINTS,
 )
 
-NONE: Final[frozenset[str]] = frozenset()
+NO_CRASHES: Final[frozenset[str]] = frozenset()
 
 
 @define(eq=False)
-class Weight:
-    """How much one crash says of one request."""
+class CrashEvidence:
+    """Evidence that one crash provides against one request."""
 
     stages: dict[RunStage, int] = field(factory=dict)
-    """Statements on how far a run had come, with their number."""
+    """Number of statements by the progress of the run that they report."""
 
     def add(self, stage: RunStage, amount: int) -> None:
-        """Add a statement, or take it away."""
+        """Add a statement (`amount` 1) or remove one (-1)."""
         self.stages[stage] = self.stages.get(stage, 0) + amount
         if self.stages[stage] <= 0:
             del self.stages[stage]
 
     @property
     def stage(self) -> RunStage:
-        """Return how far the run had come that is the strongest suspect."""
-        return max(self.stages, key=POINTS.__getitem__)
+        """Return the progress of the most suspicious run."""
+        return max(self.stages, key=SUSPICION_POINTS.__getitem__)
 
     @property
     def points(self) -> int:
-        """Return the points that it counts."""
-        return POINTS[self.stage]
+        """Return the suspicion points of this crash."""
+        return SUSPICION_POINTS[self.stage]
 
 
 @define(eq=False)
 class ContentRecord:
-    """Charges and clearances of the requests with one content."""
+    """Charges and clearances of all requests with the same content."""
 
-    charges: dict[str, dict[str, Weight]] = field(factory=dict)
-    """Lives that crashed, by variant, with the statements that say so."""
+    charges: dict[str, dict[str, CrashEvidence]] = field(factory=dict)
+    """Evidence by variant, and by the runner incarnation that crashed."""
 
     cleared: dict[str, set[str]] = field(factory=dict)
-    """Lives whose crash each variant has not caused, by variant."""
+    """Runner incarnations whose crash was not caused by a variant, by variant."""
 
-    served: int = 0
-    """Statements that say that another variant than the charged one was served."""
+    served_statements: int = 0
+    """Number of statements that another variant than the charged one was served."""
 
     def add(self, charge: Charge, amount: int) -> None:
-        """Add a statement that a variant was beside a crash, or take it away."""
-        self.served += amount * charge.alone
-        lives = self.charges.setdefault(charge.identity.variant, {})
-        weight = lives.setdefault(charge.life, Weight())
-        weight.add(charge.stage, amount)
-        if not weight.stages:
-            del lives[charge.life]
-        if not lives:
+        """Add (`amount` 1) or remove (-1) a charge against a variant."""
+        self.served_statements += amount * charge.alone
+        crashes = self.charges.setdefault(charge.identity.variant, {})
+        evidence = crashes.setdefault(charge.life, CrashEvidence())
+        evidence.add(charge.stage, amount)
+        if not evidence.stages:
+            del crashes[charge.life]
+        if not crashes:
             del self.charges[charge.identity.variant]
 
-    def list_lives(self, variant: str) -> frozenset[str]:
-        """Return the crashes that a variant is charged with and not cleared of."""
-        lives = self.charges.get(variant)
-        if not lives:
-            return NONE
-        return frozenset(lives) - self.cleared.get(variant, NONE)
+    def list_variant_crashes(self, variant: str) -> frozenset[str]:
+        """Return the runner incarnations that a variant is charged with crashing.
 
-    def holds(self, variant: str) -> bool:
-        """Return whether a variant is held back, by itself or with all others."""
-        return self.weigh(variant) >= POINTS_TO_HOLD or self.is_content_blocked()
+        Crashes that it is cleared of are left out.
+        """
+        crashes = self.charges.get(variant)
+        if not crashes:
+            return NO_CRASHES
+        return frozenset(crashes) - self.cleared.get(variant, NO_CRASHES)
+
+    def is_variant_blocked(self, variant: str) -> bool:
+        """Return whether a variant is blocked, by itself or with all others."""
+        return self.compute_points(variant) >= BLOCK_POINTS or self.is_content_blocked()
 
     def is_content_blocked(self) -> bool:
-        """Return whether the content is held back, whoever sends it.
+        """Return whether the content is blocked for all senders.
 
-        It is what makes runners crash if several variants were beside crashes and none
-        ever ended well.
+        The content itself is the cause if crashes interrupted several variants and none
+        was ever served.
         """
-        if self.cleared or self.served or len(self.charges) < 2:
+        if self.cleared or self.served_statements or len(self.charges) < 2:
             return False
         points: dict[str, int] = {}
-        for lives in self.charges.values():
-            for life, weight in lives.items():
-                points[life] = max(points.get(life, 0), weight.points)
-        return sum(points.values()) >= POINTS_TO_HOLD_CONTENT
+        for crashes in self.charges.values():
+            for life, evidence in crashes.items():
+                points[life] = max(points.get(life, 0), evidence.points)
+        return sum(points.values()) >= CONTENT_BLOCK_POINTS
 
-    def weigh(self, variant: str) -> int:
-        """Return the points of the crashes that a variant is charged with.
+    def compute_points(self, variant: str) -> int:
+        """Return the suspicion points of the crashes that a variant is charged with.
 
-        A run that came further than others before its crash shows that as much of a run
-        does no harm, so that each crash counts as much as that one.
+        The run that progressed furthest before its crash shows that running that far is
+        harmless, so each crash counts only as many points as that one.
         """
-        lives = self.charges.get(variant, {})
-        charged = self.list_lives(variant)
-        least = min((lives[each].points for each in charged), default=0)
-        return len(charged) * least
+        crashes = self.charges.get(variant, {})
+        charged = self.list_variant_crashes(variant)
+        min_points = min((crashes[each].points for each in charged), default=0)
+        return len(charged) * min_points
 
     def is_empty(self) -> bool:
-        """Return whether nothing is known."""
+        """Return whether there are neither charges nor clearances."""
         return not self.charges and not self.cleared
 
 
 @define(eq=False)
 class CrashTracker:
-    """Knows the crashes that requests were beside."""
+    """Tracks which crashes interrupted which requests, and decides which to block."""
 
-    most_charges: int = MAX_CHARGES
+    max_charges: int = MAX_CHARGES
     on_blocked: list[Callable[[str], None]] = field(factory=list)
-    """Told of each content of which a request is held back from now on."""
+    """Called with a content when one of its requests becomes blocked."""
 
     _records: dict[str, ContentRecord] = field(factory=dict, init=False)
     """By content."""
 
     _charges: dict[str, tuple[Charge, ...]] = field(factory=dict, init=False)
-    """Statements of crashes by key, oldest first."""
+    """Charges of each crash statement, by key, oldest first."""
 
-    _held_for: dict[str, tuple[Charge, ...]] = field(factory=dict, init=False)
-    """Statements that say why a request is held back, by key."""
+    _block_charges: dict[str, tuple[Charge, ...]] = field(factory=dict, init=False)
+    """Charges of each statement that blocks a request, by key."""
 
     _clearances: dict[str, Clearance] = field(factory=dict, init=False)
-    _held: dict[str, None] = field(factory=dict, init=False)
-    """Contents of which a request is held back, oldest first."""
+    _blocked: dict[str, None] = field(factory=dict, init=False)
+    """Contents with a blocked request, oldest first."""
 
-    _count: int = field(default=0, init=False)
-    """Charges in `_charges`."""
+    _charge_count: int = field(default=0, init=False)
+    """Number of charges in `_charges`."""
 
     def add_crash(self, key: str, charges: Iterable[Charge]) -> None:
-        """Take a statement on what was beside a crash; one under its key is replaced.
+        """Add a statement on the requests that a crash interrupted.
 
-        The oldest statements go if there are too many.
+        It replaces the statement under the same key. If there are too many charges, the
+        oldest statements are dropped.
         """
         added = self._replace(self._charges, key, charges)
-        self._count += added
-        while self._count > self.most_charges and len(self._charges) > 1:
+        self._charge_count += added
+        while self._charge_count > self.max_charges and len(self._charges) > 1:
             self.withdraw(next(iter(self._charges)))
 
     def add_block(self, key: str, charges: Iterable[Charge]) -> None:
-        """Take a statement on why a request is held back."""
-        self._replace(self._held_for, key, charges)
-        if len(self._held_for) > MAX_BLOCKED:
-            self.withdraw(next(iter(self._held_for)))
+        """Add a statement on the charges for which a request is blocked."""
+        self._replace(self._block_charges, key, charges)
+        if len(self._block_charges) > MAX_BLOCKED:
+            self.withdraw(next(iter(self._block_charges)))
 
     def add_clearance(self, key: str, clearance: Clearance) -> None:
-        """Take a statement on crashes that a request has not caused."""
+        """Add a statement on crashes that a request has not caused."""
         self._clearances[key] = clearance
         if len(self._clearances) > MAX_CLEARANCES:
             self.withdraw(next(iter(self._clearances)))
         identity = clearance.identity
         record = self._records.setdefault(identity.content, ContentRecord())
         record.cleared.setdefault(identity.variant, set()).update(clearance.lives)
-        self._judge(identity.content)
+        self._update_blocked(identity.content)
 
     def withdraw(self, key: str) -> None:
-        """Forget the statement under a key."""
-        self._count += self._replace(self._charges, key, ())
-        self._replace(self._held_for, key, ())
+        """Remove the statement under a key."""
+        self._charge_count += self._replace(self._charges, key, ())
+        self._replace(self._block_charges, key, ())
         clearance = self._clearances.pop(key, None)
         if clearance is not None:
-            self._forget_clearance(clearance)
+            self._remove_clearance(clearance)
 
     def is_blocked(self, identity: RequestIdentity) -> bool:
-        """Return whether a request goes to no runner any more."""
-        if identity.content not in self._held:
+        """Return whether a request must not be sent to any runner."""
+        if identity.content not in self._blocked:
             return False
-        return self._records[identity.content].holds(identity.variant)
+        return self._records[identity.content].is_variant_blocked(identity.variant)
 
     def is_content_blocked(self, content: str) -> bool:
-        """Return whether a content is held back, whoever sends it."""
+        """Return whether a content is blocked for all senders."""
         record = self._records.get(content)
         return record is not None and record.is_content_blocked()
 
     def list_crashes(self, identity: RequestIdentity) -> frozenset[str]:
-        """Return the crashes that a request is charged with and not cleared of."""
+        """Return the runner incarnations that a request is charged with crashing.
+
+        Crashes that it is cleared of are left out.
+        """
         record = self._records.get(identity.content)
-        return NONE if record is None else record.list_lives(identity.variant)
+        return (
+            NO_CRASHES
+            if record is None
+            else record.list_variant_crashes(identity.variant)
+        )
 
     def is_suspected(self, identity: RequestIdentity) -> bool:
-        """Return whether one more crash holds a request back."""
+        """Return whether one more crash may block a request."""
         record = self._records.get(identity.content)
         if record is None:
             return False
-        return record.weigh(identity.variant) >= POINTS_TO_HOLD - MOST_POINTS
+        return (
+            record.compute_points(identity.variant)
+            >= BLOCK_POINTS - MAX_SUSPICION_POINTS
+        )
 
     def list_blocked(self) -> tuple[str, ...]:
-        """Return the contents of which a request is held back, oldest first."""
-        return tuple(self._held)
+        """Return the contents with a blocked request, oldest first."""
+        return tuple(self._blocked)
 
     def list_charges(self, content: str) -> tuple[Charge, ...]:
-        """Return the crashes that the requests with a content are charged with."""
+        """Return the uncleared charges of all requests with a content."""
         record = self._records.get(content, ContentRecord())
-        alone = bool(record.cleared or record.served)
+        alone = bool(record.cleared or record.served_statements)
         return tuple(
             Charge(
                 RequestIdentity(content, variant),
@@ -215,18 +230,18 @@
                 alone=alone,
             )
             for variant in record.charges
-            for life in sorted(record.list_lives(variant))
+            for life in sorted(record.list_variant_crashes(variant))
         )
 
     @property
     def is_empty(self) -> bool:
-        """Return whether there is no statement at all."""
-        return not (self._charges or self._held_for or self._clearances)
+        """Return whether there are no statements."""
+        return not (self._charges or self._block_charges or self._clearances)
 
     @property
     def charge_count(self) -> int:
-        """Return the number of charges that are kept."""
-        return self._count
+        """Return the number of stored charges."""
+        return self._charge_count
 
     def _replace(
         self,
@@ -234,44 +249,44 @@
         key: str,
         charges: Iterable[Charge],
     ) -> int:
-        """Replace the statement under a key; returns by how many charges it grew."""
-        earlier, now = statements.pop(key, ()), tuple(charges)
-        if now:
-            statements[key] = now
-        # What stands in both is never without a statement.
-        for charge in now:
+        """Replace the statement under a key; return the change of the charge count."""
+        previous, current = statements.pop(key, ()), tuple(charges)
+        if current:
+            statements[key] = current
+        # Adding before removing keeps a charge that is in both statements in place.
+        for charge in current:
             content = charge.identity.content
             self._records.setdefault(content, ContentRecord()).add(charge, 1)
-        for charge in earlier:
+        for charge in previous:
             self._records[charge.identity.content].add(charge, -1)
-        for content in {each.identity.content for each in (*now, *earlier)}:
-            self._judge(content)
-        return len(now) - len(earlier)
+        for content in {each.identity.content for each in (*current, *previous)}:
+            self._update_blocked(content)
+        return len(current) - len(previous)
 
-    def _forget_clearance(self, clearance: Clearance) -> None:
+    def _remove_clearance(self, clearance: Clearance) -> None:
         identity = clearance.identity
         record = self._records[identity.content]
-        left = [
+        remaining = [
             each.lives
             for each in self._clearances.values()
             if each.identity == identity
         ]
-        if left:
-            record.cleared[identity.variant] = set().union(*left)
+        if remaining:
+            record.cleared[identity.variant] = set().union(*remaining)
         else:
             record.cleared.pop(identity.variant, None)
-        self._judge(identity.content)
+        self._update_blocked(identity.content)
 
-    def _judge(self, content: str) -> None:
-        """Work out anew whether a request with a content is held back."""
+    def _update_blocked(self, content: str) -> None:
+        """Update whether a request with a content is blocked."""
         record = self._records[content]
         if record.is_empty():
             del self._records[content]
-        # A record without charges holds nothing.
-        held = any(record.holds(variant) for variant in record.charges)
-        if not held:
-            self._held.pop(content, None)
-        elif content not in self._held:
-            self._held[content] = None
-            for call in self.on_blocked:
-                call(content)
+        # A record without charges blocks nothing.
+        blocked = any(record.is_variant_blocked(variant) for variant in record.charges)
+        if not blocked:
+            self._blocked.pop(content, None)
+        elif content not in self._blocked:
+            self._blocked[content] = None
+            for callback in self.on_blocked:
+                callback(content)
