--- a/mangoway/policy/customers/__init__.py
+++ b/mangoway/policy/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Decides what customers may still ask for."""
+"""Enforces the quotas of customers."""
--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -1,10 +1,11 @@
-"""Holds customers to their quotas, each over all hosts together.
-
-Whoever grants places counts: the scheduler sees all requests for engines before they
-run, and hears at once of those for plain services, which hosts let in by themselves.
-Two that grant at a time have a part of each quota, by the hosts that they hear. A
-customer may come into debt, by what was let in uncounted; nothing is
-granted until that is made good.
+"""Enforces the quotas of customers over all hosts together.
+
+The process that grants requests counts the spending. The scheduler receives all
+requests for engines before they run, and immediate reports of those for plain services,
+which hosts admit by themselves. Two schedulers that are active at the same time each
+have a share of every quota, by the number of hosts connected to them. The balance of a
+customer becomes negative if requests were admitted before they were counted; nothing is
+granted until the balance has recovered.
 """
 
 from collections.abc import Iterable
@@ -12,23 +13,23 @@
 from attrs import define, field
 
 from ...models.customer import Customer, CustomerRegistry, Quota
-from .const import LENT_S, SLACK_USED, SPENDING_RETENTION_S
+from .const import OVERDRAFT_S, SLACK_SHARE, SPENDING_RETENTION_S
 from .spending import SpendingEntry, SpendingHistory
 
 
 @define(eq=False)
 class Account:
-    """What a customer may still spend."""
+    """Balance of one customer's quota."""
 
     balance: float
     filled_at: float
-    """Time up to which the quota's rate was added."""
+    """Time up to which the balance was refilled."""
 
-    is_sure: bool = True
-    """Whether all that is known to have been spent was taken off."""
+    is_complete: bool = True
+    """Whether all known spending has been subtracted."""
 
     def fill(self, rate_per_s: float, capacity: float, now: float) -> None:
-        """Add what the rate has brought since."""
+        """Refill the balance for the time since the last call."""
         earned = rate_per_s * max(0.0, now - self.filled_at)
         self.balance = min(capacity, self.balance + earned)
         self.filled_at = max(self.filled_at, now)
@@ -36,89 +37,93 @@
 
 @define(eq=False)
 class QuotaTracker:
-    """The accounts of all customers, as far as one process grants."""
+    """Accounts of all customers, for the requests that one process grants."""
 
     slack: float = 0.0
-    """What the whole fleet may grant beyond a quota for a while."""
+    """Amount that the whole fleet may temporarily grant beyond a quota."""
 
     starts_full: bool = True
-    """Whether nothing has to be known of earlier spending. A scheduler that starts
-    may follow one that granted until then, and gives nobody a second burst."""
+    """Whether accounts start full without a report of earlier spending. A scheduler
+    that starts may replace one that was granting until then, and must not grant a
+    second burst."""
 
     share: float = 1.0
-    """Part of each quota that this process may grant."""
+    """Share of each quota that this process may grant, 0 to 1."""
 
     registry: CustomerRegistry | None = None
-    _lent_until: float = field(default=-1e9, init=False)
-    """Time until which customers may come into debt."""
+    _overdraft_until: float = field(default=-1e9, init=False)
+    """Time until which overdrafts are allowed."""
 
-    _not_lent: frozenset[str] = field(default=frozenset(), init=False)
-    """Customers who may not, since they had nothing left."""
+    _without_overdraft: frozenset[str] = field(default=frozenset(), init=False)
+    """Customers without an overdraft, since their quota was exhausted."""
 
     spending: SpendingHistory = field(factory=SpendingHistory, init=False)
     _accounts: dict[str, Account] = field(factory=dict, init=False)
-    _began_at: float | None = field(default=None, init=False)
-    """When this book was first used."""
+    _started_at: float | None = field(default=None, init=False)
+    """When this tracker was first used."""
 
-    _told: set[str] = field(factory=set, init=False)
-    """Customers of whose earlier spending others have told."""
+    _reported: set[str] = field(factory=set, init=False)
+    """Customers whose earlier spending was reported by hosts."""
 
     def begin(self, now: float) -> None:
-        """Note the time from which rates are added to accounts."""
-        if self._began_at is None:
-            self._began_at = now
+        """Set the time from which accounts are refilled."""
+        if self._started_at is None:
+            self._started_at = now
 
     def allow_overdraft(self, exhausted: Iterable[str], now: float) -> None:
-        """Let customers come into debt for a moment, as the one who granted is lost.
+        """Allow overdrafts for `OVERDRAFT_S` after the scheduler was lost.
 
         Args:
-            exhausted: Customers who had nothing left.
+            exhausted: Customers whose quota was exhausted; they get no overdraft.
             now: Time in seconds.
         """
-        self._lent_until = now + LENT_S
-        self._not_lent = frozenset(exhausted)
+        self._overdraft_until = now + OVERDRAFT_S
+        self._without_overdraft = frozenset(exhausted)
 
     def try_consume(self, name: str, amount: float, now: float) -> float:
-        """Take an amount if the customer's quota has it.
+        """Subtract an amount if the customer's balance covers it.
 
-        A request that is larger than all that an account holds needs a full one.
+        A request that is larger than the capacity of an account needs a full account.
 
         Returns:
-            0.0 if it was taken, otherwise the seconds until it can be where the whole
-            quota is granted: a host that is alone hears a scheduler sooner than its
-            own part is refilled.
+            0.0 if the amount was subtracted, otherwise the seconds until the balance
+            covers it. They are computed from the rate of the whole quota: a host
+            without a scheduler reconnects to one sooner than its own share is refilled.
         """
         quota = self._find_quota(name)
         if quota is None:
             return 0.0
         account = self._fill(name, quota, now)
-        missing = min(amount, self._hold(quota)) - account.balance
-        if missing > 0 and not self._lends(name, now):
+        missing = min(amount, self._get_capacity(quota)) - account.balance
+        if missing > 0 and not self._allows_overdraft(name, now):
             return missing / quota.rate_per_s
         account.balance -= amount
         self.spending.add(name, amount, now)
         return 0.0
 
     def record_spending(self, name: str, amount: float, now: float) -> None:
-        """Count what a host let in by itself; a negative amount was given back."""
+        """Record spending that a host admitted by itself; negative for a refund."""
         quota = self._find_quota(name)
         if quota is not None:
             self._fill(name, quota, now).balance -= amount
         self.spending.add(name, amount, now)
 
-    def add_reported_spending(self, rows: Iterable[SpendingEntry], now: float) -> None:
-        """Take what a host spent before this process granted its requests."""
-        for each in rows:
+    def add_reported_spending(
+        self, entries: Iterable[SpendingEntry], now: float
+    ) -> None:
+        """Add spending that a host reports from before it used this process."""
+        for each in entries:
             self.spending.add(each.customer, each.amount, now - each.age_s)
-            self._told.add(each.customer)
+            self._reported.add(each.customer)
             account = self._accounts.get(each.customer)
             if account is not None:
-                account.is_sure = False
+                account.is_complete = False
 
     def list_exhausted(self, now: float) -> list[tuple[str, float]]:
-        """Return the customers who have nothing left, and in how many seconds they do.
+        """Return the customers with an exhausted quota.
 
-        Hosts refuse by this list what needs no place at a runner.
+        Each comes with the seconds until its balance covers one request. Hosts use the
+        list to reject requests that need no grant.
         """
         exhausted = []
         for customer in self._list_limited():
@@ -133,24 +138,27 @@
         return exhausted
 
     def get_balance(self, name: str, now: float) -> float | None:
-        """Return what a customer may still spend; None without a limit."""
+        """Return the balance of a customer; None without a quota."""
         quota = self._find_quota(name)
         return None if quota is None else self._fill(name, quota, now).balance
 
-    def describe(self, most: int, now: float) -> list[str]:
-        """Return lines on the customers who have the least left, in seconds of rate."""
-        rows = []
+    def describe(self, max_lines: int, now: float) -> list[str]:
+        """Return summary lines of the customers with the lowest balances.
+
+        Balances are compared in seconds of the quota's rate.
+        """
+        entries = []
         for customer in self._list_limited():
             balance = self.get_balance(customer.name, now)
             if balance is not None and customer.quota is not None:
                 seconds = balance / customer.quota.rate_per_s
-                rows.append(
+                entries.append(
                     (seconds, f"{customer.name} {balance:.0f}, {seconds:.2f} s")
                 )
-        return [text for _, text in sorted(rows)[:most]]
+        return [text for _, text in sorted(entries)[:max_lines]]
 
-    def _lends(self, name: str, now: float) -> bool:
-        return now < self._lent_until and name not in self._not_lent
+    def _allows_overdraft(self, name: str, now: float) -> bool:
+        return now < self._overdraft_until and name not in self._without_overdraft
 
     def _list_limited(self) -> list[Customer]:
         return [] if self.registry is None else self.registry.list_customers()
@@ -159,25 +167,29 @@
         customer = None if self.registry is None else self.registry.find_by_name(name)
         return None if customer is None else customer.quota
 
-    def _hold(self, quota: Quota) -> float:
-        """Return what an account holds at most."""
-        return (quota.burst + SLACK_USED * self.slack) * self.share
+    def _get_capacity(self, quota: Quota) -> float:
+        """Return the maximum balance of an account."""
+        return (quota.burst + SLACK_SHARE * self.slack) * self.share
 
     def _fill(self, name: str, quota: Quota, now: float) -> Account:
         account = self._accounts.get(name)
-        if account is None or not account.is_sure:
-            account = self._accounts[name] = self._work_out(name, quota, now)
-        account.fill(quota.rate_per_s * self.share, self._hold(quota), now)
+        if account is None or not account.is_complete:
+            account = self._accounts[name] = self._create_account(name, quota, now)
+        account.fill(quota.rate_per_s * self.share, self._get_capacity(quota), now)
         return account
 
-    def _work_out(self, name: str, quota: Quota, now: float) -> Account:
-        """Return an account from what was spent lately."""
+    def _create_account(self, name: str, quota: Quota, now: float) -> Account:
+        """Return a new account with a balance computed from recent spending."""
         self.begin(now)
-        began_at = now if self._began_at is None else self._began_at
+        started_at = now if self._started_at is None else self._started_at
         since = now - SPENDING_RETENTION_S
-        rate_per_s, capacity = quota.rate_per_s * self.share, self._hold(quota)
-        knows = self.starts_full or name in self._told or began_at <= since
-        account = Account(capacity, since) if knows else Account(0.0, began_at)
+        rate_per_s, capacity = quota.rate_per_s * self.share, self._get_capacity(quota)
+        is_spending_known = (
+            self.starts_full or name in self._reported or started_at <= since
+        )
+        account = (
+            Account(capacity, since) if is_spending_known else Account(0.0, started_at)
+        )
         for at, amount in self.spending.list_slots(name, now):
             account.fill(rate_per_s, capacity, at)
             account.balance -= amount
--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of quotas: no window over the limit, nothing below it refused."""
+"""Tests of quotas: no window exceeds the limit, nothing below it is rejected."""
 
 from random import Random
 
@@ -6,7 +6,11 @@
 from attrs import define, field
 
 from mangoway.models.customer import Customer, CustomerRegistry, Quota
-from mangoway.policy.customers.const import LENT_S, SLACK_USED, SPENDING_RETENTION_S
+from mangoway.policy.customers.const import (
+    OVERDRAFT_S,
+    SLACK_SHARE,
+    SPENDING_RETENTION_S,
+)
 from mangoway.policy.customers.quota import QuotaTracker
 from mangoway.policy.customers.spending import SpendingEntry, SpendingHistory
 
@@ -32,170 +36,170 @@
     return registry
 
 
-def make_book(
+def make_tracker(
     *, slack: float = 0.0, starts_full: bool = True, share: float = 1.0
 ) -> QuotaTracker:
-    book = QuotaTracker(slack=slack, starts_full=starts_full, share=share)
-    book.registry = make_registry()
-    book.begin(0.0)
-    return book
-
-
-class TestTake:
-    """What an account lets through."""
-
-    def test_burst_and_then_the_rate(self) -> None:
-        book = make_book()
-        taken = [book.try_consume("acme", 1000.0, 0.0) for _ in range(11)]
-        assert taken[:10] == [0.0] * 10
-        assert taken[10] == pytest.approx(0.1)
-        assert book.try_consume("acme", 1000.0, 0.1) == 0.0
-        assert book.try_consume("acme", 1000.0, 0.15) == pytest.approx(0.05)
-
-    def test_time_to_come_back_is_when_there_is_room(self) -> None:
-        book = make_book()
-        book.try_consume("acme", BURST, 0.0)
-        wait_s = book.try_consume("acme", 4000.0, 0.0)
-        assert book.try_consume("acme", 4000.0, wait_s - 0.001) > 0
-        assert book.try_consume("acme", 4000.0, wait_s) == 0.0
-
-    def test_request_larger_than_a_burst_needs_a_full_account(self) -> None:
-        book = make_book()
-        assert book.try_consume("acme", 2 * BURST, 0.0) == 0.0
-        assert book.try_consume("acme", 100.0, 0.5) > 0
-        assert book.try_consume("acme", 100.0, 1.02) == 0.0
-
-    def test_customers_are_counted_apart(self) -> None:
-        book = make_book()
-        book.try_consume("acme", BURST, 0.0)
-        assert book.try_consume("other", BURST, 0.0) == 0.0
-
-    def test_without_a_limit_all_is_let_through(self) -> None:
-        book = make_book()
-        assert all(book.try_consume("free", 1e9, 0.0) == 0.0 for _ in range(9))
-        assert book.try_consume("nobody", 1e9, 0.0) == 0.0
-
-    def test_what_was_not_run_is_given_back(self) -> None:
-        book = make_book()
-        book.try_consume("acme", BURST, 0.0)
-        book.record_spending("acme", -4000.0, 0.0)
-        assert book.try_consume("acme", 4000.0, 0.0) == 0.0
-        assert book.try_consume("acme", 1.0, 0.0) > 0
-
-    def test_debt_is_made_good_first(self) -> None:
-        book = make_book()
-        book.record_spending("acme", 3 * BURST, 0.0)
-        assert book.try_consume("acme", 100.0, 1.9) > 0
-        assert book.try_consume("acme", 100.0, 2.1) == 0.0
-
-    def test_lower_limit_binds_at_once(self) -> None:
-        book = make_book()
-        book.try_consume("acme", 0.0, 0.0)
-        book.registry = make_registry(rate=100.0, burst=100.0)
-        assert book.try_consume("acme", 1000.0, 1.0) == 0.0
-        assert book.try_consume("acme", 100.0, 2.0) > 0
-
-    def test_slack_is_granted_in_part(self) -> None:
-        book = make_book(slack=SLACK)
-        assert book.try_consume("acme", BURST + SLACK_USED * SLACK, 0.0) == 0.0
-        assert book.try_consume("acme", 1.0, 0.0) > 0
+    tracker = QuotaTracker(slack=slack, starts_full=starts_full, share=share)
+    tracker.registry = make_registry()
+    tracker.begin(0.0)
+    return tracker
+
+
+class TestConsume:
+    """Which amounts an account covers."""
+
+    def test_burst_then_rate(self) -> None:
+        tracker = make_tracker()
+        waits = [tracker.try_consume("acme", 1000.0, 0.0) for _ in range(11)]
+        assert waits[:10] == [0.0] * 10
+        assert waits[10] == pytest.approx(0.1)
+        assert tracker.try_consume("acme", 1000.0, 0.1) == 0.0
+        assert tracker.try_consume("acme", 1000.0, 0.15) == pytest.approx(0.05)
+
+    def test_wait_ends_when_balance_covers_amount(self) -> None:
+        tracker = make_tracker()
+        tracker.try_consume("acme", BURST, 0.0)
+        wait_s = tracker.try_consume("acme", 4000.0, 0.0)
+        assert tracker.try_consume("acme", 4000.0, wait_s - 0.001) > 0
+        assert tracker.try_consume("acme", 4000.0, wait_s) == 0.0
+
+    def test_request_larger_than_burst_needs_full_account(self) -> None:
+        tracker = make_tracker()
+        assert tracker.try_consume("acme", 2 * BURST, 0.0) == 0.0
+        assert tracker.try_consume("acme", 100.0, 0.5) > 0
+        assert tracker.try_consume("acme", 100.0, 1.02) == 0.0
+
+    def test_customers_are_counted_separately(self) -> None:
+        tracker = make_tracker()
+        tracker.try_consume("acme", BURST, 0.0)
+        assert tracker.try_consume("other", BURST, 0.0) == 0.0
+
+    def test_customers_without_quota_are_not_limited(self) -> None:
+        tracker = make_tracker()
+        assert all(tracker.try_consume("free", 1e9, 0.0) == 0.0 for _ in range(9))
+        assert tracker.try_consume("nobody", 1e9, 0.0) == 0.0
+
+    def test_refund_restores_balance(self) -> None:
+        tracker = make_tracker()
+        tracker.try_consume("acme", BURST, 0.0)
+        tracker.record_spending("acme", -4000.0, 0.0)
+        assert tracker.try_consume("acme", 4000.0, 0.0) == 0.0
+        assert tracker.try_consume("acme", 1.0, 0.0) > 0
+
+    def test_negative_balance_must_recover_first(self) -> None:
+        tracker = make_tracker()
+        tracker.record_spending("acme", 3 * BURST, 0.0)
+        assert tracker.try_consume("acme", 100.0, 1.9) > 0
+        assert tracker.try_consume("acme", 100.0, 2.1) == 0.0
+
+    def test_lower_quota_applies_at_once(self) -> None:
+        tracker = make_tracker()
+        tracker.try_consume("acme", 0.0, 0.0)
+        tracker.registry = make_registry(rate=100.0, burst=100.0)
+        assert tracker.try_consume("acme", 1000.0, 1.0) == 0.0
+        assert tracker.try_consume("acme", 100.0, 2.0) > 0
+
+    def test_share_of_slack_is_granted(self) -> None:
+        tracker = make_tracker(slack=SLACK)
+        assert tracker.try_consume("acme", BURST + SLACK_SHARE * SLACK, 0.0) == 0.0
+        assert tracker.try_consume("acme", 1.0, 0.0) > 0
 
     def test_exhausted_customers_are_listed_until_they_have_enough(self) -> None:
-        book = make_book()
-        book.try_consume("acme", BURST, 0.0)
-        [(name, wait_s)] = book.list_exhausted(0.0)
+        tracker = make_tracker()
+        tracker.try_consume("acme", BURST, 0.0)
+        [(name, wait_s)] = tracker.list_exhausted(0.0)
         assert name == "acme"
-        assert book.list_exhausted(wait_s + 0.001) == []
+        assert tracker.list_exhausted(wait_s + 0.001) == []
 
-    def test_summary_begins_with_who_has_least(self) -> None:
-        book = make_book()
-        book.try_consume("other", 0.75 * BURST, 0.0)
-        assert book.describe(1, 0.0) == ["other 2500, 0.25 s"]
+    def test_summary_starts_with_lowest_balance(self) -> None:
+        tracker = make_tracker()
+        tracker.try_consume("other", 0.75 * BURST, 0.0)
+        assert tracker.describe(1, 0.0) == ["other 2500, 0.25 s"]
 
 
 class TestShare:
-    """Two that grant at a time."""
+    """Several processes that grant at the same time."""
 
-    def test_parts_add_up_to_the_whole(self) -> None:
-        parts = [make_book(share=0.3), make_book(share=0.7)]
+    def test_shares_add_up_to_whole_quota(self) -> None:
+        trackers = [make_tracker(share=0.3), make_tracker(share=0.7)]
         granted = 0.0
         for step in range(800):
-            for book in parts:
-                if book.try_consume("acme", 500.0, step * 0.01) == 0.0:
+            for tracker in trackers:
+                if tracker.try_consume("acme", 500.0, step * 0.01) == 0.0:
                     granted += 500.0
         assert granted <= RATE * WINDOW_S + BURST
 
-    def test_part_of_a_quota_refills_slower(self) -> None:
-        book = make_book(share=0.5)
-        assert book.try_consume("acme", BURST / 2, 0.0) == 0.0
-        assert book.try_consume("acme", 1000.0, 0.19) > 0
-        assert book.try_consume("acme", 1000.0, 0.2) == 0.0
+    def test_share_refills_more_slowly(self) -> None:
+        tracker = make_tracker(share=0.5)
+        assert tracker.try_consume("acme", BURST / 2, 0.0) == 0.0
+        assert tracker.try_consume("acme", 1000.0, 0.19) > 0
+        assert tracker.try_consume("acme", 1000.0, 0.2) == 0.0
 
-    def test_time_to_come_back_is_that_of_the_whole_quota(self) -> None:
-        """A host that is alone hears a scheduler sooner than its part is refilled."""
-        book = make_book(share=1 / 73)
-        book.try_consume("acme", BURST, 0.0)
-        assert book.try_consume("acme", 100.0, 0.0) < 1.1
+    def test_wait_is_computed_from_whole_quota(self) -> None:
+        """A disconnected host reconnects sooner than its own share is refilled."""
+        tracker = make_tracker(share=1 / 73)
+        tracker.try_consume("acme", BURST, 0.0)
+        assert tracker.try_consume("acme", 100.0, 0.0) < 1.1
 
 
-class TestLending:
+class TestOverdraft:
     """A host that has just lost its scheduler."""
 
-    def test_customer_who_had_something_left_goes_on_for_a_moment(self) -> None:
-        book = make_book(share=1 / 73)
-        book.allow_overdraft(["other"], 0.0)
-        assert all(book.try_consume("acme", 1500.0, 0.1) == 0.0 for _ in range(5))
-        book.try_consume("other", 1500.0, 0.1)
-        assert book.try_consume("other", 1500.0, 0.1) > 0
-        assert book.try_consume("acme", 1500.0, LENT_S) > 0
-
-    def test_what_was_lent_is_a_debt(self) -> None:
-        book = make_book(share=1 / 73)
-        book.allow_overdraft([], 0.0)
+    def test_customer_with_quota_left_gets_overdraft(self) -> None:
+        tracker = make_tracker(share=1 / 73)
+        tracker.allow_overdraft(["other"], 0.0)
+        assert all(tracker.try_consume("acme", 1500.0, 0.1) == 0.0 for _ in range(5))
+        tracker.try_consume("other", 1500.0, 0.1)
+        assert tracker.try_consume("other", 1500.0, 0.1) > 0
+        assert tracker.try_consume("acme", 1500.0, OVERDRAFT_S) > 0
+
+    def test_overdraft_is_subtracted(self) -> None:
+        tracker = make_tracker(share=1 / 73)
+        tracker.allow_overdraft([], 0.0)
         for _ in range(5):
-            book.try_consume("acme", 1500.0, 0.1)
-        assert book.try_consume("acme", 100.0, 40.0) > 0
-        assert [each.amount for each in book.spending.list_all(1.0)] == [7500.0]
+            tracker.try_consume("acme", 1500.0, 0.1)
+        assert tracker.try_consume("acme", 100.0, 40.0) > 0
+        assert [each.amount for each in tracker.spending.list_all(1.0)] == [7500.0]
 
 
-class TestSuccession:
-    """A scheduler that begins to grant."""
+class TestSchedulerChange:
+    """A scheduler that starts to grant."""
 
-    def test_restart_gives_no_second_burst(self) -> None:
-        book = make_book(starts_full=False)
-        assert book.try_consume("acme", 5000.0, 0.0) == pytest.approx(0.5)
-        assert book.try_consume("acme", 5000.0, 0.5) == 0.0
+    def test_restart_grants_no_second_burst(self) -> None:
+        tracker = make_tracker(starts_full=False)
+        assert tracker.try_consume("acme", 5000.0, 0.0) == pytest.approx(0.5)
+        assert tracker.try_consume("acme", 5000.0, 0.5) == 0.0
 
-    def test_customer_who_spent_long_ago_has_his_burst(self) -> None:
-        book = make_book(starts_full=False)
-        assert book.try_consume("acme", BURST, SPENDING_RETENTION_S) == 0.0
+    def test_burst_is_available_after_retention(self) -> None:
+        tracker = make_tracker(starts_full=False)
+        assert tracker.try_consume("acme", BURST, SPENDING_RETENTION_S) == 0.0
 
-    def test_links_tell_what_was_spent(self) -> None:
-        book = make_book(starts_full=False)
-        rows = [SpendingEntry("acme", age_s, RATE) for age_s in (0.5, 1.5, 2.5, 3.5)]
-        book.add_reported_spending(rows, 1.0)
-        wait_s = book.try_consume("acme", BURST, 1.0)
+    def test_reported_spending_is_subtracted(self) -> None:
+        tracker = make_tracker(starts_full=False)
+        entries = [SpendingEntry("acme", age_s, RATE) for age_s in (0.5, 1.5, 2.5, 3.5)]
+        tracker.add_reported_spending(entries, 1.0)
+        wait_s = tracker.try_consume("acme", BURST, 1.0)
         assert 0.3 <= wait_s <= 1.0
 
-    def test_links_tell_that_little_was_spent(self) -> None:
-        book = make_book(starts_full=False)
-        book.add_reported_spending([SpendingEntry("acme", 1.0, 100.0)], 0.2)
-        assert book.try_consume("acme", 0.9 * BURST, 0.2) == 0.0
+    def test_report_of_little_spending_restores_burst(self) -> None:
+        tracker = make_tracker(starts_full=False)
+        tracker.add_reported_spending([SpendingEntry("acme", 1.0, 100.0)], 0.2)
+        assert tracker.try_consume("acme", 0.9 * BURST, 0.2) == 0.0
 
-    def test_late_word_of_spending_counts_as_well(self) -> None:
-        book = make_book()
-        book.try_consume("acme", 100.0, 5.0)
-        book.add_reported_spending([SpendingEntry("acme", 0.1, BURST)], 5.0)
-        assert book.try_consume("acme", 2000.0, 5.0) > 0
+    def test_late_report_is_subtracted(self) -> None:
+        tracker = make_tracker()
+        tracker.try_consume("acme", 100.0, 5.0)
+        tracker.add_reported_spending([SpendingEntry("acme", 0.1, BURST)], 5.0)
+        assert tracker.try_consume("acme", 2000.0, 5.0) > 0
 
-    def test_spending_comes_back_with_time(self) -> None:
+    def test_history_returns_amounts_with_age(self) -> None:
         spending = SpendingHistory()
         spending.add("acme", 100.0, 1.0)
         spending.add("acme", 50.0, 1.2)
         spending.add("acme", -50.0, 3.0)
         spending.add("acme", 7.0, 0.1)
-        rows = list(spending.list_all(4.0))
-        assert [(each.age_s, each.amount) for each in rows] == [
+        entries = list(spending.list_all(4.0))
+        assert [(each.age_s, each.amount) for each in entries] == [
             (3.5, 7.0),
             (2.5, 150.0),
             (0.5, -50.0),
@@ -205,50 +209,52 @@
 
 @define(eq=False)
 class Fleet:
-    """Hosts that ask a scheduler, or are alone; one customer asks for much."""
+    """Connected and disconnected hosts, with one customer of high demand."""
 
     random: Random
     hosts: int
     demand: float
-    """Tokens a second that the customer asks for."""
+    """Tokens per second that the customer requests."""
 
     scheduler: QuotaTracker = field(init=False)
-    alone: dict[int, QuotaTracker] = field(factory=dict, init=False)
-    spent: dict[int, SpendingHistory] = field(factory=dict, init=False)
+    disconnected: dict[int, QuotaTracker] = field(factory=dict, init=False)
+    spending_by_host: dict[int, SpendingHistory] = field(factory=dict, init=False)
     arrivals: list[tuple[float, float]] = field(factory=list, init=False)
-    refused: int = field(default=0, init=False)
+    rejected: int = field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
         self.scheduler = self.make_scheduler(0.0)
-        self.spent = {each: SpendingHistory() for each in range(self.hosts)}
+        self.spending_by_host = {each: SpendingHistory() for each in range(self.hosts)}
 
     def make_scheduler(self, now: float) -> QuotaTracker:
-        book = QuotaTracker(slack=SLACK, starts_full=False)
-        book.registry = make_registry()
-        book.begin(now)
-        return book
+        tracker = QuotaTracker(slack=SLACK, starts_full=False)
+        tracker.registry = make_registry()
+        tracker.begin(now)
+        return tracker
 
-    def cut_off(self, hosts: list[int], now: float) -> None:
-        """Let hosts be alone; the scheduler hears the others only."""
+    def disconnect(self, hosts: list[int], now: float) -> None:
+        """Disconnect hosts; only the others remain connected to the scheduler."""
         exhausted = [name for name, _ in self.scheduler.list_exhausted(now)]
         for host in hosts:
-            book = QuotaTracker(slack=SLACK, share=1 / self.hosts)
-            book.registry = make_registry()
-            book.allow_overdraft(exhausted, now)
-            self.alone[host] = book
-        self.scheduler.share = 1 - len(self.alone) / self.hosts
-
-    def rejoin(self, now: float) -> None:
-        """Let all hosts hear the scheduler again."""
-        for host in self.alone:
-            self.scheduler.add_reported_spending(self.spent[host].list_all(now), now)
-        self.alone = {}
+            tracker = QuotaTracker(slack=SLACK, share=1 / self.hosts)
+            tracker.registry = make_registry()
+            tracker.allow_overdraft(exhausted, now)
+            self.disconnected[host] = tracker
+        self.scheduler.share = 1 - len(self.disconnected) / self.hosts
+
+    def reconnect(self, now: float) -> None:
+        """Reconnect all hosts to the scheduler."""
+        for host in self.disconnected:
+            self.scheduler.add_reported_spending(
+                self.spending_by_host[host].list_all(now), now
+            )
+        self.disconnected = {}
         self.scheduler.share = 1.0
 
     def replace_scheduler(self, now: float) -> None:
-        """Let another scheduler grant, which hosts tell what was spent."""
+        """Replace the scheduler; hosts report their spending to the new one."""
         self.scheduler = self.make_scheduler(now)
-        for spending in self.spent.values():
+        for spending in self.spending_by_host.values():
             self.scheduler.add_reported_spending(spending.list_all(now), now)
 
     def step(self, now: float, seconds: float) -> None:
@@ -259,24 +265,24 @@
             if self.random.random() < max(0.0, -tokens / amount):
                 continue
             host = self.random.randrange(self.hosts)
-            book = self.alone.get(host, self.scheduler)
-            if book.try_consume("acme", amount, now) > 0:
-                self.refused += 1
+            tracker = self.disconnected.get(host, self.scheduler)
+            if tracker.try_consume("acme", amount, now) > 0:
+                self.rejected += 1
             else:
                 self.arrivals.append((now, amount))
-                self.spent[host].add("acme", amount, now)
+                self.spending_by_host[host].add("acme", amount, now)
 
-    def find_most(self) -> float:
-        """Return the most that arrived in a window."""
-        most = total = 0.0
+    def find_max_in_window(self) -> float:
+        """Return the largest amount that was admitted in a window."""
+        max_total = total = 0.0
         begin = 0
         for at, amount in self.arrivals:
             total += amount
             while self.arrivals[begin][0] <= at - WINDOW_S:
                 total -= self.arrivals[begin][1]
                 begin += 1
-            most = max(most, total)
-        return most
+            max_total = max(max_total, total)
+        return max_total
 
 
 ALLOWED = (RATE * WINDOW_S + BURST) * (1 + OVERSHOOT) + SLACK
@@ -284,7 +290,7 @@
 
 
 class TestFleets:
-    """Drawn fleets: whatever happens, a window holds what the quota allows."""
+    """Random fleets: no window exceeds the quota, whatever happens."""
 
     def play(self, seed: int, demand: float) -> Fleet:
         random = Random(seed)
@@ -296,34 +302,35 @@
                 fleet.replace_scheduler(now)
             elif event < 0.008:
                 count = random.randint(1, fleet.hosts // 2)
-                fleet.cut_off(random.sample(range(fleet.hosts), count), now)
-            elif event < 0.02 and fleet.alone:
-                fleet.rejoin(now)
+                fleet.disconnect(random.sample(range(fleet.hosts), count), now)
+            elif event < 0.02 and fleet.disconnected:
+                fleet.reconnect(now)
             fleet.step(now, STEP_S)
         return fleet
 
     @pytest.mark.parametrize("seed", range(20))
-    def test_no_window_is_over_the_limit(self, seed: int) -> None:
+    def test_no_window_exceeds_limit(self, seed: int) -> None:
         fleet = self.play(seed, demand=3.3 * RATE)
-        assert fleet.find_most() <= ALLOWED
-        assert fleet.refused > 0
+        assert fleet.find_max_in_window() <= ALLOWED
+        assert fleet.rejected > 0
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_nothing_below_it_is_refused_in_calm(self, seed: int) -> None:
+    def test_nothing_below_limit_is_rejected_without_faults(self, seed: int) -> None:
         fleet = Fleet(Random(seed), hosts=73, demand=0.55 * RATE)
         for index in range(600):
             if index % 200 == 150:
                 fleet.replace_scheduler(index * STEP_S)
             fleet.step(index * STEP_S, STEP_S)
-        # The first of all schedulers starts with nothing, well before any request.
-        assert fleet.refused <= 2
+        # The first scheduler starts with empty accounts; a real one does so well before
+        # any request.
+        assert fleet.rejected <= 2
 
-    def test_scheduler_that_starts_full_at_each_change_is_over_it(self) -> None:
-        """What the links tell is needed: without it these changes break the limit."""
+    def test_schedulers_that_start_full_exceed_limit(self) -> None:
+        """Without the reports of the hosts, such changes exceed the limit."""
         fleet = Fleet(Random(1), hosts=73, demand=3.3 * RATE)
         for index in range(600):
             if index % 20 == 0:
                 fleet.scheduler = QuotaTracker(slack=SLACK)
                 fleet.scheduler.registry = make_registry()
             fleet.step(index * STEP_S, STEP_S)
-        assert fleet.find_most() > ALLOWED
+        assert fleet.find_max_in_window() > ALLOWED
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -1,4 +1,4 @@
-"""Any series of cuts, changes and restarts, against the plain sum of a window."""
+"""State machine: disconnections and restarts in any order must not exceed a quota."""
 
 from attrs import define, field
 from hypothesis import settings
@@ -18,80 +18,85 @@
 
 HOSTS = 12
 CALLERS_PER_S = 3.3 * RATE
-"""What the customer asks for: six times its usual, which is 0.55 of its quota."""
+"""Demand of the customer: six times its usual rate, which is 0.55 of its quota."""
 
-LONGEST_ALONE_S = 3.0
-"""Time after which a host that hears nobody refuses all that needs a key, or hears a
-scheduler: the part of the time to revoke a key."""
+MAX_DISCONNECTED_S = 3.0
+"""Time after which a disconnected host has either reconnected or rejects all requests
+that need a key, so that a revoked key is not accepted for longer."""
 
 
 @define(eq=False)
 class Host:
-    """What a host counts by itself, and whom it asks."""
+    """A host with its own quota tracker and its scheduler."""
 
-    book: QuotaTracker
+    tracker: QuotaTracker
     spending: SpendingHistory = field(factory=SpendingHistory)
     scheduler: int | None = 0
-    """The scheduler that it hears; None: it is alone."""
+    """The scheduler that it is connected to; None: it is disconnected."""
 
-    alone_since: float = 0.0
+    disconnected_since: float = 0.0
 
 
-def make_book(now: float, *, alone: bool) -> QuotaTracker:
-    book = QuotaTracker(
-        slack=SLACK, starts_full=alone, share=1 / HOSTS if alone else 1.0
+def make_tracker(now: float, *, disconnected: bool) -> QuotaTracker:
+    tracker = QuotaTracker(
+        slack=SLACK,
+        starts_full=disconnected,
+        share=1 / HOSTS if disconnected else 1.0,
     )
-    book.registry = make_registry()
-    book.begin(now)
-    return book
+    tracker.registry = make_registry()
+    tracker.begin(now)
+    return tracker
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Hosts, two schedulers, and a customer who asks for too much all the time."""
+    """Hosts, two schedulers, and a customer whose demand always exceeds the quota."""
 
     @initialize()
     def start(self) -> None:
         self.now = 100.0
-        self.schedulers = [make_book(0.0, alone=False), make_book(0.0, alone=False)]
-        self.hosts = [Host(make_book(0.0, alone=True)) for _ in range(HOSTS)]
+        self.schedulers = [
+            make_tracker(0.0, disconnected=False),
+            make_tracker(0.0, disconnected=False),
+        ]
+        self.hosts = [Host(make_tracker(0.0, disconnected=True)) for _ in range(HOSTS)]
         self.arrivals: list[tuple[float, float]] = []
         self.next_host = 0
 
-    def share(self) -> None:
-        """Let each scheduler grant the part of the hosts that it hears."""
-        for index, book in enumerate(self.schedulers):
-            heard = sum(1 for each in self.hosts if each.scheduler == index)
-            book.share = max(1, heard) / HOSTS
+    def update_shares(self) -> None:
+        """Set the share of each scheduler from the hosts connected to it."""
+        for index, tracker in enumerate(self.schedulers):
+            connected = sum(1 for each in self.hosts if each.scheduler == index)
+            tracker.share = max(1, connected) / HOSTS
 
-    def move(self, host: Host, scheduler: int | None) -> None:
-        """Let a host hear another scheduler, which it tells what was spent."""
+    def connect(self, host: Host, scheduler: int | None) -> None:
+        """Connect a host to another scheduler, and report its spending to that one."""
         if host.scheduler == scheduler:
             return
         if scheduler is not None:
-            rows = list(host.spending.list_all(self.now))
-            self.schedulers[scheduler].add_reported_spending(rows, self.now)
+            entries = list(host.spending.list_all(self.now))
+            self.schedulers[scheduler].add_reported_spending(entries, self.now)
         elif host.scheduler is not None:
-            host.alone_since = self.now
+            host.disconnected_since = self.now
             lost = self.schedulers[host.scheduler]
-            host.book.allow_overdraft(
+            host.tracker.allow_overdraft(
                 [name for name, _ in lost.list_exhausted(self.now)], self.now
             )
         host.scheduler = scheduler
 
-    def choose(self, host: Host) -> QuotaTracker | None:
+    def choose_tracker(self, host: Host) -> QuotaTracker | None:
         if host.scheduler is not None:
             return self.schedulers[host.scheduler]
-        if self.now - host.alone_since > LONGEST_ALONE_S:
+        if self.now - host.disconnected_since > MAX_DISCONNECTED_S:
             return None
-        return host.book
+        return host.tracker
 
     @rule(
         seconds=st.floats(0.05, 2.0),
         sizes=st.lists(st.floats(100.0, 3000.0), min_size=1, max_size=8),
     )
-    def ask(self, seconds: float, sizes: list[float]) -> None:
-        """Let callers ask for a while, at all hosts in turn."""
-        self.share()
+    def send_requests(self, seconds: float, sizes: list[float]) -> None:
+        """Send requests for a while, to all hosts in turn."""
+        self.update_shares()
         end = self.now + seconds
         index = 0
         while self.now < end:
@@ -100,45 +105,48 @@
             self.now += amount / CALLERS_PER_S
             host = self.hosts[self.next_host]
             self.next_host = (self.next_host + 1) % HOSTS
-            book = self.choose(host)
-            if book is not None and book.try_consume("acme", amount, self.now) == 0.0:
+            tracker = self.choose_tracker(host)
+            if (
+                tracker is not None
+                and tracker.try_consume("acme", amount, self.now) == 0.0
+            ):
                 self.arrivals.append((self.now, amount))
                 host.spending.add("acme", amount, self.now)
 
     @rule(count=st.integers(1, HOSTS // 3))
-    def cut_off(self, count: int) -> None:
-        """Let some hosts hear nobody."""
+    def disconnect(self, count: int) -> None:
+        """Disconnect some hosts."""
         for host in self.hosts[:count]:
-            self.move(host, None)
-        self.share()
+            self.connect(host, None)
+        self.update_shares()
 
     @rule(scheduler=st.integers(0, 1))
-    def follow(self, scheduler: int) -> None:
-        """Let all hosts hear one scheduler: it leads."""
+    def connect_all(self, scheduler: int) -> None:
+        """Connect all hosts to one scheduler."""
         for host in self.hosts:
-            self.move(host, scheduler)
-        self.share()
+            self.connect(host, scheduler)
+        self.update_shares()
 
     @rule(count=st.integers(1, HOSTS - 1))
     def split(self, count: int) -> None:
-        """Let two schedulers grant, each to some hosts."""
+        """Divide the hosts among two schedulers."""
         for index, host in enumerate(self.hosts):
-            self.move(host, 0 if index < count else 1)
-        self.share()
+            self.connect(host, 0 if index < count else 1)
+        self.update_shares()
 
     @rule(scheduler=st.integers(0, 1))
     @precondition(lambda self: self.now > 110.0)
     def restart_scheduler(self, scheduler: int) -> None:
-        """Let a scheduler forget all; hosts that hear it tell it what was spent."""
-        self.schedulers[scheduler] = make_book(self.now, alone=False)
+        """Restart a scheduler; its hosts report their spending to it again."""
+        self.schedulers[scheduler] = make_tracker(self.now, disconnected=False)
         for host in self.hosts:
             if host.scheduler == scheduler:
-                rows = list(host.spending.list_all(self.now))
-                self.schedulers[scheduler].add_reported_spending(rows, self.now)
-        self.share()
+                entries = list(host.spending.list_all(self.now))
+                self.schedulers[scheduler].add_reported_spending(entries, self.now)
+        self.update_shares()
 
     @invariant()
-    def no_window_is_over_the_limit(self) -> None:
+    def no_window_exceeds_limit(self) -> None:
         recent = [each for each in self.arrivals if each[0] > self.now - WINDOW_S]
         assert sum(amount for _, amount in recent) <= ALLOWED
         self.arrivals = recent
