--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -80,7 +80,7 @@
                 edge=self.incarnation,
                 host=self.settings.host,
                 data_centre=self.settings.data_centre,
-                asks=self.role is Role.EDGE,
+                requests_grants=self.role is Role.EDGE,
                 revision=0,
             ),
             view=self.view,
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -162,7 +162,7 @@
         message.edge,
         message.host,
         message.data_centre,
-        message.asks,
+        message.requests_grants,
         message.revision,
     ]
 
@@ -173,7 +173,7 @@
         edge=fields[1],
         host=fields[2],
         data_centre=fields[3],
-        asks=fields[4],
+        requests_grants=fields[4],
         revision=fields[5],
     )
 
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -155,7 +155,11 @@
         if self.link is None and address and not self._is_avoided(address):
             self._passed_over = None
             await self._async_connect(address)
-        if self.link is None and self.hello.asks and self.view.table is not None:
+        if (
+            self.link is None
+            and self.hello.requests_grants
+            and self.view.table is not None
+        ):
             await self._async_connect_standby(address)
 
     def _check_link(self, link: Link, leader: str) -> None:
@@ -215,7 +219,7 @@
     def _choose_address(self) -> str:
         """Return the leader's address, or a seed's while nothing is known at all."""
         leader = self.view.leader
-        if leader is not None and not self.hello.asks:
+        if leader is not None and not self.hello.requests_grants:
             if leader.member.host == self.hello.host:
                 # An earlier life of this process, which has ended.
                 return ""
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -28,7 +28,7 @@
 
     host: str
     data_centre: str
-    asks: bool
+    requests_grants: bool
     """Whether it will ask for places; standby schedulers only follow the store."""
 
     revision: int
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -250,7 +250,7 @@
             self.handle(EdgeDisconnected(edge=hello.edge))
         link.edge = hello.edge
         self._links[hello.edge] = link
-        if hello.asks:
+        if hello.requests_grants:
             self._asking.add(hello.edge)
             self.core.state.edge_data_centres[hello.edge] = hello.data_centre
             self.on_edge_connection(hello.edge, True)
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -114,7 +114,9 @@
         self.told: list[RelayedStatement] = []
         self.recorder = Recorder()
         mirror = Mirror(FakeCoordinationStore(), self.recorder, clock)
-        hello = Hello(edge=name, host="h1", data_centre="dc1", asks=True, revision=0)
+        hello = Hello(
+            edge=name, host="h1", data_centre="dc1", requests_grants=True, revision=0
+        )
         self.link = LeaderLink(hello=hello, view=self.view, clock=clock, mirror=mirror)
         self.link.on_statement = self.told.append
         self.local = LocalGrantProvider(make_core(), name, clock)
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -43,7 +43,7 @@
 
 ITEM = Item(key="k", value=b"\x00\xffvalue", revision=3, lease_id=9)
 MESSAGES: list[Message] = [
-    Hello(edge="e1", host="h", data_centre="dc1", asks=True, revision=4),
+    Hello(edge="e1", host="h", data_centre="dc1", requests_grants=True, revision=4),
     Heartbeat(leading=True, store_age_s=0.25, period_s=0.15),
     Heartbeat(
         leading=True,
--- a/tests/scheduling/test_crowd.py
+++ b/tests/scheduling/test_crowd.py
@@ -58,7 +58,11 @@
 
 def make_hello(number: int, revision: int = 0) -> Hello:
     return Hello(
-        edge=f"e{number}", host="h", data_centre="dc1", asks=True, revision=revision
+        edge=f"e{number}",
+        host="h",
+        data_centre="dc1",
+        requests_grants=True,
+        revision=revision,
     )
 
 
