--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -234,7 +234,7 @@
             view=self.process.view,
             edge=self.process.incarnation,
             cooldowns=self.client.local.core.state.cooldowns,
-            tell=self.client.tell,
+            report_signal=self.client.report_signal,
         )
         self.client.on_limit = watch.handle_relayed_limit
         self.client.on_leaving = watch.handle_relayed_leaving
@@ -279,7 +279,9 @@
         )
 
     def _tell(self, key: str, value: bytes) -> bool:
-        return self.process.leader_link.tell(RelayedStatement(key=key, value=value))
+        return self.process.leader_link.send_statement(
+            RelayedStatement(key=key, value=value)
+        )
 
     def _note_view(self) -> None:
         """Note that the fleet changed; the first configuration makes the edge ready."""
--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -70,7 +70,7 @@
     cooldowns: CooldownTracker
     """The rests that the core of this process keeps to."""
 
-    tell: Callable[[LimitReport | LeavingReport | CooldownReport], None] = (
+    report_signal: Callable[[LimitReport | LeavingReport | CooldownReport], None] = (
         lambda report: None
     )
     """Tells the scheduler."""
@@ -115,11 +115,11 @@
             end = self.limits.find_end(said, self.clock())
             if end is not None:
                 # It ended while the scheduler was out of reach.
-                self.tell(end)
+                self.report_signal(end)
             return
         recent_requests = self.sends.count(said.runner_id, self.clock())
         if said.limit is not None and recent_requests:
-            self.tell(evolve(said, recent_requests=recent_requests))
+            self.report_signal(evolve(said, recent_requests=recent_requests))
 
     def measure_rest(self, runner: RunnerEntry) -> float:
         """Return the seconds for which a runner wants nothing of this edge."""
@@ -155,12 +155,12 @@
             log_event(
                 log.RunnerRestSeen(runner_id=said.runner_id, rest_s=round(rest_s, 3))
             )
-            self.tell(said)
+            self.report_signal(said)
 
     def _note_leaving(self, runner: RunnerEntry) -> None:
         said = LeavingReport(runner_id=runner.runner_id, started_ms=runner.started_ms)
         if self._believe_leaving(said, None):
-            self.tell(said)
+            self.report_signal(said)
 
     def _believe_leaving(self, said: LeavingReport, told_by: str | None) -> bool:
         """Take that a runner leaves; returns whether that was not known."""
@@ -187,7 +187,7 @@
             recent_requests = self.sends.count(runner.runner_id, now)
             said = evolve(said, recent_requests=recent_requests)
         if self._believe_limit(said, None):
-            self.tell(said)
+            self.report_signal(said)
 
     def _believe_limit(self, said: LimitReport, told_by: str | None) -> bool:
         """Take a statement; returns whether another limit is believed now."""
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -206,7 +206,7 @@
             del self._permits[request_id]
         return answer.retry_after_s if isinstance(answer, Refuse) else 0.0
 
-    def tell(self, said: LimitReport | LeavingReport | CooldownReport) -> None:
+    def report_signal(self, said: LimitReport | LeavingReport | CooldownReport) -> None:
         """Tell the scheduler what a runner said of itself."""
         link = self._find_link()
         if link is not None:
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -119,7 +119,7 @@
         if self.link is not None:
             self.link.close(reason)
 
-    def tell(self, message: RelayedStatement) -> bool:
+    def send_statement(self, message: RelayedStatement) -> bool:
         """Tell the other end, which tells all others; False if there is none."""
         if self.link is None or not self.link.is_open:
             return False
--- a/tests/edge/test_cooldowns.py
+++ b/tests/edge/test_cooldowns.py
@@ -70,7 +70,7 @@
     async def test_scheduler_is_told(self) -> None:
         told: list[object] = []
         async with RawServer(refuse("2.5")) as server, start_edge() as edge:
-            edge.forwarder.signal_tracker.tell = told.append
+            edge.forwarder.signal_tracker.report_signal = told.append
             edge.add("r1", server, "llm")
             edge.grant_provider.drops_refusing = True
             await edge.async_call("/stream/x")
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -32,7 +32,7 @@
             RawServer(answer(make_ok())) as other,
             start_edge() as edge,
         ):
-            edge.forwarder.signal_tracker.tell = told.append
+            edge.forwarder.signal_tracker.report_signal = told.append
             edge.add("r1", leaving, "plain")
             choose_last(edge, "r2")
             edge.add("r2", other, "plain")
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -128,7 +128,7 @@
         told: list[LimitReport] = []
         async with RawServer(answer(make_ok()), answer(NAMED)) as server:
             async with start_edge() as edge:
-                edge.forwarder.signal_tracker.tell = told.append
+                edge.forwarder.signal_tracker.report_signal = told.append
                 edge.add("r1", server, "plain")
                 for _ in range(4):
                     await edge.async_call("/once/x")
@@ -138,7 +138,7 @@
         told: list[LimitReport] = []
         async with RawServer(answer(NAMED), answer(make_ok())) as server:
             async with start_edge() as edge:
-                edge.forwarder.signal_tracker.tell = told.append
+                edge.forwarder.signal_tracker.report_signal = told.append
                 edge.add("r1", server, "plain")
                 for _ in range(3):
                     await edge.async_call("/once/x")
@@ -152,7 +152,7 @@
             for number, status in enumerate((421, 500, 503))
         ]
         async with RawServer(*scripts) as server, start_edge() as edge:
-            edge.forwarder.signal_tracker.tell = told.append
+            edge.forwarder.signal_tracker.report_signal = told.append
             edge.add("r1", server, "plain")
             for _ in scripts:
                 await edge.async_call("/once/x")
@@ -161,7 +161,7 @@
     async def test_limit_that_others_read_is_answered_with_what_was_sent(self) -> None:
         told: list[LimitReport] = []
         async with RawServer(answer(make_ok())) as server, start_edge() as edge:
-            edge.forwarder.signal_tracker.tell = told.append
+            edge.forwarder.signal_tracker.report_signal = told.append
             edge.add("r1", server, "plain")
             for _ in range(3):
                 await edge.async_call("/once/x")
@@ -179,7 +179,7 @@
                 await edge.async_call("/once/x")
                 [said] = edge.forwarder.signal_tracker.list_limits()
                 await edge.async_call("/once/x")
-                edge.forwarder.signal_tracker.tell = told.append
+                edge.forwarder.signal_tracker.report_signal = told.append
                 edge.forwarder.signal_tracker.handle_relayed_limit(
                     evolve(said, response_age_s=0.3)
                 )
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -198,7 +198,7 @@
 
     async def test_scheduler_keeps_to_what_an_edge_has_read(self) -> None:
         async with connect() as (_, edge):
-            edge.client.tell(SAID)
+            edge.client.report_signal(SAID)
             waiting = edge.client.ask(make_asked("q1"))
             await asyncio.sleep(0.2)
             assert not waiting.done()
@@ -210,7 +210,7 @@
             other.link.view.take_leader(edge.view.leader)
             await other.async_wait_leading()
             for _ in range(3):
-                edge.client.tell(SAID)
+                edge.client.report_signal(SAID)
             await async_wait_until(lambda: bool(heard))
             await asyncio.sleep(0.1)
             other.task.cancel()
@@ -219,7 +219,7 @@
 
     async def test_edge_that_comes_is_told_what_is_known(self) -> None:
         async with connect() as (scheduler, edge):
-            edge.client.tell(SAID)
+            edge.client.report_signal(SAID)
             await async_wait_until(
                 lambda: scheduler.server.core.state.limits.get_limit("r1") == 0.5
             )
@@ -255,7 +255,7 @@
     async def test_permit_comes_from_the_scheduler(self) -> None:
         async with connect() as (_, edge):
             assert await edge.client.async_request_permit(RUNNER) == 0.0
-            edge.client.tell(SAID)
+            edge.client.report_signal(SAID)
             assert await edge.client.async_request_permit(RUNNER) > 0.0
 
     async def test_edge_alone_asks_its_own_part_for_a_permit(self) -> None:
@@ -294,7 +294,7 @@
             others[0].link.view.take_leader(edge.view.leader)
             await others[0].async_wait_leading()
             for _ in range(3):
-                edge.client.tell(self.LEAVES)
+                edge.client.report_signal(self.LEAVES)
             await async_wait_until(lambda: bool(heard[0]))
             others[1].link.view.take_leader(edge.view.leader)
             await async_wait_until(lambda: bool(heard[1]))
@@ -442,7 +442,7 @@
             for edge in edges:
                 edge.follow(address)
                 await edge.async_wait_leading()
-            edges[0].link.tell(message)
+            edges[0].link.send_statement(message)
             await async_wait_until(
                 lambda: [len(each.told) for each in edges] == [0, 1, 1]
             )
@@ -455,6 +455,6 @@
 
     async def test_without_a_scheduler_the_store_has_to_do(self) -> None:
         edge = Edge()
-        edge.link.tell(RelayedStatement(key="crashes/i-1@0/e1", value=b"{}"))
+        edge.link.send_statement(RelayedStatement(key="crashes/i-1@0/e1", value=b"{}"))
         edge.task.cancel()
         assert edge.told == []
