--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -271,7 +271,7 @@
                 metrics=process.metrics,
                 clock=process.clock,
                 start_task=process.tasks.async_start,
-                on_crash=crash_filter.note_crash,
+                on_crash=crash_filter.record_crash,
             ),
             crash_filter=crash_filter,
             signal_tracker=self.signal_tracker,
@@ -348,7 +348,7 @@
     async def _async_sum_up(self) -> None:
         while True:
             await async_sleep_to_tick(SUMMARY_S)
-            self.retry_budgets.sum_up()
+            self.retry_budgets.log_summary()
 
 
 def _log_error(error: BaseException) -> None:
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -78,7 +78,7 @@
             if not waiting:
                 del self._waiting[identity.content]
 
-    def note_crash(self, crash: RunnerCrash) -> None:
+    def record_crash(self, crash: RunnerCrash) -> None:
         """Charge the requests that a crashed runner had with the crash."""
         life = crash.life.text
         own = self._own.setdefault(life, {})
@@ -92,7 +92,7 @@
                 CrashStatement(life=life, edge=self.edge, charges=tuple(own.values()))
             )
 
-    def note_served(self, identity: RequestIdentity) -> None:
+    def record_success(self, identity: RequestIdentity) -> None:
         """Clear a request that has ended well."""
         self.memory.note(identity, self.clock())
         lives = self.book.list_crashes(identity)
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -120,7 +120,7 @@
             result = await self._async_attempt(placed)
             if result.delivered:
                 if result.ended_well:
-                    self.tools.crash_filter.note_served(self.log.identity)
+                    self.tools.crash_filter.record_success(self.log.identity)
                 self.log.note_served(placed)
                 return
             self._cause = self._find_cause(result)
--- a/mangoway/edge/retry_budgets.py
+++ b/mangoway/edge/retry_budgets.py
@@ -36,7 +36,7 @@
         share = self.share.measure(self.boot_clock())
         return self.get(service).take(self.clock(), share)
 
-    def sum_up(self) -> None:
+    def log_summary(self) -> None:
         """Log the budgets that were used since the last call."""
         share = self.share.measure(self.boot_clock())
         for service, budget in self._budgets.items():
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -47,7 +47,7 @@
         )
 
     def crash(self, life: str, *requests: RequestIdentity, ran_s: float = 0.0) -> None:
-        self.crash_filter.note_crash(
+        self.crash_filter.record_crash(
             RunnerCrash(
                 life=RunnerLife(runner_id=life, started_ms=0),
                 requests=tuple(
@@ -91,14 +91,14 @@
         """What many callers ask for alike is at each runner that is killed."""
         world = Screening()
         for life in ("l1", "l2", "l3"):
-            world.crash_filter.note_served(OTHER)
+            world.crash_filter.record_success(OTHER)
             world.crash(life, OTHER)
         assert not world.crash_filter.is_blocked(OTHER)
         assert world.statement_sender.posted == []
 
     def test_content_that_others_are_served_is_not_held_back_for_all(self) -> None:
         world = Screening()
-        world.crash_filter.note_served(RequestIdentity("c", "served"))
+        world.crash_filter.record_success(RequestIdentity("c", "served"))
         for number in range(9):
             world.crash(f"l{number}", RequestIdentity("c", f"v{number}"))
         assert not world.crash_filter.is_blocked(RequestIdentity("c", "new"))
@@ -110,7 +110,7 @@
     def test_one_charge_is_cleared_without_a_word(self) -> None:
         world = Screening()
         world.crash("l1", OTHER)
-        world.crash_filter.note_served(OTHER)
+        world.crash_filter.record_success(OTHER)
         assert world.book.list_crashes(OTHER) == frozenset()
         assert world.list_told(ClearedStatement) == []
 
@@ -118,7 +118,7 @@
         world = Screening()
         for life in ("l1", "l2"):
             world.crash(life, OTHER)
-        world.crash_filter.note_served(OTHER)
+        world.crash_filter.record_success(OTHER)
         [told] = world.list_told(ClearedStatement)
         assert isinstance(told, ClearedStatement)
         assert told.clearance.lives == {"l1@0", "l2@0"}
@@ -126,7 +126,7 @@
     def test_edge_that_knows_better_objects(self) -> None:
         """Other edges charged what this one has served meanwhile."""
         world = Screening()
-        world.crash_filter.note_served(OTHER)
+        world.crash_filter.record_success(OTHER)
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
         assert not world.crash_filter.is_blocked(OTHER)
@@ -135,7 +135,7 @@
     def test_edge_that_serves_others_says_nothing_of_one_that_crashes(self) -> None:
         """At 195 edges each would tell all others."""
         world = Screening()
-        world.crash_filter.note_served(RequestIdentity("c", "served"))
+        world.crash_filter.record_success(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
         assert world.crash_filter.is_blocked(CULPRIT)
@@ -143,7 +143,7 @@
 
     def test_edge_that_serves_the_content_to_others_objects(self) -> None:
         world = Screening()
-        world.crash_filter.note_served(RequestIdentity("c", "served"))
+        world.crash_filter.record_success(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3", "l4", "l5"):
             charge = Charge(RequestIdentity("c", life), life)
             world.book.add_crash(f"{life}/e2", [charge])
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -306,7 +306,7 @@
             metrics=metrics,
             clock=clock,
             start_task=tasks.async_start,
-            on_crash=crash_filter.note_crash,
+            on_crash=crash_filter.record_crash,
         ),
         crash_filter=crash_filter,
         signal_tracker=SignalTracker(
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -239,7 +239,7 @@
         runner.running.remove(request)
         self.figures.served += 1
         self._held.discard(request.identity)
-        self.screens[request.edge].note_served(request.identity)
+        self.screens[request.edge].record_success(request.identity)
 
     def _note_crashing_run(self, name: str) -> None:
         third_at = self._third_crash.get(name)
@@ -278,7 +278,7 @@
                 )
                 for each in lost
             )
-            self.screens[edge].note_crash(RunnerCrash(life=life, requests=requests))
+            self.screens[edge].record_crash(RunnerCrash(life=life, requests=requests))
         for request in running:
             request.crashed += 1
             self.figures.cut_off += not request.crashes
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -424,7 +424,7 @@
 
     async def test_scheduler_does_not_follow_its_own_earlier_life(self) -> None:
         async with connect() as (_, edge):
-            edge.link.hello = evolve(edge.link.hello, host="s", asks=False)
+            edge.link.hello = evolve(edge.link.hello, host="s", requests_grants=False)
             edge.link.close()
             await asyncio.sleep(3 * CHECK_S)
             assert edge.link.link is None
