--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -15,7 +15,7 @@
 from ..policy.customers.const import OVER_QUOTA
 from ..policy.edge.const import MIN_RETRY_TIME_S, RETRY_AFTER_OUTAGE_S
 from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
-from ..scheduling.grant_provider import Answer, GrantProvider
+from ..scheduling.grant_provider import GrantProvider, GrantResponse
 from .admission import Caller
 from .const import CRASHING_REQUEST_REASON, OTHER_PLACE_S, PLACES_ASKED
 from .crash_filter import CrashFilter
@@ -146,7 +146,7 @@
         """Say that the first event of the present try came."""
         self.payment.settle_try(was_sent=True)
         if self._key is not None:
-            self.tools.grant_provider.note_first_event(self._key)
+            self.tools.grant_provider.report_first_event(self._key)
 
     def note_tried(self, runner_id: str, kind: EndKind, *, was_sent: bool) -> None:
         """Note how a try ended, and give its place back.
@@ -171,20 +171,20 @@
         """Give the place back that is asked for or held."""
         key, self._key = self._key, None
         if key is not None:
-            self.tools.grant_provider.end(key, kind)
+            self.tools.grant_provider.end_request(key, kind)
 
     def end_next(self) -> None:
         """Give back a place that was found and not used, and what was paid for it."""
         self.payment.end()
         placed, self._next = self._next, None
         if placed is not None and placed.key is not None:
-            self.tools.grant_provider.end(placed.key, EndKind.LEFT)
+            self.tools.grant_provider.end_request(placed.key, EndKind.LEFT)
 
     def give_back_quota(self) -> None:
         """Give back what the request took of its customer's quota: it has not run."""
         amount, self._charged = self._charged, 0.0
         if amount and self.caller.name is not None:
-            self.tools.grant_provider.give_back(self.caller.name, amount)
+            self.tools.grant_provider.refund_quota(self.caller.name, amount)
 
     def _measure_cost(self) -> float:
         """Return what the request has still to take of its customer's quota."""
@@ -232,7 +232,7 @@
                 self._excluded.append(answer.runner_id)
         return self._make_refusal("the runner takes no more", RETRY_AFTER_OUTAGE_S)
 
-    async def _async_ask_place(self) -> Answer:
+    async def _async_ask_place(self) -> GrantResponse:
         """Ask for a place, whose key is kept."""
         asked_at = self._clock()
         grant_request = self._make_ask(asked_at, self._excluded)
@@ -280,9 +280,9 @@
         limits = self.tools.signal_tracker.limits
         return limits.get_limit(runner.runner_id, runner.started_ms) is not None
 
-    async def _async_ask(self, grant_request: GrantRequest) -> Answer:
+    async def _async_ask(self, grant_request: GrantRequest) -> GrantResponse:
         """Ask for a place; refused at once if the request becomes held back."""
-        future = self.tools.grant_provider.ask(grant_request)
+        future = self.tools.grant_provider.request_grant(grant_request)
 
         def refuse() -> None:
             if not future.done():
@@ -296,9 +296,9 @@
         grant_provider = self.tools.grant_provider
         try:
             async with asyncio.timeout(OTHER_PLACE_S):
-                answer = await grant_provider.ask(grant_request)
+                answer = await grant_provider.request_grant(grant_request)
         except (TimeoutError, asyncio.CancelledError) as error:
-            grant_provider.end(grant_request.request_id, EndKind.LEFT)
+            grant_provider.end_request(grant_request.request_id, EndKind.LEFT)
             if isinstance(error, asyncio.CancelledError):
                 raise
             return False
@@ -306,7 +306,7 @@
         if not isinstance(answer, Refuse):
             entry = self.tools.view.find_open_runner(answer.runner_id)
         if entry is None or not self._may_send(entry):
-            grant_provider.end(grant_request.request_id, EndKind.LEFT)
+            grant_provider.end_request(grant_request.request_id, EndKind.LEFT)
             return False
         self._next = NextPlace(grant_request.request_id, entry)
         return True
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -1,4 +1,4 @@
-"""The edge's end: asks the scheduler, and chooses alone when that is silent."""
+"""Scheduler client of an edge, with local grants as the fallback."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,151 +26,158 @@
     RequestEnded,
     SpendingReported,
 )
-from .grant_provider import Answer, OpenAsks
+from .grant_provider import GrantResponse, PendingRequests
 from .leader_link import LeaderLink
 from .link import Link
 from .local_grant_provider import LocalGrantProvider
 from .messages import Message
 
-HOLD_S: Final = 0.25
-"""Time for which requests wait for another scheduler when theirs is lost. It is reached
-in a tenth of a second where one stands in, and callers want a first event in 0.4 s. If
-each of 195 edges placed what waits by itself, 450 requests would meet on runners that
-are full, at each change of scheduler."""
+FAILOVER_WAIT_S: Final = 0.25
+"""Time for which requests wait for another scheduler after theirs is lost. Connecting
+to a standby takes 0.1 s, and callers expect the first event within 0.4 s. If each of
+195 edges granted its waiting requests locally, 450 requests would arrive at full
+runners at each change of scheduler."""
 
-PERMIT_S: Final = 0.3
-"""Time for which an answer is waited for on whether a request may go to a limited
-runner: it comes within milliseconds, unless the scheduler is lost."""
+PERMIT_TIMEOUT_S: Final = 0.3
+"""Timeout of a permit request for a limited runner. The response arrives within
+milliseconds unless the scheduler is lost."""
 
 RETRY_AFTER_PERMIT_S: Final = 0.5
-"""When to ask again if there was no answer."""
+"""Delay before the next permit request after a timeout."""
 
 
 @define(eq=False)
-class Placed:
-    """A request that was asked for, and what became of it."""
+class TrackedRequest:
+    """A grant request and its state."""
 
     grant_request: GrantRequest
     link: Link | None
-    """Who places it: a link, or None for the local placer."""
+    """Connection to the scheduler that handles it; None for the local provider."""
 
-    future: "asyncio.Future[Answer]"
+    future: "asyncio.Future[GrantResponse]"
 
     runner_id: str | None = None
     reading: bool = True
-    held_since: float | None = None
-    """Since when it waits for another scheduler."""
+    waiting_since: float | None = None
+    """Time since which it waits for another scheduler; None if it does not wait."""
 
-    held_before: bool = False
-    """Whether it has waited for one already: that is done once."""
+    has_waited: bool = False
+    """Whether it has already waited for another scheduler; it waits only once."""
 
 
 @define(eq=False)
 class SchedulerClient:
-    """A placer that uses the scheduler while it answers, and a local one otherwise."""
+    """A grant provider that uses the scheduler, or a local one while disconnected."""
 
     leader: LeaderLink
     local: LocalGrantProvider
     incarnation: str
     spending: SpendingHistory = field(factory=SpendingHistory, init=False)
-    """What customers have spent at this edge lately, whoever granted it."""
+    """Recent spending of customers at this edge, whoever granted it."""
 
     on_limit: Callable[[LimitReport], None] = field(
-        default=lambda said: None, init=False
+        default=lambda report: None, init=False
     )
-    """Told of the limits that the scheduler passes on."""
+    """Called with each runner limit that the scheduler relays."""
 
     on_leaving: Callable[[LeavingReport], None] = field(
-        default=lambda said: None, init=False
+        default=lambda report: None, init=False
     )
-    """Told of the runners of which the scheduler passes on that they leave."""
+    """Called with each leaving runner that the scheduler relays."""
 
     list_leaving: Callable[[], list[LeavingReport]] = field(default=list, init=False)
-    """Returns the runners of which this edge knows that they leave."""
+    """Returns the runners that are known to leave at this edge."""
 
     list_limits: Callable[[], list[LimitReport]] = field(default=list, init=False)
-    """Returns the limits of runners that this edge knows."""
+    """Returns the runner limits that are known at this edge."""
 
-    _asks: OpenAsks = field(factory=OpenAsks, init=False)
-    _permits: "dict[str, asyncio.Future[Answer]]" = field(factory=dict, init=False)
-    """Requests that wait for a permit."""
+    _pending: PendingRequests = field(factory=PendingRequests, init=False)
+    _permits: "dict[str, asyncio.Future[GrantResponse]]" = field(
+        factory=dict, init=False
+    )
+    """Pending permit requests by request id."""
 
-    _numbers: "count[int]" = field(factory=count, init=False)
-    _placed: dict[str, Placed] = field(factory=dict, init=False)
-    _granting: Link | None = field(default=None, init=False)
-    """The connection whose other end grants, or granted until it was lost."""
+    _permit_numbers: "count[int]" = field(factory=count, init=False)
+    _requests: dict[str, TrackedRequest] = field(factory=dict, init=False)
+    _granting_link: Link | None = field(default=None, init=False)
+    """Connection to the scheduler that grants, or granted until it was lost."""
 
-    _holding: asyncio.TimerHandle | None = field(default=None, init=False)
-    """Runs while requests wait for another scheduler."""
+    _failover_timer: asyncio.TimerHandle | None = field(default=None, init=False)
+    """Timer that runs while requests wait for another scheduler."""
 
     def __attrs_post_init__(self) -> None:
-        self.leader.on_message = self._take
-        self.leader.on_leading = self._adopt
-        self.leader.on_lost = self._move
-
-    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
-        """Ask for a place."""
+        self.leader.on_message = self._handle_message
+        self.leader.on_leading = self._handle_leading
+        self.leader.on_lost = self._handle_link_lost
+
+    def request_grant(
+        self, grant_request: GrantRequest
+    ) -> "asyncio.Future[GrantResponse]":
+        """Request a grant."""
         link = self._find_link()
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        future.add_done_callback(self._note_answer)
-        placed = Placed(grant_request, link, future)
-        self._placed[grant_request.request_id] = placed
-        if link is None and self._holding is not None:
-            placed.held_since = asyncio.get_running_loop().time()
+        future: asyncio.Future[GrantResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
+        future.add_done_callback(self._record_response)
+        tracked = TrackedRequest(grant_request, link, future)
+        self._requests[grant_request.request_id] = tracked
+        if link is None and self._failover_timer is not None:
+            tracked.waiting_since = asyncio.get_running_loop().time()
             return future
         if link is None:
-            return self.local.ask(grant_request, future)
+            return self.local.request_grant(grant_request, future)
         link.send(grant_request)
-        return self._asks.add(grant_request, future)
+        return self._pending.add(grant_request, future)
 
-    def note_first_event(self, request_id: str) -> None:
-        """Say that the first event of a granted request came."""
-        placed = self._placed.get(request_id)
-        if placed is None:
+    def report_first_event(self, request_id: str) -> None:
+        """Report that the first event of a granted request arrived."""
+        tracked = self._requests.get(request_id)
+        if tracked is None:
             return
-        placed.reading = False
-        if placed.link is not None:
+        tracked.reading = False
+        if tracked.link is not None:
             message = FirstEventSeen(edge=self.incarnation, request_id=request_id)
-            placed.link.send(message)
+            tracked.link.send(message)
         else:
-            self.local.note_first_event(request_id)
+            self.local.report_first_event(request_id)
 
-    def end(self, request_id: str, kind: EndKind) -> None:
-        """Say that a request is over."""
-        placed = self._placed.pop(request_id, None)
-        if placed is None:
+    def end_request(self, request_id: str, kind: EndKind) -> None:
+        """Report that a request has ended."""
+        tracked = self._requests.pop(request_id, None)
+        if tracked is None:
             return
-        if placed.link is None:
-            self.local.end(request_id, kind)
+        if tracked.link is None:
+            self.local.end_request(request_id, kind)
             return
-        self._asks.drop(request_id)
+        self._pending.remove(request_id)
         ended = RequestEnded(edge=self.incarnation, request_id=request_id, kind=kind)
-        placed.link.send(ended)
+        tracked.link.send(ended)
 
     def consume_quota(self, customer: str, amount: float) -> float:
-        """Take an amount of a customer's quota for a request that needs no place.
+        """Consume an amount of a customer's quota for a request that needs no grant.
 
-        The scheduler hears of it at once, and tells all edges who has nothing left. So
-        a customer may come into debt by what all edges let in between two heartbeats.
+        The consumption is reported to the scheduler at once, whose heartbeats list the
+        customers with an exhausted quota. A customer can therefore overdraw its quota
+        by what all edges admit between two heartbeats.
 
         Returns:
-            0.0 if it was taken, otherwise the seconds until it can be.
+            0.0 if the amount was consumed, otherwise the seconds until it can be.
         """
         link = self._find_link()
         if link is None:
             wait_s = self.local.consume_quota(customer, amount)
         else:
-            wait_s = self.leader.measure_exhausted(customer)
+            wait_s = self.leader.measure_quota_wait(customer)
         if wait_s > 0:
             return wait_s
-        self._note_spent(customer, amount)
+        self._record_spending(customer, amount)
         if link is not None:
             link.send(QuotaSpent(customer=customer, amount=amount))
         return 0.0
 
-    def give_back(self, customer: str, amount: float) -> None:
-        """Give back what was taken for a request that no runner has run."""
-        self._note_spent(customer, -amount)
+    def refund_quota(self, customer: str, amount: float) -> None:
+        """Refund the quota consumed for a request that no runner has run."""
+        self._record_spending(customer, -amount)
         message = QuotaSpent(customer=customer, amount=-amount)
         link = self._find_link()
         if link is not None:
@@ -179,75 +186,79 @@
             self.local.handle(message)
 
     async def async_request_permit(self, runner: RunnerEntry) -> float:
-        """Ask whether a request that needs no place may go to a limited runner.
+        """Request a permit to send a request that needs no grant to a limited runner.
 
         Returns:
-            0.0 if it may, otherwise the seconds until it can be asked again.
+            0.0 if it was granted, otherwise the seconds until the next permit request.
         """
         link = self._find_link()
         if link is None:
             return self.local.take_permit(runner)
-        request_id = f"permit/{next(self._numbers)}"
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        request_id = f"permit/{next(self._permit_numbers)}"
+        future: asyncio.Future[GrantResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
         self._permits[request_id] = future
-        grant_request = PermitRequest(
+        permit_request = PermitRequest(
             request_id=request_id,
             edge=self.incarnation,
             runner_id=runner.runner_id,
             started_ms=runner.started_ms,
         )
-        link.send(grant_request)
+        link.send(permit_request)
         try:
-            async with asyncio.timeout(PERMIT_S):
-                answer = await future
+            async with asyncio.timeout(PERMIT_TIMEOUT_S):
+                response = await future
         except TimeoutError:
             return RETRY_AFTER_PERMIT_S
         finally:
             del self._permits[request_id]
-        return answer.retry_after_s if isinstance(answer, Refuse) else 0.0
+        return response.retry_after_s if isinstance(response, Refuse) else 0.0
 
-    def report_signal(self, said: LimitReport | LeavingReport | CooldownReport) -> None:
-        """Tell the scheduler what a runner said of itself."""
+    def report_signal(
+        self, report: LimitReport | LeavingReport | CooldownReport
+    ) -> None:
+        """Report a signal of a runner to the scheduler."""
         link = self._find_link()
         if link is not None:
-            link.send(said)
+            link.send(report)
 
-    def _note_spent(self, customer: str, amount: float) -> None:
+    def _record_spending(self, customer: str, amount: float) -> None:
         self.spending.add(customer, amount, asyncio.get_running_loop().time())
 
     def _find_link(self) -> Link | None:
-        """Return the connection to a scheduler that grants; None if there is none."""
+        """Return the connection to the granting scheduler; None if there is none."""
         link = self.leader.link
         if link is None or not link.is_open or not self.leader.leading:
             return None
         return link
 
     def refuse_waiting(self, reason: str, retry_after_s: float) -> None:
-        """Refuse the requests that still wait for a place."""
-        for placed in list(self._placed.values()):
-            if placed.runner_id is None and not placed.future.done():
-                placed.future.set_result(
+        """Reject the requests that still wait for a grant."""
+        for tracked in list(self._requests.values()):
+            if tracked.runner_id is None and not tracked.future.done():
+                tracked.future.set_result(
                     Refuse(
                         edge=self.incarnation,
-                        request_id=placed.grant_request.request_id,
+                        request_id=tracked.grant_request.request_id,
                         retry_after_s=retry_after_s,
                         reason=reason,
                     )
                 )
 
-    def _note_answer(self, future: "asyncio.Future[Answer]") -> None:
+    def _record_response(self, future: "asyncio.Future[GrantResponse]") -> None:
         if future.cancelled():
             return
-        answer = future.result()
-        placed = self._placed.get(answer.request_id)
-        if placed is not None and isinstance(answer, Grant):
-            placed.runner_id = answer.runner_id
-            if placed.grant_request.cost > 0:
-                self._note_spent(
-                    placed.grant_request.customer, placed.grant_request.cost
+        response = future.result()
+        tracked = self._requests.get(response.request_id)
+        if tracked is not None and isinstance(response, Grant):
+            tracked.runner_id = response.runner_id
+            if tracked.grant_request.cost > 0:
+                self._record_spending(
+                    tracked.grant_request.customer, tracked.grant_request.cost
                 )
 
-    def _take(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         if isinstance(message, LimitReport):
             self.on_limit(message)
         elif isinstance(message, LeavingReport):
@@ -257,83 +268,87 @@
             if permit is not None:
                 permit.set_result(message)
             else:
-                # Where nobody waits any more, the request's end is on its way.
-                self._asks.resolve(message)
+                # If the request no longer waits, its end has been sent already.
+                self._pending.resolve(message)
 
-    def _adopt(self, link: Link) -> None:
-        """Tell a scheduler that begins to lead what runs where already, and ask it."""
-        self._granting = link
+    def _handle_leading(self, link: Link) -> None:
+        """Send this edge's state and waiting requests to a scheduler that now leads."""
+        self._granting_link = link
         rows = tuple(self.spending.list_all(asyncio.get_running_loop().time()))
         if rows:
             link.send(SpendingReported(rows=rows))
         for leaving in self.list_leaving():
             link.send(leaving)
-        for said in self.list_limits():
-            link.send(said)
+        for report in self.list_limits():
+            link.send(report)
         cooldowns = self.local.core.state.cooldowns
-        for rest in cooldowns.list_reports(self.incarnation, self.local.clock()):
-            link.send(rest)
-        for placed in self._placed.values():
-            if placed.runner_id is None:
+        for cooldown in cooldowns.list_reports(self.incarnation, self.local.clock()):
+            link.send(cooldown)
+        for tracked in self._requests.values():
+            if tracked.runner_id is None:
                 continue
-            if placed.link is None:
-                self.local.forget(placed.grant_request.request_id)
-            placed.link = link
+            if tracked.link is None:
+                self.local.remove_request(tracked.grant_request.request_id)
+            tracked.link = link
             link.send(
                 RequestAdopted(
-                    grant_request=placed.grant_request,
-                    runner_id=placed.runner_id,
-                    reading=placed.reading,
+                    grant_request=tracked.grant_request,
+                    runner_id=tracked.runner_id,
+                    reading=tracked.reading,
                 )
             )
-        for placed in self._take_held():
-            placed.link = link
-            link.send(placed.grant_request)
-            self._asks.add(placed.grant_request, placed.future)
+        for tracked in self._pop_waiting():
+            tracked.link = link
+            link.send(tracked.grant_request)
+            self._pending.add(tracked.grant_request, tracked.future)
 
-    def _move(self, link: Link) -> None:
-        """Hold what the lost scheduler was asked until another one is reached."""
+    def _handle_link_lost(self, link: Link) -> None:
+        """Hold the pending requests of a lost scheduler until another is reached."""
         loop = asyncio.get_running_loop()
-        if link is self._granting:
+        if link is self._granting_link:
             self.local.allow_overdraft(self.leader.list_exhausted())
-        if link is self._granting and self._holding is None:
-            self._holding = loop.call_later(HOLD_S, self._choose_alone)
-        for placed in self._placed.values():
-            if placed.link is link and placed.runner_id is not None:
-                placed.link = None
-                self.local.adopt(placed.grant_request, placed.runner_id, placed.reading)
-        for grant_request, future in self._asks.take_all():
-            placed = self._placed[grant_request.request_id]
-            placed.link = None
-            if self._holding is None or placed.held_before:
-                self.local.ask(grant_request, future)
+        if link is self._granting_link and self._failover_timer is None:
+            self._failover_timer = loop.call_later(FAILOVER_WAIT_S, self._grant_locally)
+        for tracked in self._requests.values():
+            if tracked.link is link and tracked.runner_id is not None:
+                tracked.link = None
+                self.local.adopt(
+                    tracked.grant_request, tracked.runner_id, tracked.reading
+                )
+        for grant_request, future in self._pending.pop_all():
+            tracked = self._requests[grant_request.request_id]
+            tracked.link = None
+            if self._failover_timer is None or tracked.has_waited:
+                self.local.request_grant(grant_request, future)
             else:
-                placed.held_since = loop.time()
-
-    def _choose_alone(self) -> None:
-        """Let the local placer answer, since no scheduler was reached in time."""
-        held = self._take_held()
-        if held:
-            log_event(log.LocalChoiceBegan(reason=f"{len(held)} requests wait"))
-        for placed in held:
-            self.local.ask(placed.grant_request, placed.future)
-
-    def _take_held(self) -> list[Placed]:
-        """Return the requests that wait for a scheduler, with what is left of time."""
-        if self._holding is not None:
-            self._holding.cancel()
-            self._holding = None
+                tracked.waiting_since = loop.time()
+
+    def _grant_locally(self) -> None:
+        """Grant the held requests locally, since no scheduler was reached in time."""
+        waiting = self._pop_waiting()
+        if waiting:
+            log_event(
+                log.LocalChoiceBegan(reason=f"{len(waiting)} requests are waiting")
+            )
+        for tracked in waiting:
+            self.local.request_grant(tracked.grant_request, tracked.future)
+
+    def _pop_waiting(self) -> list[TrackedRequest]:
+        """End the wait for a scheduler and return the requests with their time left."""
+        if self._failover_timer is not None:
+            self._failover_timer.cancel()
+            self._failover_timer = None
         now = asyncio.get_running_loop().time()
-        taken = []
-        for placed in self._placed.values():
-            if placed.held_since is None or placed.future.done():
+        waiting_requests = []
+        for tracked in self._requests.values():
+            if tracked.waiting_since is None or tracked.future.done():
                 continue
-            held_s = now - placed.held_since
-            placed.held_since, placed.held_before = None, True
-            placed.grant_request = evolve(
-                placed.grant_request,
-                objective_left_s=placed.grant_request.objective_left_s - held_s,
-                patience_left_s=placed.grant_request.patience_left_s - held_s,
+            waited_s = now - tracked.waiting_since
+            tracked.waiting_since, tracked.has_waited = None, True
+            tracked.grant_request = evolve(
+                tracked.grant_request,
+                objective_left_s=tracked.grant_request.objective_left_s - waited_s,
+                patience_left_s=tracked.grant_request.patience_left_s - waited_s,
             )
-            taken.append(placed)
-        return taken
+            waiting_requests.append(tracked)
+        return waiting_requests
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -1,9 +1,9 @@
-"""Encodes the messages between edges and the scheduler.
+"""Encoding of the messages between edges and the scheduler.
 
-A frame is a length of four bytes, a byte that says whether the rest is compressed, and
-a JSON list of messages, each a list that begins with its kind. grpclib was weighed: its
-HTTP/2 framing in Python costs more processor time a message than the decision that the
-message asks for.
+A frame is a length of four bytes, a byte that marks compression, and a JSON list of
+messages. Each message is a list whose first element is the message kind. grpclib is
+not used because its HTTP/2 framing in Python takes more CPU time per message than the
+scheduling decision itself.
 """
 
 import base64
@@ -34,40 +34,42 @@
     SpendingReported,
 )
 from .messages import (
-    ClockAsked,
-    ClockTold,
+    ClockRequest,
+    ClockResponse,
     Heartbeat,
     Hello,
     Message,
     RelayedStatement,
-    StateChanged,
-    StateRead,
+    StoreChanges,
+    StoreSnapshot,
 )
 
 MS_PER_S: Final = 1000.0
 LENGTH: Final = struct.Struct(">I")
-PLAIN: Final = b"\x00"
+UNCOMPRESSED: Final = b"\x00"
 COMPRESSED: Final = b"\x01"
-IN_BASE64: Final = 1
-"""Ends the row of an item whose value is no text."""
+BASE64_MARKER: Final = 1
+"""Last element of the row of an item whose value is binary."""
 
-PLAIN_ROW: Final = 4
-"""Length of the row of any other item."""
+TEXT_ROW_LENGTH: Final = 4
+"""Length of the row of an item whose value is text."""
 
-COMPRESSED_FROM_BYTES: Final = 2048
-"""Size from which a frame is compressed: configurations and readings of the store, in
-which text repeats. Messages about requests stay below it, and cost no time."""
+MIN_COMPRESSED_BYTES: Final = 2048
+"""Payload size from which a frame is compressed. Configurations and snapshots of the
+store exceed it and contain repeated text. Messages about requests stay below it, so no
+time is spent on compressing them."""
 
 COMPRESSION_LEVEL: Final = 6
-"""A configuration of 119 routes shrinks to a tenth in about a millisecond."""
+"""At this level, a configuration of 119 routes is compressed to a tenth of its size in
+about a millisecond."""
 
 MAX_FRAME_BYTES: Final = 1 << 24
-"""Largest frame. All keys of a store with 12,000 runners take some 10 MB; a message
-about a request takes some hundred bytes."""
+"""Largest frame. All keys of a store with 12,000 runners take about 10 MB; a message
+about a request takes a few hundred bytes."""
 
 
 class CodecError(Exception):
-    """Bytes that are no frame of messages."""
+    """The received bytes are not a valid frame of messages."""
 
 
 MessageT = TypeVar("MessageT", bound=Message)
@@ -80,7 +82,7 @@
 def encodes(
     cls: type[MessageT],
 ) -> Callable[[Callable[[MessageT], list[Any]]], Callable[[MessageT], list[Any]]]:
-    """Register the encoder of a kind of message."""
+    """Register the encoder of a message class."""
 
     def register(
         encode: Callable[[MessageT], list[Any]],
@@ -92,7 +94,7 @@
 
 
 def decodes(kind: str) -> Callable[[Decoder], Decoder]:
-    """Register the decoder of a kind of message."""
+    """Register the decoder of a message kind."""
 
     def register(decode: Decoder) -> Decoder:
         _decoders[kind] = decode
@@ -104,8 +106,8 @@
 def encode_frame(messages: list[Message]) -> bytes:
     """Encode messages as one frame."""
     payload = orjson.dumps([_encoders[type(each)](each) for each in messages])
-    if len(payload) < COMPRESSED_FROM_BYTES:
-        return LENGTH.pack(len(payload) + 1) + PLAIN + payload
+    if len(payload) < MIN_COMPRESSED_BYTES:
+        return LENGTH.pack(len(payload) + 1) + UNCOMPRESSED + payload
     packed = zlib.compress(payload, COMPRESSION_LEVEL)
     return LENGTH.pack(len(packed) + 1) + COMPRESSED + packed
 
@@ -114,11 +116,11 @@
     """Decode the payload of a frame.
 
     Args:
-        payload: What follows the length.
+        payload: The bytes after the length.
         edge: Incarnation of the edge at one end of the connection.
 
     Raises:
-        CodecError: If it can't be read.
+        CodecError: If the payload is invalid.
     """
     try:
         body = payload[1:]
@@ -126,17 +128,17 @@
             body = zlib.decompress(body)
         return [_decoders[each[0]](each, edge) for each in orjson.loads(body)]
     except (KeyError, IndexError, TypeError, ValueError, zlib.error) as error:
-        raise CodecError(f"not a frame: {error!r}") from error
+        raise CodecError(f"invalid frame: {error!r}") from error
 
 
 class FrameReader:
-    """Cuts received bytes into the payloads of frames."""
+    """Splits received bytes into the payloads of frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the payloads that are complete with these bytes.
+        """Return the payloads that these bytes complete.
 
         Raises:
             CodecError: If a frame is too large.
@@ -146,7 +148,7 @@
         while len(self._buffer) >= LENGTH.size:
             (length,) = LENGTH.unpack_from(self._buffer)
             if length > MAX_FRAME_BYTES:
-                raise CodecError(f"a frame of {length} bytes")
+                raise CodecError(f"frame of {length} bytes is too large")
             end = LENGTH.size + length
             if len(self._buffer) < end:
                 break
@@ -181,7 +183,7 @@
 @encodes(Heartbeat)
 def _encode_heartbeat(message: Heartbeat) -> list[Any]:
     age_s = round(message.store_age_s, 3)
-    # Rounded up, the time would say more than is known.
+    # Rounding up would include changes that may not have been relayed yet.
     known_at = math.floor(message.known_at * MS_PER_S) / MS_PER_S
     fields = ["beat", message.leading, age_s, round(message.period_s, 3), known_at]
     waits = [[name, round(wait_s, 3)] for name, wait_s in message.exhausted]
@@ -199,28 +201,28 @@
     )
 
 
-@encodes(ClockAsked)
-def _encode_clock_asked(message: ClockAsked) -> list[Any]:
-    return ["clock?", message.asked_at]
+@encodes(ClockRequest)
+def _encode_clock_request(message: ClockRequest) -> list[Any]:
+    return ["clock?", message.requested_at]
 
 
 @decodes("clock?")
-def _decode_clock_asked(fields: list[Any], edge: str) -> Message:
-    return ClockAsked(asked_at=fields[1])
+def _decode_clock_request(fields: list[Any], edge: str) -> Message:
+    return ClockRequest(requested_at=fields[1])
 
 
-@encodes(ClockTold)
-def _encode_clock_told(message: ClockTold) -> list[Any]:
-    return ["clock", message.asked_at, message.clock_s]
+@encodes(ClockResponse)
+def _encode_clock_response(message: ClockResponse) -> list[Any]:
+    return ["clock", message.requested_at, message.clock_s]
 
 
 @decodes("clock")
-def _decode_clock_told(fields: list[Any], edge: str) -> Message:
-    return ClockTold(asked_at=fields[1], clock_s=fields[2])
+def _decode_clock_response(fields: list[Any], edge: str) -> Message:
+    return ClockResponse(requested_at=fields[1], clock_s=fields[2])
 
 
-@encodes(StateRead)
-def _encode_state_read(message: StateRead) -> list[Any]:
+@encodes(StoreSnapshot)
+def _encode_store_snapshot(message: StoreSnapshot) -> list[Any]:
     items = [_encode_item(each) for each in message.items]
     return [
         "state",
@@ -232,8 +234,8 @@
 
 
 @decodes("state")
-def _decode_state_read(fields: list[Any], edge: str) -> Message:
-    return StateRead(
+def _decode_store_snapshot(fields: list[Any], edge: str) -> Message:
+    return StoreSnapshot(
         revision=fields[1],
         keys=tuple(fields[2]),
         items=tuple(_decode_item(each) for each in fields[3]),
@@ -241,8 +243,8 @@
     )
 
 
-@encodes(StateChanged)
-def _encode_state_changed(message: StateChanged) -> list[Any]:
+@encodes(StoreChanges)
+def _encode_store_changes(message: StoreChanges) -> list[Any]:
     rows = [
         [
             each.key,
@@ -255,7 +257,7 @@
 
 
 @decodes("changes")
-def _decode_state_changed(fields: list[Any], edge: str) -> Message:
+def _decode_store_changes(fields: list[Any], edge: str) -> Message:
     changes = tuple(
         Change(
             key=row[0],
@@ -264,38 +266,38 @@
         )
         for row in fields[2]
     )
-    return StateChanged(
+    return StoreChanges(
         changes=Changes(changes=changes, revision=fields[1]), retention_s=fields[3]
     )
 
 
 def _encode_item(item: Item) -> list[Any]:
     try:
-        # Most values are text, which compresses to half of what base64 does.
+        # Most values are text, which compresses to half the size of its base64 form.
         return [item.key, item.revision, item.lease_id, item.value.decode()]
     except UnicodeDecodeError:
         value = base64.b64encode(item.value).decode()
-        return [item.key, item.revision, item.lease_id, value, IN_BASE64]
+        return [item.key, item.revision, item.lease_id, value, BASE64_MARKER]
 
 
 def _decode_item(row: list[Any]) -> Item:
-    in_base64 = len(row) > PLAIN_ROW
+    in_base64 = len(row) > TEXT_ROW_LENGTH
     value = base64.b64decode(row[3]) if in_base64 else row[3].encode()
     return Item(key=row[0], revision=row[1], lease_id=row[2], value=value)
 
 
 @encodes(RelayedStatement)
-def _encode_told(message: RelayedStatement) -> list[Any]:
+def _encode_statement(message: RelayedStatement) -> list[Any]:
     return ["told", message.key, message.value.decode()]
 
 
 @decodes("told")
-def _decode_told(fields: list[Any], edge: str) -> Message:
+def _decode_statement(fields: list[Any], edge: str) -> Message:
     return RelayedStatement(key=fields[1], value=fields[2].encode())
 
 
 @encodes(GrantRequest)
-def _encode_asked(message: GrantRequest) -> list[Any]:
+def _encode_grant_request(message: GrantRequest) -> list[Any]:
     prompt = message.prompt
     return [
         "ask",
@@ -319,7 +321,7 @@
     ]
 
 
-def _decode_asked(fields: list[Any], edge: str) -> GrantRequest:
+def _decode_grant_request(fields: list[Any], edge: str) -> GrantRequest:
     return GrantRequest(
         edge=edge,
         request_id=fields[1],
@@ -344,31 +346,31 @@
     )
 
 
-_decoders["ask"] = _decode_asked
+_decoders["ask"] = _decode_grant_request
 
 
 @encodes(RequestAdopted)
 def _encode_adopted(message: RequestAdopted) -> list[Any]:
-    grant_request = _encode_asked(message.grant_request)
+    grant_request = _encode_grant_request(message.grant_request)
     return ["adopt", grant_request, message.runner_id, message.reading]
 
 
 @decodes("adopt")
 def _decode_adopted(fields: list[Any], edge: str) -> Message:
     return RequestAdopted(
-        grant_request=_decode_asked(fields[1], edge),
+        grant_request=_decode_grant_request(fields[1], edge),
         runner_id=fields[2],
         reading=fields[3],
     )
 
 
 @encodes(FirstEventSeen)
-def _encode_first(message: FirstEventSeen) -> list[Any]:
+def _encode_first_event(message: FirstEventSeen) -> list[Any]:
     return ["first", message.request_id]
 
 
 @decodes("first")
-def _decode_first(fields: list[Any], edge: str) -> Message:
+def _decode_first_event(fields: list[Any], edge: str) -> Message:
     return FirstEventSeen(edge=edge, request_id=fields[1])
 
 
@@ -383,12 +385,12 @@
 
 
 @encodes(QuotaSpent)
-def _encode_spent(message: QuotaSpent) -> list[Any]:
+def _encode_quota_spent(message: QuotaSpent) -> list[Any]:
     return ["spent", message.customer, message.amount]
 
 
 @decodes("spent")
-def _decode_spent(fields: list[Any], edge: str) -> Message:
+def _decode_quota_spent(fields: list[Any], edge: str) -> Message:
     return QuotaSpent(customer=fields[1], amount=fields[2])
 
 
@@ -464,12 +466,12 @@
 
 
 @encodes(PermitRequest)
-def _encode_permit(message: PermitRequest) -> list[Any]:
+def _encode_permit_request(message: PermitRequest) -> list[Any]:
     return ["permit", message.request_id, message.runner_id, message.started_ms]
 
 
 @decodes("permit")
-def _decode_permit(fields: list[Any], edge: str) -> Message:
+def _decode_permit_request(fields: list[Any], edge: str) -> Message:
     return PermitRequest(
         edge=edge, request_id=fields[1], runner_id=fields[2], started_ms=fields[3]
     )
@@ -486,13 +488,13 @@
 
 
 @encodes(CooldownReport)
-def _encode_rest(message: CooldownReport) -> list[Any]:
+def _encode_cooldown(message: CooldownReport) -> list[Any]:
     rest_s = round(message.rest_s, 4)
     return ["rest", message.runner_id, message.started_ms, rest_s]
 
 
 @decodes("rest")
-def _decode_rest(fields: list[Any], edge: str) -> Message:
+def _decode_cooldown(fields: list[Any], edge: str) -> Message:
     return CooldownReport(
         edge=edge, runner_id=fields[1], started_ms=fields[2], rest_s=fields[3]
     )
--- a/mangoway/scheduling/grant_provider.py
+++ b/mangoway/scheduling/grant_provider.py
@@ -1,4 +1,4 @@
-"""How an edge asks for a place at a runner, whoever answers."""
+"""The interface through which an edge requests grants."""
 
 import asyncio
 from typing import Protocol
@@ -8,50 +8,52 @@
 from ..models.runner import RunnerEntry
 from ..policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
 
-Answer = Grant | Refuse
+GrantResponse = Grant | Refuse
 
 
 class GrantProvider(Protocol):
-    """Finds places for requests."""
+    """Grants requests the right to be sent to a runner."""
 
-    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
-        """Ask for a place; the future gets the answer."""
+    def request_grant(
+        self, grant_request: GrantRequest
+    ) -> "asyncio.Future[GrantResponse]":
+        """Request a grant; the future receives the response."""
         ...
 
-    def note_first_event(self, request_id: str) -> None:
-        """Say that the first event of a granted request came."""
+    def report_first_event(self, request_id: str) -> None:
+        """Report that the first event of a granted request arrived."""
         ...
 
-    def end(self, request_id: str, kind: EndKind) -> None:
-        """Say that a request is over at its runner, or waits no more."""
+    def end_request(self, request_id: str, kind: EndKind) -> None:
+        """Report that a request has ended at its runner or no longer waits."""
         ...
 
     def consume_quota(self, customer: str, amount: float) -> float:
-        """Take an amount of a customer's quota for a request that needs no place.
+        """Consume an amount of a customer's quota for a request that needs no grant.
 
         Returns:
-            0.0 if it was taken, otherwise the seconds until it can be.
+            0.0 if the amount was consumed, otherwise the seconds until it can be.
         """
         ...
 
-    def give_back(self, customer: str, amount: float) -> None:
-        """Give back what was taken for a request that no runner has run."""
+    def refund_quota(self, customer: str, amount: float) -> None:
+        """Refund the quota consumed for a request that no runner has run."""
         ...
 
     async def async_request_permit(self, runner: RunnerEntry) -> float:
-        """Ask whether a request that needs no place may go to a limited runner.
+        """Request a permit to send a request that needs no grant to a limited runner.
 
         Returns:
-            0.0 if it may, otherwise the seconds until it can be asked again.
+            0.0 if it was granted, otherwise the seconds until the next permit request.
         """
         ...
 
 
 @define(eq=False)
-class OpenAsks:
-    """Requests that wait for an answer."""
+class PendingRequests:
+    """Grant requests that wait for a response."""
 
-    _futures: "dict[str, tuple[GrantRequest, asyncio.Future[Answer]]]" = field(
+    _futures: "dict[str, tuple[GrantRequest, asyncio.Future[GrantResponse]]]" = field(
         factory=dict, init=False
     )
 
@@ -61,27 +63,27 @@
     def add(
         self,
         grant_request: GrantRequest,
-        future: "asyncio.Future[Answer] | None" = None,
-    ) -> "asyncio.Future[Answer]":
-        """Add a request; an earlier future of it may be kept."""
+        future: "asyncio.Future[GrantResponse] | None" = None,
+    ) -> "asyncio.Future[GrantResponse]":
+        """Add a request, with its earlier future if it has one."""
         future = future or asyncio.get_running_loop().create_future()
         self._futures[grant_request.request_id] = (grant_request, future)
         return future
 
-    def resolve(self, answer: Answer) -> bool:
-        """Hand an answer to who waits for it; False if nobody does any more."""
-        entry = self._futures.pop(answer.request_id, None)
+    def resolve(self, response: GrantResponse) -> bool:
+        """Resolve a request's future; return False if the request no longer waits."""
+        entry = self._futures.pop(response.request_id, None)
         if entry is None or entry[1].done():
             return False
-        entry[1].set_result(answer)
+        entry[1].set_result(response)
         return True
 
-    def drop(self, request_id: str) -> None:
-        """Forget a request that waits no more."""
+    def remove(self, request_id: str) -> None:
+        """Forget a request that no longer waits."""
         self._futures.pop(request_id, None)
 
-    def take_all(self) -> "list[tuple[GrantRequest, asyncio.Future[Answer]]]":
-        """Return all and forget them."""
+    def pop_all(self) -> "list[tuple[GrantRequest, asyncio.Future[GrantResponse]]]":
+        """Remove and return all requests that still wait."""
         entries = [each for each in self._futures.values() if not each[1].done()]
         self._futures.clear()
         return entries
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -1,4 +1,4 @@
-"""A connection to the leading scheduler, which passes on what the store says."""
+"""A connection to the leading scheduler, which relays the state of the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,104 +14,105 @@
 from ..observability.event_log import log_event
 from ..util.address import split_address
 from ..util.ticks import async_sleep_to_tick
+from .connection_backoff import ConnectionBackoff
 from .link import Link
 from .messages import (
-    ClockTold,
+    ClockResponse,
     Heartbeat,
     Hello,
     Message,
     RelayedStatement,
-    StateChanged,
-    StateRead,
+    StoreChanges,
+    StoreSnapshot,
 )
-from .patience import Patience
 from .remote_clock import RemoteClock
 
 CHECK_S: Final = 0.1
-"""Time between two looks at the connection."""
+"""Time between two checks of the connection."""
 
 SILENCE_S: Final = 0.5
 SILENT_HEARTBEATS: Final = 3.3
-"""Silence from which the scheduler counts as gone, and the same in heartbeats, where
-these are rarer. Callers want the first event within 0.4 s, so that what waits can still
-be on time only if the loss is noticed before."""
+"""Silence after which the scheduler counts as lost, in seconds and in heartbeat
+periods; the longer one applies. Callers expect the first event within 0.4 s, so waiting
+requests can be on time only if the loss is detected before."""
 
 SEED_WAIT_S: Final = 0.6
-"""Time from the start in which a process reads the store before it asks a seed. Who has
-read it lacks little when it comes to the leader; who asks a seed as well gets all keys
-a second time, mostly from another data centre."""
+"""Time after its start in which a process reads the store before it connects to a seed.
+A process that has read the store lacks few changes when it connects to the leader. One
+that connects to a seed as well receives all keys a second time, mostly from another
+data centre."""
 
-STORE_SILENCE_S: Final = 0.65
-"""Age of the leader's last answer from the store, with the time between two heartbeats
-on top, from which others read themselves. Its watch waits 0.4 s; the rest is for a slow
-store."""
+MAX_STORE_AGE_S: Final = 0.65
+"""Age of the leader's last response from the store, on top of the heartbeat period,
+from which followers read the store themselves. The leader's watch waits 0.4 s; the rest
+is a margin for a slow store."""
 
 
 @define(eq=False)
 class LeaderLink:
-    """Follows the leader, whoever it is."""
+    """Keeps a connection to the current leader, or to a standby without one."""
 
     hello: Hello
     view: FleetView
     clock: Callable[[], float]
     on_message: Callable[[Message], None] = lambda message: None
-    """Told of messages that are not about the store."""
+    """Called with each message that is not about the store."""
 
     on_statement: Callable[[RelayedStatement], None] = lambda message: None
-    """Told of statements on crashes."""
+    """Called with each relayed crash statement."""
 
     on_leading: Callable[[Link], None] = lambda link: None
-    """Told of a connection whose other end begins to lead."""
+    """Called with the connection when its other end starts to lead."""
 
     on_lost: Callable[[Link], None] = lambda link: None
     mirror: Mirror | None = None
-    """Gets what the leader reads in the store."""
+    """Receives the state of the store that the leader relays."""
 
     seeds: tuple[str, ...] = ()
-    """Addresses of schedulers to ask while neither store nor leader is known."""
+    """Schedulers to connect to while neither the store nor a leader is known."""
 
     random: Random = field(factory=Random)
 
     link: Link | None = field(default=None, init=False)
     leading: bool = field(default=False, init=False)
-    """Whether the other end says that it leads."""
+    """Whether the other end reports that it leads."""
 
     _address: str = field(default="", init=False)
-    _avoided: dict[str, float] = field(factory=dict, init=False)
-    """Addresses that were silent or not reached, and until when they are left alone."""
+    _skipped_until: dict[str, float] = field(factory=dict, init=False)
+    """Addresses that were silent or unreachable, and until when they are skipped."""
 
-    _patience: Patience = field(init=False)
+    _backoff: ConnectionBackoff = field(init=False)
     _remote_clock: RemoteClock | None = field(default=None, init=False)
-    """That of the other end of the connection."""
+    """Clock of the other end of the connection."""
 
-    _greeted: bool = field(default=False, init=False)
+    _is_handshake_done: bool = field(default=False, init=False)
 
-    _passed_over: str | None = field(default=None, init=False)
+    _skipped_leader: str | None = field(default=None, init=False)
     """The leader's address while the connection is to a standby; empty if there was no
     leader, None if the connection is to the leader."""
 
-    _try_leader_at: float = field(default=0.0, init=False)
-    """When a standby that doesn't grant is left for the leader again."""
+    _retry_leader_at: float = field(default=0.0, init=False)
+    """Time from which the leader is tried again if the standby does not grant."""
 
     _store_age_s: float = field(default=1e9, init=False)
     _period_s: float = field(default=0.0, init=False)
-    """Time between two heartbeats, as the other end says."""
+    """Time between two heartbeats, as reported by the other end."""
 
     _has_state: bool = field(default=False, init=False)
     _seeds_from: float = field(default=0.0, init=False)
-    """Time from which seeds are asked while nothing is known."""
+    """Time from which seeds are tried while no configuration is known."""
 
     _exhausted_until: dict[str, float] = field(factory=dict, init=False)
-    """Customers who have nothing left of their quotas, and until when."""
+    """Customers with an exhausted quota, and until when it is exhausted."""
 
     def __attrs_post_init__(self) -> None:
-        self._patience = Patience(self.random)
+        self._backoff = ConnectionBackoff(self.random)
 
     async def async_run(self) -> None:
         """Keep a connection to the leader until cancelled."""
         self._seeds_from = self.clock() + SEED_WAIT_S
         while True:
-            await self._async_follow()
+            await self._async_update_connection()
             await async_sleep_to_tick(CHECK_S)
 
     def close(self, reason: str = "this process stops") -> None:
@@ -120,40 +121,41 @@
             self.link.close(reason)
 
     def send_statement(self, message: RelayedStatement) -> bool:
-        """Tell the other end, which tells all others; False if there is none."""
+        """Send a statement for the other end to relay; False if not connected."""
         if self.link is None or not self.link.is_open:
             return False
         self.link.send(message)
         return True
 
-    def measure_exhausted(self, customer: str) -> float:
-        """Return the seconds until a customer has something left of its quota."""
+    def measure_quota_wait(self, customer: str) -> float:
+        """Return the seconds until a customer's quota is available again."""
         return max(0.0, self._exhausted_until.get(customer, 0.0) - self.clock())
 
     def list_exhausted(self) -> list[str]:
-        """Return the customers who had nothing left when that was last heard."""
+        """Return the customers whose quota was exhausted at the last heartbeat."""
         return list(self._exhausted_until)
 
     def is_fresh(self) -> bool:
-        """Return whether the leader has passed on what the store said lately."""
+        """Return whether the leader has relayed recent state of the store."""
         link = self.link
-        # One that doesn't lead may itself follow others: none of them would read.
+        # A scheduler that doesn't lead may itself follow this process or another one;
+        # then none of them would read the store.
         if link is None or not self.leading or not self._has_state:
             return False
         age_s = self._store_age_s + self.clock() - link.last_received_at
-        return age_s < STORE_SILENCE_S + self._period_s
+        return age_s < MAX_STORE_AGE_S + self._period_s
 
-    async def _async_follow(self) -> None:
+    async def _async_update_connection(self) -> None:
         leader = self.view.leader
         address = self._choose_address()
         if leader is not None and leader.member.incarnation == self.hello.edge:
-            # This process leads itself.
+            # This process is the leader.
             self.close("this process leads")
             return
         if self.link is not None:
             self._check_link(self.link, address)
-        if self.link is None and address and not self._is_avoided(address):
-            self._passed_over = None
+        if self.link is None and address and not self._is_skipped(address):
+            self._skipped_leader = None
             await self._async_connect(address)
         if (
             self.link is None
@@ -163,36 +165,38 @@
             await self._async_connect_standby(address)
 
     def _check_link(self, link: Link, leader: str) -> None:
-        """Close a connection that is silent, or that another one should replace."""
-        if self.clock() - link.last_received_at > self._bear_silence():
-            self._avoid(self._address)
-            self.close("it is silent")
-        elif self._passed_over is None:
+        """Close the connection if it is silent or should be replaced."""
+        if self.clock() - link.last_received_at > self._get_max_silence():
+            self._skip(self._address)
+            self.close("the scheduler is silent")
+        elif self._skipped_leader is None:
             if leader and leader != self._address:
                 self.close("another scheduler leads")
         elif leader == self._address:
-            self._passed_over = None
-        elif leader and leader != self._passed_over:
+            self._skipped_leader = None
+        elif leader and leader != self._skipped_leader:
             self.close("another scheduler leads")
-        elif leader and not self.leading and self.clock() >= self._try_leader_at:
-            self.close("the leader is tried again")
+        elif leader and not self.leading and self.clock() >= self._retry_leader_at:
+            self.close("retrying the leader")
 
     async def _async_connect_standby(self, leader: str) -> None:
-        """Connect to a standby, which grants places if it has lost the leader as well.
+        """Connect to a standby, which grants if it has lost the leader as well.
 
-        All edges try the same one first: one that knows of all requests fills runners
-        to their limits, where 200 edges that choose alone overfill each of them.
+        All edges try the same standby first. A standby that has all requests fills
+        runners up to their limits, whereas 200 edges that grant requests locally exceed
+        the limit of each runner.
         """
         for address in self._list_standbys(leader):
-            if self._is_avoided(address):
+            if self._is_skipped(address):
                 continue
-            self._passed_over = leader
-            # Left alone for just as long: later it would be passed over again.
-            self._try_leader_at = self._avoid(leader)
+            self._skipped_leader = leader
+            # If the leader were skipped beyond this time, the next attempt would
+            # connect to a standby again.
+            self._retry_leader_at = self._skip(leader)
             await self._async_connect(address)
             if self.link is not None:
                 return
-            self._avoid(address)
+            self._skip(address)
 
     def _list_standbys(self, leader: str) -> list[str]:
         members = sorted(self.view.members.items())
@@ -202,87 +206,89 @@
             if each.role is Role.SCHEDULER and each.peer_address not in ("", leader)
         ]
 
-    def _avoid(self, address: str) -> float:
-        """Leave a scheduler alone for a while; returns until when."""
-        until = self.clock() + self._patience.choose_pause()
-        self._avoided[address] = until
+    def _skip(self, address: str) -> float:
+        """Skip a scheduler for a while; return the end of that time."""
+        until = self.clock() + self._backoff.choose_retry_delay()
+        self._skipped_until[address] = until
         return until
 
-    def _is_avoided(self, address: str) -> bool:
-        return self.clock() < self._avoided.get(address, 0.0)
+    def _is_skipped(self, address: str) -> bool:
+        return self.clock() < self._skipped_until.get(address, 0.0)
 
-    def _bear_silence(self) -> float:
-        if not self._greeted:
-            return self._patience.choose_greeting(len(self.view.members))
+    def _get_max_silence(self) -> float:
+        if not self._is_handshake_done:
+            return self._backoff.get_handshake_timeout(len(self.view.members))
         return max(SILENCE_S, SILENT_HEARTBEATS * self._period_s)
 
     def _choose_address(self) -> str:
-        """Return the leader's address, or a seed's while nothing is known at all."""
+        """Return the leader's address, or a seed's while no configuration is known."""
         leader = self.view.leader
         if leader is not None and not self.hello.requests_grants:
             if leader.member.host == self.hello.host:
-                # An earlier life of this process, which has ended.
+                # The entry belongs to an earlier incarnation, which has ended.
                 return ""
         if leader is not None:
             return leader.member.peer_address
-        asks_seeds = self.view.table is None and self.clock() >= self._seeds_from
-        if asks_seeds and self.seeds and self.link is None:
+        uses_seeds = self.view.table is None and self.clock() >= self._seeds_from
+        if uses_seeds and self.seeds and self.link is None:
             return self.random.choice(self.seeds)
         return ""
 
     async def _async_connect(self, address: str) -> None:
         loop = asyncio.get_running_loop()
         host, port = split_address(address)
-        link = Link(self.hello.edge, self._take, self._lose)
+        link = Link(self.hello.edge, self._handle_message, self._handle_connection_lost)
         try:
-            async with asyncio.timeout(self._patience.choose_timeout()):
+            async with asyncio.timeout(self._backoff.get_connect_timeout()):
                 await loop.create_connection(lambda: link, host, port)
         except TimeoutError:
-            # Tried again soon; that no scheduler answers was logged when it was lost.
-            self._patience.note_failed()
+            # The connection is retried soon. Its loss has been logged already.
+            self._backoff.record_failure()
             return
         except OSError:
-            # Nobody listens there, as while it starts: no reason to wait for longer.
+            # Nothing listens there, for example during a start, so the backoff does
+            # not grow.
             return
-        self.link, self._address, self._greeted = link, address, False
+        self.link, self._address, self._is_handshake_done = link, address, False
         self.leading, self._has_state, self._store_age_s = False, False, 1e9
-        known = 0 if self.mirror is None else self.mirror.revision or 0
-        link.send(evolve(self.hello, revision=known))
+        known_revision = 0 if self.mirror is None else self.mirror.revision or 0
+        link.send(evolve(self.hello, revision=known_revision))
         if self.mirror is not None:
             self._remote_clock = RemoteClock(self.mirror.boot_clock)
-            link.send(self._remote_clock.ask())
+            link.send(self._remote_clock.make_request())
         log_event(log.LinkOpened(peer=address))
 
-    def _take(self, link: Link, message: Message) -> None:
+    def _handle_message(self, link: Link, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            self._greeted = True
-            self._patience.note_greeted()
-            begins = message.leading and not self.leading
+            self._is_handshake_done = True
+            self._backoff.record_handshake()
+            starts_leading = message.leading and not self.leading
             self.leading = message.leading
             self._store_age_s = message.store_age_s
             self._period_s = message.period_s
-            self._note_known(link, message.known_at)
+            self._record_known_at(link, message.known_at)
             now = self.clock()
             self._exhausted_until = {
                 name: now + wait_s for name, wait_s in message.exhausted
             }
-            if begins:
+            if starts_leading:
                 self.on_leading(link)
-        elif isinstance(message, StateRead | StateChanged):
-            self._take_state(message)
-        elif isinstance(message, ClockTold):
+        elif isinstance(message, StoreSnapshot | StoreChanges):
+            self._handle_state(message)
+        elif isinstance(message, ClockResponse):
             if self._remote_clock is not None:
-                self._remote_clock.take(message)
+                self._remote_clock.handle_response(message)
         elif isinstance(message, RelayedStatement):
             self.on_statement(message)
         else:
             self.on_message(message)
 
-    def _note_known(self, link: Link, known_at: float) -> None:
-        """Note up to when the other end has passed on all that the store says.
+    def _record_known_at(self, link: Link, known_at: float) -> None:
+        """Record the time up to which the other end has relayed all store changes.
 
-        Heartbeats may lie unread for long while this host is suspended, so what counts
-        is when the other end asked the store, on our clock, and not when they come.
+        Heartbeats may stay unread for long while this host is suspended. The relevant
+        time is therefore when the other end queried the store, converted to the local
+        clock, and not when the heartbeat is read.
         """
         clock = self._remote_clock
         if self.mirror is None or clock is None or not self._has_state:
@@ -290,27 +296,27 @@
         at = clock.convert(known_at)
         if at is not None:
             self.mirror.note_known(at)
-        if clock.should_ask():
-            link.send(clock.ask())
+        if clock.should_request():
+            link.send(clock.make_request())
 
-    def _take_state(self, message: StateRead | StateChanged) -> None:
+    def _handle_state(self, message: StoreSnapshot | StoreChanges) -> None:
         if self.mirror is None:
             return
         if message.retention_s > 0:
             self.mirror.receiver.note_outage_ended(message.retention_s)
-        if isinstance(message, StateRead):
+        if isinstance(message, StoreSnapshot):
             self.mirror.take_reading(message.keys, message.items, message.revision)
             self._has_state = True
         elif self._has_state or self.mirror.revision is not None:
-            # The first ones on a connection are those since the revision of the hello.
+            # The first changes on a connection start at the revision of the hello.
             self._has_state = True
             self.mirror.take_changes(message.changes)
 
-    def _lose(self, link: Link, reason: str) -> None:
+    def _handle_connection_lost(self, link: Link, reason: str) -> None:
         if link is not self.link:
             return
-        if not self._greeted:
-            self._patience.note_failed()
+        if not self._is_handshake_done:
+            self._backoff.record_failure()
         self.link, self.leading = None, False
         log_event(log.LinkLost(peer=self._address, reason=reason))
         self.on_lost(link)
--- a/mangoway/scheduling/link.py
+++ b/mangoway/scheduling/link.py
@@ -8,11 +8,11 @@
 from .messages import Message
 
 MAX_UNSENT_BYTES: Final = 1 << 20
-"""Unsent bytes from which the other end counts as gone: thousands of messages."""
+"""Unsent bytes, thousands of messages, above which the connection is closed."""
 
 
 class Link(asyncio.Protocol):
-    """Sends and receives messages; those of one turn of the loop go out together."""
+    """Sends and receives messages; those of one event loop turn share a frame."""
 
     def __init__(
         self,
@@ -21,17 +21,17 @@
         on_lost: "Callable[[Link, str], None]",
     ) -> None:
         self.edge = edge
-        """Incarnation of the edge; empty at the scheduler until it said hello."""
+        """Incarnation of the edge; empty at the scheduler until the hello arrives."""
 
         self._on_message = on_message
         self._on_lost = on_lost
-        self._frames = FrameReader()
+        self._frame_reader = FrameReader()
         self._loop = asyncio.get_running_loop()
         self._outgoing: list[Message] = []
         self._transport: asyncio.Transport | None = None
         self._closed = False
         self.last_received_at = self._loop.time()
-        """When the last bytes came."""
+        """When the last bytes were received, in the event loop's time."""
 
     @property
     def is_open(self) -> bool:
@@ -39,26 +39,28 @@
         return self._transport is not None and not self._closed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Store the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the other end."""
+        """Decode received bytes and handle their messages."""
         self.last_received_at = self._loop.time()
         try:
-            for payload in self._frames.feed(data):
+            for payload in self._frame_reader.feed(data):
                 for message in decode_payload(payload, self.edge):
                     self._on_message(self, message)
         except CodecError as error:
             self.close(str(error))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the owner that the connection is gone."""
-        self._lose(repr(error) if error else "closed by the other end")
+        """Report the lost connection to the owner."""
+        self._handle_connection_lost(
+            repr(error) if error else "closed by the other end"
+        )
 
     def send(self, message: Message) -> None:
-        """Send a message with those of the same turn of the loop."""
+        """Send a message together with the others of this event loop turn."""
         if not self.is_open:
             return
         if not self._outgoing:
@@ -66,7 +68,7 @@
         self._outgoing.append(message)
 
     def send_frame(self, frame: bytes) -> None:
-        """Send a frame that was encoded for many, after what waits to be sent."""
+        """Send a frame that was encoded for many links, after the pending messages."""
         self._flush()
         self._write(frame)
 
@@ -74,7 +76,7 @@
         """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
-        self._lose(reason)
+        self._handle_connection_lost(reason)
 
     def _flush(self) -> None:
         messages, self._outgoing = self._outgoing, []
@@ -88,9 +90,9 @@
             return
         self._transport.write(frame)
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.close("the other end does not read")
+            self.close("the other end does not read its messages")
 
-    def _lose(self, reason: str) -> None:
+    def _handle_connection_lost(self, reason: str) -> None:
         if self._closed:
             return
         self._closed = True
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -1,4 +1,4 @@
-"""Places requests with the scheduling core in this process."""
+"""Grants by a scheduling core in this process."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,98 +21,98 @@
     RequestEnded,
     Tick,
 )
-from .grant_provider import Answer, OpenAsks
+from .grant_provider import GrantResponse, PendingRequests
 
 TICK_S: Final = 0.05
-"""Time between two looks at a queue that waits."""
+"""Time between two ticks of the core while requests wait."""
 
 
 @define(eq=False)
 class LocalGrantProvider:
-    """Feeds a core with the requests of one edge."""
+    """Grants the requests of one edge with a scheduling core of its own."""
 
     core: SchedulingCore
     edge: str
     clock: Callable[[], float]
     read_fleet: Callable[[], FleetUpdated | None] = lambda: None
-    """Returns the fleet if it has changed since the last call. It changes often, and
-    while a scheduler leads nobody needs it here."""
+    """Returns the fleet if it has changed since the last call. It is read on demand
+    because it changes often and isn't needed here while a scheduler leads."""
 
-    _asks: OpenAsks = field(factory=OpenAsks, init=False)
+    _pending: PendingRequests = field(factory=PendingRequests, init=False)
     _timer: asyncio.TimerHandle | None = field(default=None, init=False)
 
     def handle(self, event: Event) -> None:
-        """Feed the core with an event, on the fleet as it is now."""
+        """Update the core's fleet, then handle an event with the core."""
         fleet = self.read_fleet()
         if fleet is not None:
-            self._carry_out(self.core.handle(fleet, self.clock()))
-        self._carry_out(self.core.handle(event, self.clock()))
+            self._execute(self.core.handle(fleet, self.clock()))
+        self._execute(self.core.handle(event, self.clock()))
 
-    def ask(
+    def request_grant(
         self,
         grant_request: GrantRequest,
-        future: "asyncio.Future[Answer] | None" = None,
-    ) -> "asyncio.Future[Answer]":
-        """Ask for a place."""
-        future = self._asks.add(grant_request, future)
+        future: "asyncio.Future[GrantResponse] | None" = None,
+    ) -> "asyncio.Future[GrantResponse]":
+        """Request a grant."""
+        future = self._pending.add(grant_request, future)
         self.handle(grant_request)
-        self._arm()
+        self._start_timer()
         return future
 
-    def note_first_event(self, request_id: str) -> None:
-        """Say that the first event of a granted request came."""
+    def report_first_event(self, request_id: str) -> None:
+        """Report that the first event of a granted request arrived."""
         self.handle(FirstEventSeen(edge=self.edge, request_id=request_id))
 
-    def end(self, request_id: str, kind: EndKind) -> None:
-        """Say that a request is over."""
-        self._asks.drop(request_id)
+    def end_request(self, request_id: str, kind: EndKind) -> None:
+        """Report that a request has ended."""
+        self._pending.remove(request_id)
         self.handle(RequestEnded(edge=self.edge, request_id=request_id, kind=kind))
 
     def consume_quota(self, customer: str, amount: float) -> float:
-        """Take an amount of a quota; returns the seconds until there is enough."""
+        """Consume an amount of a quota; return the seconds until it is available."""
         self.handle(Tick())
         return self.core.state.quotas.take(customer, amount, self.clock())
 
     def take_permit(self, runner: RunnerEntry) -> float:
-        """Take a turn at a limited runner; returns the seconds until there is one."""
+        """Consume a permit of a limited runner; return the seconds until one exists."""
         limits, now = self.core.state.limits, self.clock()
-        life = (runner.runner_id, runner.started_ms)
-        if limits.measure_wait(*life, now) > 0:
-            return limits.promise(*life, now)
-        limits.take(*life, now)
+        incarnation = (runner.runner_id, runner.started_ms)
+        if limits.measure_wait(*incarnation, now) > 0:
+            return limits.promise(*incarnation, now)
+        limits.take(*incarnation, now)
         return 0.0
 
     def allow_overdraft(self, exhausted: list[str]) -> None:
-        """Let customers come into debt for a moment, unless they had nothing left."""
+        """Let customers overdraw their quotas briefly, except the exhausted ones."""
         self.core.state.quotas.allow_overdraft(exhausted, self.clock())
 
     def adopt(self, grant_request: GrantRequest, runner_id: str, reading: bool) -> None:
-        """Count a request that runs at a runner which another chose."""
+        """Count a running request that another provider has granted."""
         self.handle(
             RequestAdopted(
                 grant_request=grant_request, runner_id=runner_id, reading=reading
             )
         )
 
-    def forget(self, request_id: str) -> None:
-        """Count a request no more, since a scheduler does."""
+    def remove_request(self, request_id: str) -> None:
+        """Stop counting a request that a scheduler counts now."""
         ended = RequestEnded(edge=self.edge, request_id=request_id, kind=EndKind.LEFT)
         self.handle(ended)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Grant | Refuse) and not self._asks.resolve(action):
+            if isinstance(action, Grant | Refuse) and not self._pending.resolve(action):
                 ended = RequestEnded(
                     edge=self.edge, request_id=action.request_id, kind=EndKind.LEFT
                 )
-                self._carry_out(self.core.handle(ended, self.clock()))
+                self._execute(self.core.handle(ended, self.clock()))
 
-    def _arm(self) -> None:
-        if self._timer is None and len(self._asks):
+    def _start_timer(self) -> None:
+        if self._timer is None and len(self._pending):
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(TICK_S, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         self.handle(Tick())
-        self._arm()
+        self._start_timer()
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -1,4 +1,4 @@
-"""What edges and schedulers tell each other."""
+"""Messages between edges and schedulers."""
 
 from attrs import frozen
 
@@ -21,70 +21,69 @@
 
 @frozen(kw_only=True)
 class Hello:
-    """The first message of a process that follows: which life of which host it is."""
+    """First message of a follower, which identifies its process and host."""
 
     edge: str
-    """Its incarnation."""
+    """Incarnation of the process, which is an edge or a standby scheduler."""
 
     host: str
     data_centre: str
     requests_grants: bool
-    """Whether it will ask for places; standby schedulers only follow the store."""
+    """Whether it requests grants; standby schedulers only follow the store."""
 
     revision: int
-    """Revision of the store up to which it knows the keys; 0 if it knows none."""
+    """Store revision up to which it has the keys; 0 if it has none."""
 
 
 @frozen(kw_only=True)
 class Heartbeat:
-    """Says that the scheduler lives, whether it leads, and what its state is worth."""
+    """Periodic message of a scheduler with its role and the age of its state."""
 
     leading: bool
     store_age_s: float
-    """Time since the store last answered the scheduler."""
+    """Time since the store's last response to the scheduler."""
 
     period_s: float
     """Time until the next heartbeat."""
 
     known_at: float = -1e9
-    """Time on the scheduler's boot clock up to which all that the store acknowledged
-    has been passed on."""
+    """Time on the scheduler's boot clock up to which all acknowledged writes to the
+    store have been relayed."""
 
     exhausted: tuple[tuple[str, float], ...] = ()
-    """Customers who have nothing left of their quotas, and in how many seconds they
-    do."""
+    """Customers with an exhausted quota, and the seconds until it is available."""
 
 
 @frozen(kw_only=True)
-class ClockAsked:
-    """Asks for the scheduler's boot clock."""
+class ClockRequest:
+    """A request for the scheduler's boot clock."""
 
-    asked_at: float
-    """Time on the asking process's boot clock."""
+    requested_at: float
+    """Time of the request on the sender's boot clock."""
 
 
 @frozen(kw_only=True)
-class ClockTold:
-    """The scheduler's boot clock, after it was asked for."""
+class ClockResponse:
+    """The response to a clock request, with the scheduler's boot clock."""
 
-    asked_at: float
+    requested_at: float
     clock_s: float
 
 
 @frozen(kw_only=True)
-class StateRead:
-    """All keys of the store, and the items that the other end doesn't know yet."""
+class StoreSnapshot:
+    """All keys of the store, and the items that the receiver lacks."""
 
     keys: tuple[str, ...]
     items: tuple[Item, ...]
     revision: int
     retention_s: float
-    """Seconds for which keys that vanish are still kept, after an outage; 0 without."""
+    """Seconds for which vanished keys are still kept after an outage; 0 without one."""
 
 
 @frozen(kw_only=True)
-class StateChanged:
-    """Changes of the store's keys, each after those before."""
+class StoreChanges:
+    """Changes of the store's keys, in their order."""
 
     changes: Changes
     retention_s: float
@@ -92,7 +91,7 @@
 
 @frozen(kw_only=True)
 class RelayedStatement:
-    """A statement on a crash, while the store doesn't answer who makes it."""
+    """A crash statement, relayed while its author can't write it to the store."""
 
     key: str
     value: bytes
@@ -101,11 +100,11 @@
 Message = (
     Hello
     | Heartbeat
-    | ClockAsked
-    | ClockTold
+    | ClockRequest
+    | ClockResponse
     | RelayedStatement
-    | StateRead
-    | StateChanged
+    | StoreSnapshot
+    | StoreChanges
     | GrantRequest
     | RequestAdopted
     | FirstEventSeen
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -1,4 +1,4 @@
-"""The scheduler's end: feeds the core and carries its actions out."""
+"""Server of a scheduler: passes messages to the core and carries out its actions."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,8 +28,8 @@
 from .codec import encode_frame
 from .link import Link
 from .messages import (
-    ClockAsked,
-    ClockTold,
+    ClockRequest,
+    ClockResponse,
     Heartbeat,
     Hello,
     Message,
@@ -40,33 +40,34 @@
 HEARTBEAT_S: Final = 0.15
 MAX_HEARTBEAT_S: Final = 1.0
 HEARTBEATS_PER_S: Final = 600.0
-"""Time between two heartbeats to an edge, and how many the scheduler sends a second to
-all of them: up to 90 edges hear one each 0.15 s, and 195 each 0.33 s, so that they
-notice a lost scheduler in a second. They are encoded once for all."""
+"""Time between two heartbeats to an edge, its maximum, and the heartbeats a second that
+the scheduler sends to all edges together. Up to 90 edges receive one every 0.15 s, and
+195 edges one every 0.33 s, so that they detect a lost scheduler within a second. Each
+heartbeat is encoded once for all edges."""
 
 TICK_S: Final = 0.05
-"""Time between two looks of the core at its queue and the placement."""
+"""Time between two ticks of the core, which check its queues and the placement."""
 
 
 @define(eq=False)
 class SchedulerServer:
-    """Serves edges; only the leading scheduler takes requests."""
+    """Serves edges; only the leading scheduler receives their requests."""
 
     core: SchedulingCore
     clock: Callable[[], float]
     is_leading: Callable[[], bool]
     give_order: Callable[[SendOrder], None]
     mirror: Mirror
-    """What this process knows of the store, which it passes on."""
+    """The state of the store in this process, which it relays."""
 
     get_retention_s: Callable[[], float]
-    """Seconds for which keys that vanish are still kept, after an outage."""
+    """Returns the seconds for which vanished keys are still kept after an outage."""
 
     on_statement: Callable[[RelayedStatement], None] = lambda message: None
-    """Told of statements on crashes."""
+    """Called with each relayed crash statement."""
 
     on_leaving: Callable[[LeavingReport], bool] = lambda message: False
-    """Told of runners that say that they leave; returns whether that is new."""
+    """Called with each report of a leaving runner; returns whether it is new."""
 
     list_leaving: Callable[[], list[LeavingReport]] = list
     """Returns the runners that are known to leave."""
@@ -74,14 +75,14 @@
     on_edge_connection: Callable[[str, bool], None] = lambda incarnation, connected: (
         None
     )
-    """Told of each edge that connects, and of each whose connection breaks."""
+    """Called with the incarnation of each edge that connects or disconnects."""
 
     _links: dict[str, Link] = field(factory=dict, init=False)
     _asking: set[str] = field(factory=set, init=False)
-    """Incarnations of the edges among those that follow."""
+    """Incarnations of the edges among the followers; the others are standbys."""
 
     _lost_at: dict[str, float] = field(factory=dict, init=False)
-    """When the connection to each edge was lost that was here lately."""
+    """When the connection to each recently connected edge was lost."""
 
     feed: StoreFeed = field(init=False)
     _server: asyncio.AbstractServer | None = field(default=None, init=False)
@@ -93,27 +94,29 @@
         """Listen for edges."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Link("", self._take, self._lose), sock=listener, backlog=BACKLOG
+            lambda: Link("", self._handle_message, self._handle_connection_lost),
+            sock=listener,
+            backlog=BACKLOG,
         )
 
     async def async_run(self) -> None:
-        """Send heartbeats and let the core look at the time until cancelled."""
-        beat_at = 0.0
+        """Send heartbeats and tick the core until cancelled."""
+        next_heartbeat_at = 0.0
         while True:
             now = self.clock()
-            if now >= beat_at:
+            if now >= next_heartbeat_at:
                 self.send_heartbeats()
-                beat_at = now + self._choose_period()
+                next_heartbeat_at = now + self._choose_period()
             self.handle(Tick())
             await async_sleep_to_tick(TICK_S)
 
     @property
     def edge_count(self) -> int:
-        """Return the number of edges that are connected."""
+        """Return the number of connected edges."""
         return len(self._asking)
 
     def stop(self) -> None:
-        """Serve no more."""
+        """Stop listening and close all connections."""
         self.feed.stop()
         if self._server is not None:
             self._server.close()
@@ -121,11 +124,11 @@
             link.close("this process stops")
 
     def send_heartbeats(self) -> None:
-        """Tell all edges that this process lives, and whether it leads."""
+        """Send a heartbeat to all followers."""
         self._send_to_all(self._make_heartbeat())
 
     def _send_to_all(self, message: Message) -> None:
-        """Encode a message once for all links; a long one takes a millisecond."""
+        """Encode a message once and send it to all; a long one takes a millisecond."""
         if not self._links:
             return
         frame = encode_frame([message])
@@ -133,10 +136,10 @@
             link.send_frame(frame)
 
     def handle(self, event: Event) -> None:
-        """Feed the core with an event and carry out its actions."""
-        self._carry_out(self.core.handle(event, self.clock()))
+        """Handle an event with the core and carry out its actions."""
+        self._execute(self.core.handle(event, self.clock()))
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendOrder):
                 self.give_order(action)
@@ -153,28 +156,30 @@
                     )
                 )
 
-    def _take(self, link: Link, message: Message) -> None:
+    def _handle_message(self, link: Link, message: Message) -> None:
         if isinstance(message, Hello):
-            self._welcome(link, message)
+            self._handle_hello(link, message)
         elif isinstance(message, RelayedStatement):
-            self._pass_told(link, message)
-        elif isinstance(message, ClockAsked):
+            self._handle_statement(link, message)
+        elif isinstance(message, ClockRequest):
             clock_s = self.mirror.boot_clock()
-            link.send(ClockTold(asked_at=message.asked_at, clock_s=clock_s))
+            link.send(ClockResponse(requested_at=message.requested_at, clock_s=clock_s))
         elif isinstance(message, LimitReport):
             self.handle_limit(message, link)
         elif isinstance(message, LeavingReport):
             self.handle_leaving(message, link)
         elif isinstance(message, SpendingReported):
-            self.handle(self._drop_known(link.edge, message))
+            self.handle(self._drop_counted_spending(link.edge, message))
         elif link.edge and not isinstance(message, Heartbeat):
             self.handle(message)  # type: ignore[arg-type]
 
-    def _drop_known(self, edge: str, message: SpendingReported) -> SpendingReported:
-        """Return what an edge has spent since it was lost here, if it was here before.
+    def _drop_counted_spending(
+        self, edge: str, message: SpendingReported
+    ) -> SpendingReported:
+        """Return the spending of an edge that was not counted here yet.
 
-        What was spent before was counted here: a connection that is reset, and made
-        anew, must not have it counted twice.
+        Spending from before the connection was lost was counted here. A connection that
+        is reset and made again must not count it twice.
         """
         lost_at = self._lost_at.pop(edge, None)
         if lost_at is None:
@@ -184,10 +189,11 @@
             rows=tuple(each for each in message.rows if each.age_s < lost_s)
         )
 
-    def _note_lost(self, edge: str) -> None:
-        """Note when an edge was lost, for as long as its spending matters.
+    def _record_edge_lost(self, edge: str) -> None:
+        """Record when an edge was lost, for as long as its spending matters.
 
-        What it spent while this process granted nothing was counted elsewhere.
+        Spending while this process granted nothing was counted elsewhere, so nothing is
+        recorded then.
         """
         if not self.is_leading():
             return
@@ -197,56 +203,61 @@
         }
         self._lost_at[edge] = now
 
-    def _pass_told(self, link: Link, message: RelayedStatement) -> None:
-        """Take a statement on a crash, and tell it to all others."""
+    def _handle_statement(self, link: Link, message: RelayedStatement) -> None:
+        """Handle a crash statement and relay it to all others."""
         self.on_statement(message)
-        self._pass_on(link, message)
+        self._relay(link, message)
 
-    def handle_limit(self, said: LimitReport, link: Link | None = None) -> None:
-        """Take what a runner said of its limit, and tell all others if it is new.
+    def handle_limit(self, report: LimitReport, link: Link | None = None) -> None:
+        """Apply a runner's limit, and relay it to all others if it is new.
 
         Args:
-            said: What the runner has said.
-            link: Who told it; None if this process has read it.
+            report: The limit that the runner has reported.
+            link: Connection it was received on; None if this process has read it.
         """
-        limits, life = self.core.state.limits, (said.runner_id, said.started_ms)
-        before = limits.get_limit(*life)
-        self.handle(said)
-        limit = limits.get_limit(*life)
+        limits, incarnation = (
+            self.core.state.limits,
+            (report.runner_id, report.started_ms),
+        )
+        before = limits.get_limit(*incarnation)
+        self.handle(report)
+        limit = limits.get_limit(*incarnation)
         if limit == before:
             return
         told_by = None if link is None else link.edge
         log_event(
-            log.RunnerLimitSeen(runner_id=said.runner_id, limit=limit, told_by=told_by)
+            log.RunnerLimitSeen(
+                runner_id=report.runner_id, limit=limit, told_by=told_by
+            )
         )
-        self._pass_on(link, strip_recent_requests(said))
+        self._relay(link, strip_recent_requests(report))
 
-    def handle_leaving(self, said: LeavingReport, link: Link | None = None) -> None:
-        """Take that a runner leaves, and tell all others if it is new.
+    def handle_leaving(self, report: LeavingReport, link: Link | None = None) -> None:
+        """Record that a runner leaves, and relay it to all others if it is new.
 
         Args:
-            said: What the runner has said.
-            link: Who told it; None if this process has read it.
+            report: The report of the runner.
+            link: Connection it was received on; None if this process has read it.
         """
-        if not self.on_leaving(said):
+        if not self.on_leaving(report):
             return
         told_by = None if link is None else link.edge
-        log_event(log.RunnerLeavingSeen(runner_id=said.runner_id, told_by=told_by))
-        self._pass_on(link, said)
+        log_event(log.RunnerLeavingSeen(runner_id=report.runner_id, told_by=told_by))
+        self._relay(link, report)
 
-    def _pass_on(self, link: Link | None, message: Message) -> None:
-        """Tell all others what one has told."""
+    def _relay(self, link: Link | None, message: Message) -> None:
+        """Relay a message to all followers except its sender."""
         frame = encode_frame([message])
         for other in tuple(self._links.values()):
             if other is not link:
                 other.send_frame(frame)
 
-    def _welcome(self, link: Link, hello: Hello) -> None:
-        known = self._links.pop(hello.edge, None)
-        if known is not None:
-            self.feed.remove(known)
-            self._note_lost(hello.edge)
-            known.close("the edge connected anew")
+    def _handle_hello(self, link: Link, hello: Hello) -> None:
+        previous = self._links.pop(hello.edge, None)
+        if previous is not None:
+            self.feed.remove(previous)
+            self._record_edge_lost(hello.edge)
+            previous.close("the edge reconnected")
             self.handle(EdgeDisconnected(edge=hello.edge))
         link.edge = hello.edge
         self._links[hello.edge] = link
@@ -254,13 +265,14 @@
             self._asking.add(hello.edge)
             self.core.state.edge_data_centres[hello.edge] = hello.data_centre
             self.on_edge_connection(hello.edge, True)
-        # A heartbeat at once, a reading in its turn: who is greeted late comes anew.
+        # The heartbeat is sent at once and the snapshot in its turn, because a follower
+        # without a timely heartbeat disconnects and connects again.
         link.send_frame(encode_frame([self._make_heartbeat()]))
         self.feed.add(link, hello.revision)
         for leaving in self.list_leaving():
             link.send(leaving)
-        for said in self.core.state.limits.list_reports(self.clock()):
-            link.send(said)
+        for report in self.core.state.limits.list_reports(self.clock()):
+            link.send(report)
         log_event(log.LinkOpened(peer=hello.host))
 
     def _make_heartbeat(self) -> Heartbeat:
@@ -269,7 +281,7 @@
             leading=self.is_leading(),
             store_age_s=age_s,
             period_s=self._choose_period(),
-            known_at=self.feed.find_passed_at(),
+            known_at=self.feed.find_relayed_at(),
             exhausted=tuple(self.core.state.quotas.list_exhausted(self.clock())),
         )
 
@@ -277,11 +289,11 @@
         wanted_s = len(self._links) / HEARTBEATS_PER_S
         return min(MAX_HEARTBEAT_S, max(HEARTBEAT_S, wanted_s))
 
-    def _lose(self, link: Link, reason: str) -> None:
+    def _handle_connection_lost(self, link: Link, reason: str) -> None:
         if link.edge and self._links.get(link.edge) is link:
             del self._links[link.edge]
             self.feed.remove(link)
-            self._note_lost(link.edge)
+            self._record_edge_lost(link.edge)
             if link.edge in self._asking:
                 self._asking.discard(link.edge)
                 self.on_edge_connection(link.edge, False)
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -1,10 +1,10 @@
-"""Tests of quotas at an edge: what is taken, given back and answered."""
+"""Tests of quotas at an edge: consumption, refunds and responses."""
 
 import asyncio
 
 from mangoway.policy.customers.const import OVER_QUOTA
 from mangoway.policy.scheduling.events import GrantRequest, Refuse
-from mangoway.scheduling.grant_provider import Answer
+from mangoway.scheduling.grant_provider import GrantResponse
 
 from ..upstreams.raw_server import RawServer, answer, cut
 from .test_admission import KEY, SHOWN, declare
@@ -18,15 +18,19 @@
 )
 
 USAGE_TOKENS = 150.0
-"""What a call of these tests takes: 100 tokens of prompt, 50 of answer."""
+"""Quota used by a call of these tests: 100 prompt tokens and 50 output tokens."""
 
 
 class RefusingPlacer(StubGrantProvider):
-    """Refuses all, since their customers have asked for too much."""
+    """Rejects all requests because their customers are over quota."""
 
-    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
+    def request_grant(
+        self, grant_request: GrantRequest
+    ) -> "asyncio.Future[GrantResponse]":
         self.grant_request.append(grant_request)
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[GrantResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
         future.set_result(
             Refuse(
                 edge=grant_request.edge,
@@ -40,7 +44,7 @@
 
 
 class TestPlainServices:
-    """Requests that need no place."""
+    """Requests that need no grant."""
 
     async def test_tokens_are_taken(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
@@ -93,7 +97,7 @@
 
 
 class TestEngines:
-    """Requests for places."""
+    """Requests that need a grant."""
 
     async def test_scheduler_is_told_who_asks_for_how_much(self) -> None:
         stream = answer(b"".join(make_stream(make_event(1))))
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -1,4 +1,4 @@
-"""An edge over loopback, before scripted runners."""
+"""An edge on loopback with scripted runners."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -28,7 +28,7 @@
 from mangoway.policy.limits.cooldowns import CooldownTracker
 from mangoway.policy.limits.tracker import LimitTracker
 from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
-from mangoway.scheduling.grant_provider import Answer
+from mangoway.scheduling.grant_provider import GrantResponse
 from mangoway.util.listener import open_listener
 from mangoway.util.tasks import Tasks
 
@@ -47,7 +47,7 @@
     RouteKind.SAFE, service="plain", prefix="/short/", max_attempts=1, timeout_s=0.3
 )
 EARNED_REQUESTS = 300
-"""Requests before a test, which have earned all repeats that may be saved up."""
+"""Requests counted before a test, which earn all retry credits that can be saved."""
 
 RETRY_LIMITS = RetryLimits(ratio=0.2, slack=50.0, window_s=10.0)
 ROUTES = (SAFE, ONCE, STREAM, FIXED, SHORT)
@@ -55,7 +55,7 @@
 
 @define(eq=False)
 class StubGrantProvider:
-    """Grants runners in turn, or refuses when there are none left."""
+    """Grants the first eligible runner, or rejects the request if none is left."""
 
     runner_ids: list[str]
     grant_request: list[GrantRequest] = field(factory=list)
@@ -63,24 +63,28 @@
     ended: list[EndKind] = field(factory=list)
     hold: bool = False
     spent: list[tuple[str, float]] = field(factory=list)
-    """What was taken of quotas for plain services, and what was given back."""
+    """Quota consumed for plain services, and refunds as negative amounts."""
 
     drops_refusing: bool = False
-    """Whether a runner that refused a request is granted to none any more."""
+    """Whether a runner that rejected a request is no longer granted."""
 
     quota_wait_s: float = 0.0
     permits: list[str] = field(factory=list)
-    """Limited runners that were asked for."""
+    """Limited runners for which a permit was requested."""
 
     permit_waits: dict[str, float] = field(factory=dict)
-    """Seconds after which limited runners take a request; 0 for all others."""
+    """Seconds until limited runners accept a request; 0 for all others."""
 
     delay_s: float = 0.0
-    """Time after which a question is answered."""
+    """Delay of each response."""
 
-    def ask(self, grant_request: GrantRequest) -> "asyncio.Future[Answer]":
+    def request_grant(
+        self, grant_request: GrantRequest
+    ) -> "asyncio.Future[GrantResponse]":
         self.grant_request.append(grant_request)
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[GrantResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
         if self.hold:
             return future
         answer = self._choose(grant_request)
@@ -91,11 +95,11 @@
             future.set_result(answer)
         return future
 
-    def _choose(self, grant_request: GrantRequest) -> Answer:
+    def _choose(self, grant_request: GrantRequest) -> GrantResponse:
         left = [each for each in self.runner_ids if each not in grant_request.excluded]
         if grant_request.only:
             left = [each for each in left if each in grant_request.only]
-        answer: Answer = Refuse(
+        answer: GrantResponse = Refuse(
             edge=grant_request.edge,
             request_id=grant_request.request_id,
             retry_after_s=0.7,
@@ -109,10 +113,10 @@
             )
         return answer
 
-    def note_first_event(self, request_id: str) -> None:
+    def report_first_event(self, request_id: str) -> None:
         self.first.append(request_id)
 
-    def end(self, request_id: str, kind: EndKind) -> None:
+    def end_request(self, request_id: str, kind: EndKind) -> None:
         self.ended.append(kind)
         if self.drops_refusing and kind is EndKind.NOT_RUN:
             self.runner_ids.pop(0)
@@ -122,7 +126,7 @@
             self.spent.append((customer, amount))
         return self.quota_wait_s
 
-    def give_back(self, customer: str, amount: float) -> None:
+    def refund_quota(self, customer: str, amount: float) -> None:
         self.spent.append((customer, -amount))
 
     async def async_request_permit(self, runner: RunnerEntry) -> float:
@@ -130,14 +134,14 @@
         return self.permit_waits.get(runner.runner_id, 0.0)
 
 
-def _resolve(future: "asyncio.Future[Answer]", answer: Answer) -> None:
+def _resolve(future: "asyncio.Future[GrantResponse]", answer: GrantResponse) -> None:
     if not future.done():
         future.set_result(answer)
 
 
 @define(eq=False)
 class StubTeller:
-    """Keeps what is to be told to other processes."""
+    """Records the statements to be sent to other processes."""
 
     posted: list[Statement] = field(factory=list)
 
@@ -147,7 +151,7 @@
 
 @define(eq=False)
 class Reply:
-    """What a caller got."""
+    """The response that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -157,7 +161,7 @@
 
 @define(eq=False)
 class EdgeWorld:
-    """An edge and how to call it."""
+    """An edge with its stubs, and methods to call it."""
 
     view: FleetView
     grant_provider: StubGrantProvider
@@ -166,10 +170,10 @@
     port: int
     statement_sender: StubTeller
     ages: list[float]
-    """Its only entry is the age of what the edge knows, in seconds."""
+    """Its only entry is the age of the edge's state, in seconds."""
 
     def add(self, runner_id: str, server: RawServer, service: str) -> None:
-        """Let the edge know a runner."""
+        """Add a runner to the edge's fleet."""
         entry = make_runner(runner_id, service=service, address=server.address)
         self.view.take_runner(entry)
         if service == "llm":
@@ -178,7 +182,7 @@
     async def async_call(
         self, path: str, body: bytes = b"", headers: str = "", method: str = "POST"
     ) -> Reply:
-        """Send a request and read its answer to the end."""
+        """Send a request and read its complete response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(make_call(path, body, headers, method))
         data = bytearray()
@@ -205,7 +209,7 @@
 
 
 def parse_reply(data: bytes) -> Reply:
-    """Read an answer from all bytes of a connection."""
+    """Parse a response from all bytes of a connection."""
     head, _, rest = data.partition(b"\r\n\r\n")
     if not head:
         return Reply(0, {}, b"", whole=False)
@@ -250,12 +254,12 @@
 
 
 def make_ok(body: bytes = b"whole", headers: str = SIGNED) -> bytes:
-    """Return a whole response with a signature."""
+    """Return a complete response with a signature."""
     return frame(200, body, f"X-Request-Id: q1\r\n{headers}")
 
 
 def make_not_run(status: int = 503) -> bytes:
-    """Return a refusal that says that the request has not run."""
+    """Return a rejection with the header for requests that have not run."""
     return frame(status, b"", "X-Request-Id: q1\r\nX-Not-Executed: 1\r\n")
 
 
@@ -263,7 +267,7 @@
 async def start_edge(
     routes: tuple[Route, ...] = ROUTES, limits: RetryLimits = RETRY_LIMITS
 ) -> AsyncIterator[EdgeWorld]:
-    """Start an edge; runners are added by the test."""
+    """Start an edge without runners, which the test adds."""
     view = FleetView()
     if routes:
         view.take_table(make_table(routes=routes))
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -24,7 +24,7 @@
 )
 from mangoway.policy.scheduling.state import SchedulingState
 from mangoway.scheduling.client import RETRY_AFTER_PERMIT_S, SchedulerClient
-from mangoway.scheduling.grant_provider import Answer
+from mangoway.scheduling.grant_provider import GrantResponse
 from mangoway.scheduling.leader_link import CHECK_S, SILENCE_S, LeaderLink
 from mangoway.scheduling.local_grant_provider import LocalGrantProvider
 from mangoway.scheduling.messages import Hello, RelayedStatement
@@ -40,7 +40,7 @@
 
 
 class Recorder:
-    """Takes what a mirror reads."""
+    """Receives the state that a mirror reads."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -60,7 +60,7 @@
         return 1
 
     def note_outage_ended(self, retention_s: float | None = None) -> None:
-        """Nothing depends on it here."""
+        """Do nothing."""
 
 
 def make_core() -> SchedulingCore:
@@ -70,11 +70,11 @@
 
 
 class Scheduler:
-    """A scheduler's end, with the orders that it would give."""
+    """A scheduler that records the orders of its core."""
 
     def __init__(self) -> None:
         self.leading = True
-        self.told: list[RelayedStatement] = []
+        self.statements: list[RelayedStatement] = []
         self.orders: list[SendOrder] = []
         clock = asyncio.get_running_loop().time
         self.mirror = Mirror(FakeCoordinationStore(), Recorder(), clock)
@@ -91,7 +91,7 @@
             get_retention_s=lambda: 0.0,
         )
         self.mirror.follower = self.server.feed
-        self.server.on_statement = self.told.append
+        self.server.on_statement = self.statements.append
 
     async def async_start(self) -> str:
         listener = open_listener("127.0.0.1", 0)
@@ -106,19 +106,19 @@
 
 
 class Edge:
-    """An edge's end."""
+    """An edge with a client and a local grant provider."""
 
     def __init__(self, name: str = "e1") -> None:
         clock = asyncio.get_running_loop().time
         self.view = FleetView()
-        self.told: list[RelayedStatement] = []
+        self.statements: list[RelayedStatement] = []
         self.recorder = Recorder()
         mirror = Mirror(FakeCoordinationStore(), self.recorder, clock)
         hello = Hello(
             edge=name, host="h1", data_centre="dc1", requests_grants=True, revision=0
         )
         self.link = LeaderLink(hello=hello, view=self.view, clock=clock, mirror=mirror)
-        self.link.on_statement = self.told.append
+        self.link.on_statement = self.statements.append
         self.local = LocalGrantProvider(make_core(), name, clock)
         self.client = SchedulerClient(self.link, self.local, name)
         self.task = asyncio.create_task(self.link.async_run())
@@ -151,123 +151,123 @@
         scheduler.stop()
 
 
-async def receive(future: "asyncio.Future[Answer]") -> Answer:
+async def receive(future: "asyncio.Future[GrantResponse]") -> GrantResponse:
     async with asyncio.timeout(3):
         return await future
 
 
-class TestPlaces:
-    """Places that a scheduler grants."""
+class TestGrants:
+    """Requests granted by a scheduler."""
 
     async def test_grant_comes_from_the_scheduler(self) -> None:
         async with connect() as (scheduler, edge):
-            answer = await receive(edge.client.ask(make_asked("q1")))
+            answer = await receive(edge.client.request_grant(make_asked("q1")))
             assert isinstance(answer, Grant)
             assert ("e1", "q1") in scheduler.server.core.state.granted
 
-    async def test_end_frees_the_place(self) -> None:
+    async def test_end_releases_the_grant(self) -> None:
         async with connect() as (scheduler, edge):
-            await receive(edge.client.ask(make_asked("q1")))
-            waiting = edge.client.ask(make_asked("q2"))
-            edge.client.end("q1", EndKind.SERVED)
+            await receive(edge.client.request_grant(make_asked("q1")))
+            waiting = edge.client.request_grant(make_asked("q2"))
+            edge.client.end_request("q1", EndKind.SERVED)
             assert isinstance(await receive(waiting), Grant)
             assert ("e1", "q1") not in scheduler.server.core.state.granted
 
-    async def test_first_event_lets_the_next_prompt_go(self) -> None:
+    async def test_first_event_admits_the_next_prompt(self) -> None:
         async with connect() as (_, edge):
-            await receive(edge.client.ask(make_asked("q1")))
-            waiting = edge.client.ask(make_asked("q2"))
-            edge.client.note_first_event("q1")
+            await receive(edge.client.request_grant(make_asked("q1")))
+            waiting = edge.client.request_grant(make_asked("q2"))
+            edge.client.report_first_event("q1")
             assert isinstance(await receive(waiting), Grant)
 
     async def test_waiting_request_is_refused_at_a_stop(self) -> None:
         async with connect() as (_, edge):
-            await receive(edge.client.ask(make_asked("q1")))
-            waiting = edge.client.ask(make_asked("q2"))
+            await receive(edge.client.request_grant(make_asked("q1")))
+            waiting = edge.client.request_grant(make_asked("q2"))
             edge.client.refuse_waiting("this host stops", 0.1)
             assert isinstance(await receive(waiting), Refuse)
 
 
-SAID = LimitReport(
+LIMIT_REPORT = LimitReport(
     runner_id="r1", started_ms=0, limit=0.5, request_age_s=0.02, response_age_s=0.0
 )
 
 
 class TestLimits:
-    """What edges and a scheduler tell each other of runners' limits."""
+    """Exchange of runner limits between edges and a scheduler."""
 
-    async def test_scheduler_keeps_to_what_an_edge_has_read(self) -> None:
+    async def test_scheduler_applies_a_reported_limit(self) -> None:
         async with connect() as (_, edge):
-            edge.client.report_signal(SAID)
-            waiting = edge.client.ask(make_asked("q1"))
+            edge.client.report_signal(LIMIT_REPORT)
+            waiting = edge.client.request_grant(make_asked("q1"))
             await asyncio.sleep(0.2)
             assert not waiting.done()
 
-    async def test_other_edges_are_told_once(self) -> None:
+    async def test_limit_is_relayed_to_other_edges_once(self) -> None:
         async with connect() as (_, edge):
-            other, heard = Edge("e2"), list[LimitReport]()
-            other.client.on_limit = heard.append
+            other, received = Edge("e2"), list[LimitReport]()
+            other.client.on_limit = received.append
             other.link.view.take_leader(edge.view.leader)
             await other.async_wait_leading()
             for _ in range(3):
-                edge.client.report_signal(SAID)
-            await async_wait_until(lambda: bool(heard))
+                edge.client.report_signal(LIMIT_REPORT)
+            await async_wait_until(lambda: bool(received))
             await asyncio.sleep(0.1)
             other.task.cancel()
             other.link.close()
-        assert [(each.runner_id, each.limit) for each in heard] == [("r1", 0.5)]
+        assert [(each.runner_id, each.limit) for each in received] == [("r1", 0.5)]
 
-    async def test_edge_that_comes_is_told_what_is_known(self) -> None:
+    async def test_new_edge_receives_known_limits(self) -> None:
         async with connect() as (scheduler, edge):
-            edge.client.report_signal(SAID)
+            edge.client.report_signal(LIMIT_REPORT)
             await async_wait_until(
                 lambda: scheduler.server.core.state.limits.get_limit("r1") == 0.5
             )
-            other, heard = Edge("e2"), list[LimitReport]()
-            other.client.on_limit = heard.append
+            other, received = Edge("e2"), list[LimitReport]()
+            other.client.on_limit = received.append
             other.link.view.take_leader(edge.view.leader)
-            await async_wait_until(lambda: bool(heard))
+            await async_wait_until(lambda: bool(received))
             other.task.cancel()
             other.link.close()
-        assert heard[0].limit == 0.5
+        assert received[0].limit == 0.5
 
-    async def test_scheduler_that_begins_is_told_before_it_is_asked(self) -> None:
+    async def test_new_leader_receives_reports_first(self) -> None:
         async with connect() as (scheduler, edge):
-            edge.client.list_limits = lambda: [SAID]
-            following = Scheduler()
-            edge.follow(await following.async_start(), fence=2)
+            edge.client.list_limits = lambda: [LIMIT_REPORT]
+            next_scheduler = Scheduler()
+            edge.follow(await next_scheduler.async_start(), fence=2)
             scheduler.stop()
-            waiting = edge.client.ask(make_asked("q1"))
-            limits = following.server.core.state.limits
+            waiting = edge.client.request_grant(make_asked("q1"))
+            limits = next_scheduler.server.core.state.limits
             await async_wait_until(lambda: limits.get_limit("r1") == 0.5)
             assert not waiting.done()
-            following.stop()
+            next_scheduler.stop()
 
-    async def test_edge_alone_keeps_to_its_part(self) -> None:
+    async def test_disconnected_edge_applies_its_share(self) -> None:
         edge = Edge()
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
-        limits.note(SAID, edge.link.clock())
-        answer = await receive(edge.client.ask(make_asked("q1")))
+        limits.note(LIMIT_REPORT, edge.link.clock())
+        answer = await receive(edge.client.request_grant(make_asked("q1")))
         edge.task.cancel()
         assert isinstance(answer, Refuse)
 
     async def test_permit_comes_from_the_scheduler(self) -> None:
         async with connect() as (_, edge):
             assert await edge.client.async_request_permit(RUNNER) == 0.0
-            edge.client.report_signal(SAID)
+            edge.client.report_signal(LIMIT_REPORT)
             assert await edge.client.async_request_permit(RUNNER) > 0.0
 
-    async def test_edge_alone_asks_its_own_part_for_a_permit(self) -> None:
+    async def test_disconnected_edge_takes_permits_from_its_share(self) -> None:
         edge = Edge()
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
-        limits.note(SAID, edge.link.clock())
+        limits.note(LIMIT_REPORT, edge.link.clock())
         wait_s = await edge.client.async_request_permit(RUNNER)
         edge.task.cancel()
         assert wait_s == MAX_WAIT_S
 
-    async def test_permit_that_nobody_answers_is_not_waited_for(self) -> None:
+    async def test_permit_request_without_a_response_times_out(self) -> None:
         async with connect() as (_, edge):
             assert edge.link.link is not None
             edge.link.link.send = lambda message: None  # type: ignore[method-assign]
@@ -276,78 +276,78 @@
 
 
 class TestLeaving:
-    """What edges and a scheduler tell each other of runners that leave."""
+    """Exchange of leaving runners between edges and a scheduler."""
 
-    LEAVES = LeavingReport(runner_id="r1", started_ms=0)
+    LEAVING_REPORT = LeavingReport(runner_id="r1", started_ms=0)
 
-    async def test_other_edges_and_those_that_come_are_told(self) -> None:
+    async def test_leaving_runner_is_relayed_to_other_and_new_edges(self) -> None:
         async with connect() as (scheduler, edge):
-            known: list[LeavingReport] = []
-            scheduler.server.on_leaving = lambda said: (
-                not known and not known.append(said)
+            known_leaving: list[LeavingReport] = []
+            scheduler.server.on_leaving = lambda report: (
+                not known_leaving and not known_leaving.append(report)
             )
-            scheduler.server.list_leaving = lambda: known
-            heard = [list[LeavingReport](), list[LeavingReport]()]
+            scheduler.server.list_leaving = lambda: known_leaving
+            received = [list[LeavingReport](), list[LeavingReport]()]
             others = [Edge("e2"), Edge("e3")]
-            for other, got in zip(others, heard, strict=True):
-                other.client.on_leaving = got.append
+            for other, received_reports in zip(others, received, strict=True):
+                other.client.on_leaving = received_reports.append
             others[0].link.view.take_leader(edge.view.leader)
             await others[0].async_wait_leading()
             for _ in range(3):
-                edge.client.report_signal(self.LEAVES)
-            await async_wait_until(lambda: bool(heard[0]))
+                edge.client.report_signal(self.LEAVING_REPORT)
+            await async_wait_until(lambda: bool(received[0]))
             others[1].link.view.take_leader(edge.view.leader)
-            await async_wait_until(lambda: bool(heard[1]))
+            await async_wait_until(lambda: bool(received[1]))
             for other in others:
                 other.task.cancel()
                 other.link.close()
-        assert heard == [[self.LEAVES], [self.LEAVES]]
+        assert received == [[self.LEAVING_REPORT], [self.LEAVING_REPORT]]
 
-    async def test_scheduler_that_begins_is_told_before_it_is_asked(self) -> None:
+    async def test_new_leader_receives_reports_first(self) -> None:
         async with connect() as (scheduler, edge):
-            edge.client.list_leaving = lambda: [self.LEAVES]
-            following = Scheduler()
-            told: list[LeavingReport] = []
-            following.server.on_leaving = lambda said: not told.append(said)
-            edge.follow(await following.async_start(), fence=2)
+            edge.client.list_leaving = lambda: [self.LEAVING_REPORT]
+            next_scheduler = Scheduler()
+            reports: list[LeavingReport] = []
+            next_scheduler.server.on_leaving = lambda report: not reports.append(report)
+            edge.follow(await next_scheduler.async_start(), fence=2)
             scheduler.stop()
-            await async_wait_until(lambda: bool(told))
-            following.stop()
-        assert told == [self.LEAVES]
+            await async_wait_until(lambda: bool(reports))
+            next_scheduler.stop()
+        assert reports == [self.LEAVING_REPORT]
 
 
 class TestLoss:
-    """A scheduler that is gone, silent or replaced."""
+    """A scheduler that is lost, silent or replaced."""
 
-    async def test_lost_scheduler_leaves_the_choice_to_the_edge(self) -> None:
+    async def test_edge_grants_locally_after_losing_the_scheduler(self) -> None:
         async with connect() as (scheduler, edge):
             scheduler.server.core.state.runners.clear()
-            waiting = edge.client.ask(make_asked("q1"))
+            waiting = edge.client.request_grant(make_asked("q1"))
             await asyncio.sleep(0.02)
             scheduler.stop()
             assert isinstance(await receive(waiting), Grant)
 
-    async def test_silent_scheduler_is_noticed(self) -> None:
+    async def test_silent_scheduler_is_detected(self) -> None:
         async with connect() as (scheduler, edge):
             no_runners = FleetUpdated(table=make_table(), runners=())
             scheduler.server.handle(no_runners)
             scheduler.task.cancel()
-            waiting = edge.client.ask(make_asked("q1"))
-            began = asyncio.get_running_loop().time()
+            waiting = edge.client.request_grant(make_asked("q1"))
+            started_at = asyncio.get_running_loop().time()
             assert isinstance(await receive(waiting), Grant)
-            assert asyncio.get_running_loop().time() - began < 4 * SILENCE_S
+            assert asyncio.get_running_loop().time() - started_at < 4 * SILENCE_S
 
-    async def test_edge_chooses_alone_without_a_scheduler(self) -> None:
+    async def test_edge_grants_locally_without_a_scheduler(self) -> None:
         edge = Edge()
         try:
-            answer = await receive(edge.client.ask(make_asked("q1")))
+            answer = await receive(edge.client.request_grant(make_asked("q1")))
             assert isinstance(answer, Grant)
         finally:
             edge.task.cancel()
 
-    async def test_new_scheduler_hears_what_runs(self) -> None:
+    async def test_new_scheduler_receives_running_requests(self) -> None:
         async with connect() as (_, edge):
-            await receive(edge.client.ask(make_asked("q1")))
+            await receive(edge.client.request_grant(make_asked("q1")))
             other = Scheduler()
             try:
                 edge.follow(await other.async_start(), fence=2)
@@ -356,18 +356,18 @@
             finally:
                 other.stop()
 
-    async def test_lost_edge_frees_its_places(self) -> None:
+    async def test_lost_edge_releases_its_grants(self) -> None:
         async with connect() as (scheduler, edge):
-            await receive(edge.client.ask(make_asked("q1")))
+            await receive(edge.client.request_grant(make_asked("q1")))
             edge.task.cancel()
             edge.link.close()
             await async_wait_until(lambda: not scheduler.server.core.state.granted)
 
 
 class TestFleet:
-    """Runners as the core that chooses alone knows them."""
+    """The fleet that a local grant provider uses."""
 
-    async def test_newest_runners_are_taken_before_a_choice(self) -> None:
+    async def test_fleet_is_updated_before_a_local_grant(self) -> None:
         clock = asyncio.get_running_loop().time
         fleets = [
             FleetUpdated(table=make_table(), runners=(make_runner("r2", ("a",)),))
@@ -375,15 +375,15 @@
         local = LocalGrantProvider(
             make_core(), "e1", clock, lambda: fleets.pop() if fleets else None
         )
-        answer = await receive(local.ask(make_asked("q1")))
+        answer = await receive(local.request_grant(make_asked("q1")))
         assert isinstance(answer, Grant)
         assert answer.runner_id == "r2"
 
 
 class TestState:
-    """What the scheduler reads in the store reaches the edge."""
+    """State of the store that a scheduler relays to an edge."""
 
-    async def test_keys_and_changes_are_passed_on(self) -> None:
+    async def test_keys_and_changes_are_relayed(self) -> None:
         async with connect() as (scheduler, edge):
             assert edge.recorder.values == {"k": b"1"}
             item = Item(key="l", value=b"2", revision=6)
@@ -391,10 +391,10 @@
             await async_wait_until(lambda: len(edge.recorder.values) == 2)
             assert edge.recorder.values == {"k": b"1", "l": b"2"}
 
-    async def test_changes_of_a_moment_are_passed_on_together(self) -> None:
+    async def test_simultaneous_changes_are_relayed_together(self) -> None:
         async with connect() as (scheduler, edge):
-            taken: list[Changes] = []
-            edge.recorder.take_changes = taken.append  # type: ignore[method-assign]
+            received_changes: list[Changes] = []
+            edge.recorder.take_changes = received_changes.append  # type: ignore[method-assign]
             for revision in (6, 7, 8):
                 key = "k" if revision < 8 else "l"
                 item = Item(key=key, value=b"%d" % revision, revision=revision)
@@ -402,8 +402,8 @@
                 scheduler.mirror.take_changes(
                     Changes(changes=(change,), revision=revision)
                 )
-            await async_wait_until(lambda: bool(taken))
-            (changes,) = taken
+            await async_wait_until(lambda: bool(received_changes))
+            (changes,) = received_changes
             assert [(each.key, each.revision) for each in changes.changes] == [
                 ("k", 7),
                 ("l", 8),
@@ -417,12 +417,12 @@
             await async_wait_until(lambda: not edge.link.is_fresh())
 
     async def test_scheduler_that_does_not_lead_is_not_fresh(self) -> None:
-        """It may follow others itself, so that nobody would read the store."""
+        """It may be a follower itself; then no process would read the store."""
         async with connect() as (scheduler, edge):
             scheduler.leading = False
             await async_wait_until(lambda: not edge.link.is_fresh())
 
-    async def test_scheduler_does_not_follow_its_own_earlier_life(self) -> None:
+    async def test_scheduler_does_not_follow_its_earlier_incarnation(self) -> None:
         async with connect() as (_, edge):
             edge.link.hello = evolve(edge.link.hello, host="s", requests_grants=False)
             edge.link.close()
@@ -430,10 +430,10 @@
             assert edge.link.link is None
 
 
-class TestTold:
-    """Statements on crashes, which go to all at once."""
+class TestStatements:
+    """Crash statements that a scheduler relays to all edges."""
 
-    async def test_all_others_hear_it_without_the_store(self) -> None:
+    async def test_statement_is_relayed_to_all_others(self) -> None:
         scheduler = Scheduler()
         address = await scheduler.async_start()
         edges = [Edge(name) for name in ("e1", "e2", "e3")]
@@ -444,17 +444,17 @@
                 await edge.async_wait_leading()
             edges[0].link.send_statement(message)
             await async_wait_until(
-                lambda: [len(each.told) for each in edges] == [0, 1, 1]
+                lambda: [len(each.statements) for each in edges] == [0, 1, 1]
             )
-            assert scheduler.told == [message]
+            assert scheduler.statements == [message]
         finally:
             for edge in edges:
                 edge.task.cancel()
                 edge.link.close()
             scheduler.stop()
 
-    async def test_without_a_scheduler_the_store_has_to_do(self) -> None:
+    async def test_statement_is_not_sent_without_a_scheduler(self) -> None:
         edge = Edge()
         edge.link.send_statement(RelayedStatement(key="crashes/i-1@0/e1", value=b"{}"))
         edge.task.cancel()
-        assert edge.told == []
+        assert edge.statements == []
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -22,21 +22,21 @@
     SpendingReported,
 )
 from mangoway.scheduling.codec import (
-    COMPRESSED_FROM_BYTES,
+    MIN_COMPRESSED_BYTES,
     CodecError,
     FrameReader,
     decode_payload,
     encode_frame,
 )
 from mangoway.scheduling.messages import (
-    ClockAsked,
-    ClockTold,
+    ClockRequest,
+    ClockResponse,
     Heartbeat,
     Hello,
     Message,
     RelayedStatement,
-    StateChanged,
-    StateRead,
+    StoreChanges,
+    StoreSnapshot,
 )
 
 from ..fakes.fleet import make_asked
@@ -52,8 +52,8 @@
         known_at=12.5,
         exhausted=(("acme", 1.25),),
     ),
-    ClockAsked(asked_at=3.5),
-    ClockTold(asked_at=3.5, clock_s=9.25),
+    ClockRequest(requested_at=3.5),
+    ClockResponse(requested_at=3.5, clock_s=9.25),
     QuotaSpent(customer="acme", amount=-150.0),
     SpendingReported(rows=(SpendingEntry("acme", 1.5, 300.0),)),
     LimitReport(
@@ -81,8 +81,8 @@
     Refuse(
         edge="e1", request_id="q1", retry_after_s=0.5, reason="why", over_quota=True
     ),
-    StateRead(keys=("k", "l"), items=(ITEM,), revision=5, retention_s=0.0),
-    StateChanged(
+    StoreSnapshot(keys=("k", "l"), items=(ITEM,), revision=5, retention_s=0.0),
+    StoreChanges(
         changes=Changes(
             changes=(
                 Change(key="k", revision=3, item=ITEM),
@@ -101,7 +101,7 @@
 
 
 class TestMessages:
-    """Each message comes out as it went in."""
+    """Each message is decoded to what was encoded."""
 
     def test_all_kinds_in_one_frame(self) -> None:
         assert decode(encode_frame(MESSAGES)) == MESSAGES
@@ -111,22 +111,22 @@
             Item(key=f"k{number}", value=b"route" * 40, revision=number)
             for number in range(100)
         )
-        state = StateRead(
+        state = StoreSnapshot(
             keys=tuple(each.key for each in items),
             items=items,
             revision=100,
             retention_s=0.0,
         )
         data = encode_frame([state])
-        assert COMPRESSED_FROM_BYTES < len(data) * 8 < 100 * 300
+        assert MIN_COMPRESSED_BYTES < len(data) * 8 < 100 * 300
         assert decode(data) == [state]
 
 
 class TestFrames:
-    """Frames in any parts, and bytes that are none."""
+    """Frames split at any position, and invalid frames."""
 
     @given(cuts=st.lists(st.integers(1, 2000), max_size=6))
-    def test_parts_do_not_matter(self, cuts: list[int]) -> None:
+    def test_split_positions_do_not_matter(self, cuts: list[int]) -> None:
         data = encode_frame(MESSAGES[:3]) + encode_frame(MESSAGES[3:])
         reader = FrameReader()
         payloads: list[bytes] = []
@@ -140,7 +140,7 @@
     @pytest.mark.parametrize(
         "payload", [b"", b"\x00[[]]", b"\x00nonsense", b"\x01nonsense", b'\x00[["x"]]']
     )
-    def test_other_bytes_are_an_error(self, payload: bytes) -> None:
+    def test_invalid_payload_is_an_error(self, payload: bytes) -> None:
         with pytest.raises(CodecError):
             decode_payload(payload, "e1")
 
--- a/tests/scheduling/test_crowd.py
+++ b/tests/scheduling/test_many_edges.py
@@ -1,4 +1,4 @@
-"""Tests of a scheduler to which hundreds of edges come at once."""
+"""Tests of a scheduler to which hundreds of edges connect at once."""
 
 import asyncio
 import socket
@@ -17,8 +17,8 @@
     Heartbeat,
     Hello,
     Message,
-    StateChanged,
-    StateRead,
+    StoreChanges,
+    StoreSnapshot,
 )
 from mangoway.util.address import split_address
 
@@ -27,11 +27,11 @@
 from .test_client import Edge, Scheduler
 from .test_standby import make_member
 
-CROWD = 300
+EDGE_COUNT = 300
 
 
 class FakeLink(Link):
-    """An end that keeps the frames that are sent."""
+    """A link that records the frames that are sent."""
 
     def __init__(self) -> None:
         super().__init__("", lambda link, message: None, lambda link, reason: None)
@@ -66,117 +66,118 @@
     )
 
 
-def fill(scheduler: Scheduler) -> None:
-    """Let the store have an entry for each process."""
+def fill_store(scheduler: Scheduler) -> None:
+    """Fill the store with an entry for each process."""
     items = tuple(
-        Item(key=f"m/{number}", value=b"v" * 200, revision=5) for number in range(CROWD)
+        Item(key=f"m/{number}", value=b"v" * 200, revision=5)
+        for number in range(EDGE_COUNT)
     )
     scheduler.mirror.take_snapshot(Snapshot(items=items, revision=6))
 
 
-def announce(scheduler: Scheduler, revision: int) -> Item:
-    """Let one more process be announced."""
+def add_announcement(scheduler: Scheduler, revision: int) -> Item:
+    """Add the announcement of one more process to the store."""
     item = Item(key=f"n/{revision}", value=b"new", revision=revision)
     change = Change(key=item.key, revision=revision, item=item)
     scheduler.mirror.take_changes(Changes(changes=(change,), revision=revision))
     return item
 
 
-class TestGreeting:
-    """What a scheduler does for each of them."""
+class TestHandshake:
+    """Heartbeats and snapshots that a scheduler sends to new followers."""
 
-    async def test_all_are_greeted_before_one_reading_is_sent(self) -> None:
+    async def test_all_heartbeats_are_sent_before_a_snapshot(self) -> None:
         scheduler = Scheduler()
-        fill(scheduler)
-        links = [FakeLink() for _ in range(CROWD)]
+        fill_store(scheduler)
+        links = [FakeLink() for _ in range(EDGE_COUNT)]
         for number, link in enumerate(links):
-            scheduler.server._take(link, make_hello(number))
+            scheduler.server._handle_message(link, make_hello(number))
         assert {len(each.frames) for each in links} == {1}
         assert all(isinstance(each.read()[0], Heartbeat) for each in links)
         await asyncio.sleep(0.5)
-        assert all(isinstance(each.read()[1], StateRead) for each in links)
+        assert all(isinstance(each.read()[1], StoreSnapshot) for each in links)
 
-    async def test_readings_leave_turns_to_others(self) -> None:
+    async def test_one_snapshot_is_sent_per_loop_turn(self) -> None:
         scheduler = Scheduler()
-        fill(scheduler)
+        fill_store(scheduler)
         links = [FakeLink() for _ in range(20)]
         for number, link in enumerate(links):
-            scheduler.server._take(link, make_hello(number))
-        served: list[int] = []
+            scheduler.server._handle_message(link, make_hello(number))
+        sent_snapshots: list[int] = []
         for _ in range(25):
             await asyncio.sleep(0)
-            served.append(sum(1 for each in links if len(each.frames) > 1))
-        assert all(after - before <= 1 for before, after in pairwise(served))
-        assert served[-1] == 20
+            sent_snapshots.append(sum(1 for each in links if len(each.frames) > 1))
+        assert all(after - before <= 1 for before, after in pairwise(sent_snapshots))
+        assert sent_snapshots[-1] == 20
 
-    async def test_reading_is_encoded_once_for_all(
+    async def test_snapshot_is_encoded_once_for_all(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Also while each announcement changes it, as at a start of hundreds."""
+        """It is also reused while announcements of other processes change the state."""
         encoded: list[int] = []
         encode: Callable[[list[Message]], bytes] = feed_module.encode_frame
 
         def count(messages: list[Message]) -> bytes:
             frame = encode(messages)
-            if isinstance(messages[0], StateRead):
+            if isinstance(messages[0], StoreSnapshot):
                 encoded.append(len(frame))
             return frame
 
         monkeypatch.setattr(feed_module, "encode_frame", count)
         scheduler = Scheduler()
-        fill(scheduler)
-        links = [FakeLink() for _ in range(CROWD)]
+        fill_store(scheduler)
+        links = [FakeLink() for _ in range(EDGE_COUNT)]
         for number, link in enumerate(links):
-            scheduler.server._take(link, make_hello(number))
-            announce(scheduler, 10 + number)
+            scheduler.server._handle_message(link, make_hello(number))
+            add_announcement(scheduler, 10 + number)
             if number % 10 == 0:
                 await asyncio.sleep(0)
         await asyncio.sleep(0.5)
         assert len(encoded) == 1
 
-    async def test_those_who_get_an_earlier_reading_lack_nothing(self) -> None:
+    async def test_changes_follow_a_reused_snapshot(self) -> None:
         scheduler = Scheduler()
-        fill(scheduler)
+        fill_store(scheduler)
         first, second = FakeLink(), FakeLink()
-        scheduler.server._take(first, make_hello(1))
+        scheduler.server._handle_message(first, make_hello(1))
         await asyncio.sleep(0.01)
-        item = announce(scheduler, 9)
-        scheduler.server._take(second, make_hello(2))
+        item = add_announcement(scheduler, 9)
+        scheduler.server._handle_message(second, make_hello(2))
         await asyncio.sleep(0.01)
-        [_, reading, changes] = second.read()[:3]
-        assert isinstance(reading, StateRead)
-        assert isinstance(changes, StateChanged)
+        [_, snapshot, changes] = second.read()[:3]
+        assert isinstance(snapshot, StoreSnapshot)
+        assert isinstance(changes, StoreChanges)
         assert [each.item for each in changes.changes.changes] == [item]
         assert changes.changes.revision == 9
 
-    async def test_change_before_its_reading_hides_nothing(self) -> None:
-        """It would say that all up to its revision is known."""
+    async def test_no_change_is_sent_before_the_snapshot(self) -> None:
+        """A change before the snapshot would mark all earlier revisions as known."""
         scheduler = Scheduler()
-        fill(scheduler)
-        missed = announce(scheduler, 8)
+        fill_store(scheduler)
+        missed = add_announcement(scheduler, 8)
         await asyncio.sleep(0.2)
         links = [FakeLink() for _ in range(40)]
         for number, link in enumerate(links):
-            scheduler.server._take(link, make_hello(number, revision=6))
-        last = announce(scheduler, 9)
-        scheduler.server.feed._pass_on()
+            scheduler.server._handle_message(link, make_hello(number, revision=6))
+        last = add_announcement(scheduler, 9)
+        scheduler.server.feed._relay_changes()
         await asyncio.sleep(0.3)
         for link in links:
             first = link.read()[1]
-            assert isinstance(first, StateChanged)
+            assert isinstance(first, StoreChanges)
             assert [each.item for each in first.changes.changes] == [missed, last]
 
-    async def test_values_that_are_no_text_pass_as_well(self) -> None:
+    async def test_binary_values_are_encoded(self) -> None:
         item = Item(key="k", value=b"\xff\x00", revision=3, lease_id=4)
         text = Item(key="t", value="é1".encode(), revision=3)
-        message = StateRead(
+        message = StoreSnapshot(
             keys=("k", "t"), items=(item, text), revision=3, retention_s=0.0
         )
         assert decode_payload(encode_frame([message])[4:], "") == [message]
 
 
 class SlowScheduler:
-    """Accepts connections and greets them late."""
+    """Accepts connections and sends the first heartbeat late."""
 
     def __init__(self, after_s: float) -> None:
         self.after_s = after_s
@@ -192,10 +193,10 @@
     ) -> None:
         self.connections += 1
         await asyncio.sleep(self.after_s)
-        greeting = Heartbeat(leading=True, store_age_s=0.1, period_s=0.5)
+        heartbeat = Heartbeat(leading=True, store_age_s=0.1, period_s=0.5)
         try:
             for _ in range(10):
-                writer.write(encode_frame([greeting]))
+                writer.write(encode_frame([heartbeat]))
                 await asyncio.sleep(0.2)
         finally:
             writer.close()
@@ -204,14 +205,14 @@
         self._server.close()
 
 
-class TestPatience:
-    """An edge before a scheduler that has much to do."""
+class TestBackoff:
+    """Connections of an edge to a busy scheduler."""
 
-    async def test_connection_is_kept_in_a_crowd_until_it_is_greeted(self) -> None:
-        """It was given up after half a second, and made anew without end."""
+    async def test_connection_is_kept_until_the_handshake(self) -> None:
+        """With a fixed limit of half a second, the edge would reconnect without end."""
         scheduler, edge = SlowScheduler(after_s=1.0), Edge()
         try:
-            for number in range(CROWD):
+            for number in range(EDGE_COUNT):
                 member = Member(
                     host=f"h{number}",
                     role=Role.EDGE,
@@ -229,8 +230,8 @@
             edge.link.close()
             scheduler.stop()
 
-    async def test_patience_grows(self) -> None:
-        """Whatever the crowd, an edge comes to wait long enough."""
+    async def test_handshake_timeout_grows(self) -> None:
+        """The edge eventually waits long enough, however many processes there are."""
         scheduler, edge = SlowScheduler(after_s=1.5), Edge()
         try:
             edge.follow(await scheduler.async_start())
@@ -241,8 +242,8 @@
             edge.link.close()
             scheduler.stop()
 
-    async def test_standby_is_kept_while_nobody_leads(self) -> None:
-        """There is no leader to try again; each second it was left and made anew."""
+    async def test_standby_is_kept_while_no_scheduler_leads(self) -> None:
+        """Without a leader to retry, the edge must not reconnect every second."""
         standby, edge = Scheduler(), Edge()
         standby.leading = False
         try:
@@ -260,27 +261,27 @@
 
 
 class TestBacklog:
-    """Connections that come while the loop is busy."""
+    """Connections that arrive while the event loop is busy."""
 
-    async def test_kernel_takes_a_crowd(self) -> None:
-        """The loop's own bound is 100; those beyond it came a second late."""
+    async def test_kernel_accepts_many_connections(self) -> None:
+        """Beyond asyncio's default backlog of 100, connections take a second longer."""
         scheduler = Scheduler()
         address = split_address(await scheduler.async_start())
         sockets = []
         try:
-            for _ in range(CROWD):
+            for _ in range(EDGE_COUNT):
                 sockets.append(socket.create_connection(address, timeout=0.3))
         finally:
             for each in sockets:
                 each.close()
             scheduler.stop()
-        assert len(sockets) == CROWD
+        assert len(sockets) == EDGE_COUNT
 
 
 class TestSeeds:
-    """Whom a process asks that knows nothing yet."""
+    """Seeds that a process connects to without a configuration."""
 
-    async def test_seed_is_asked_if_the_store_does_not_answer(self) -> None:
+    async def test_seed_is_used_if_the_store_does_not_respond(self) -> None:
         seed, edge = Scheduler(), Edge()
         try:
             edge.link.seeds = (await seed.async_start(),)
@@ -292,8 +293,8 @@
             edge.link.close()
             seed.stop()
 
-    async def test_who_has_read_the_store_asks_no_seed(self) -> None:
-        """All keys would come a second time, mostly from another data centre."""
+    async def test_seed_is_not_used_after_reading_the_store(self) -> None:
+        """All keys would be sent a second time, mostly from another data centre."""
         seed, edge = Scheduler(), Edge()
         try:
             edge.link.seeds = (await seed.async_start(),)
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of quotas over links: who counts, who is told, what a new scheduler learns."""
+"""Tests of quotas that an edge and a scheduler enforce together."""
 
 import asyncio
 
@@ -38,8 +38,8 @@
     return registry
 
 
-def limit(scheduler: Scheduler, *edges: Edge) -> None:
-    """Let all know the customers; the scheduler has just started."""
+def configure_quotas(scheduler: Scheduler, *edges: Edge) -> None:
+    """Configure the customers at all processes; the scheduler has just started."""
     state = scheduler.server.core.state
     state.quotas = QuotaTracker(starts_full=False, registry=make_registry())
     state.quotas.begin(scheduler.server.clock() - 1.0)
@@ -47,37 +47,43 @@
         edge.local.core.state.quotas.registry = make_registry()
 
 
-def ask(request_id: str, cost: float) -> GrantRequest:
+def make_grant_request(request_id: str, cost: float) -> GrantRequest:
     return evolve(make_asked(request_id), customer="acme", cost=cost)
 
 
 class TestEngines:
-    """Requests for places."""
+    """Requests that need a grant."""
 
-    async def test_scheduler_refuses_what_is_over_the_quota(self) -> None:
+    async def test_scheduler_rejects_requests_over_quota(self) -> None:
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
-            first = await receive(edge.client.ask(ask("q1", RATE)))
-            second = await receive(edge.client.ask(ask("q2", RATE)))
+            configure_quotas(scheduler, edge)
+            first = await receive(
+                edge.client.request_grant(make_grant_request("q1", RATE))
+            )
+            second = await receive(
+                edge.client.request_grant(make_grant_request("q2", RATE))
+            )
         assert isinstance(first, Grant)
         assert isinstance(second, Refuse)
         assert second.over_quota
         assert 0.5 < second.retry_after_s <= 1.0
 
-    async def test_request_that_waits_in_vain_is_given_back(self) -> None:
+    async def test_ended_waiting_request_is_refunded(self) -> None:
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
-            gone = evolve(ask("q1", RATE), model="b")
-            edge.client.ask(gone)
+            configure_quotas(scheduler, edge)
+            gone = evolve(make_grant_request("q1", RATE), model="b")
+            edge.client.request_grant(gone)
             await async_wait_until(lambda: bool(scheduler.server.core.state.charges))
-            edge.client.end("q1", EndKind.LEFT)
-            granted = await receive(edge.client.ask(ask("q2", RATE)))
+            edge.client.end_request("q1", EndKind.LEFT)
+            granted = await receive(
+                edge.client.request_grant(make_grant_request("q2", RATE))
+            )
         assert isinstance(granted, Grant)
 
-    async def test_edge_that_is_lost_leaves_nothing_charged(self) -> None:
+    async def test_lost_edge_is_refunded(self) -> None:
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
-            edge.client.ask(evolve(ask("q1", RATE), model="b"))
+            configure_quotas(scheduler, edge)
+            edge.client.request_grant(evolve(make_grant_request("q1", RATE), model="b"))
             state = scheduler.server.core.state
             await async_wait_until(lambda: bool(state.charges))
             edge.link.close()
@@ -86,33 +92,33 @@
 
 
 class TestPlainServices:
-    """What edges let in by themselves."""
+    """Requests that edges admit by themselves."""
 
-    async def test_scheduler_hears_of_it_and_tells_all_edges(self) -> None:
+    async def test_scheduler_announces_exhausted_quotas(self) -> None:
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
+            configure_quotas(scheduler, edge)
             assert edge.client.consume_quota("acme", 2.5 * RATE) == 0.0
             await async_wait_until(
                 lambda: edge.client.consume_quota("acme", 200.0) > 0, most_s=1.0
             )
-            # A debt of one and a half times the rate.
+            # The quota is overdrawn by one and a half times the rate.
             assert edge.client.consume_quota("acme", 200.0) > 1.0
 
-    async def test_what_was_not_run_is_given_back(self) -> None:
+    async def test_request_that_was_not_run_is_refunded(self) -> None:
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
+            configure_quotas(scheduler, edge)
             quotas = scheduler.server.core.state.quotas
             clock = scheduler.server.clock
             edge.client.consume_quota("acme", RATE)
             await async_wait_until(
                 lambda: (quotas.get_balance("acme", clock()) or 0) < 0.5 * RATE
             )
-            edge.client.give_back("acme", RATE)
+            edge.client.refund_quota("acme", RATE)
             await async_wait_until(
                 lambda: (quotas.get_balance("acme", clock()) or 0) > 0.9 * RATE
             )
 
-    async def test_edge_that_is_alone_has_its_part(self) -> None:
+    async def test_disconnected_edge_has_its_share(self) -> None:
         edge = Edge()
         try:
             edge.local.core.state.quotas.registry = make_registry()
@@ -124,11 +130,11 @@
 
 
 class TestLoss:
-    """The scheduler is lost, and no other one is there."""
+    """Quotas after the scheduler is lost without a replacement."""
 
-    async def test_customer_goes_on_unless_he_had_nothing_left(self) -> None:
+    async def test_unexhausted_customer_may_overdraw(self) -> None:
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
+            configure_quotas(scheduler, edge)
             local = edge.local.core.state.quotas
             local.share = 1 / 73
             scheduler.stop()
@@ -136,18 +142,20 @@
             await asyncio.sleep(0.3)
             for number in range(3):
                 request_id = f"q{number}"
-                answer = await receive(edge.client.ask(ask(request_id, 1500.0)))
+                answer = await receive(
+                    edge.client.request_grant(make_grant_request(request_id, 1500.0))
+                )
                 assert isinstance(answer, Grant), answer
-                edge.client.note_first_event(request_id)
+                edge.client.report_first_event(request_id)
 
 
-class TestSuccession:
-    """Another scheduler begins to grant, or the same once more."""
+class TestNewScheduler:
+    """Spending that is reported to another scheduler, or to the same one again."""
 
-    async def test_what_it_has_counted_is_not_counted_twice(self) -> None:
-        """Connections are reset, and made anew to the same scheduler."""
+    async def test_counted_spending_is_not_counted_twice(self) -> None:
+        """Connections are reset and made again to the same scheduler."""
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
+            configure_quotas(scheduler, edge)
             quotas = scheduler.server.core.state.quotas
             clock = scheduler.server.clock
             assert edge.client.consume_quota("acme", 2 * RATE) == 0.0
@@ -161,26 +169,28 @@
                 await async_wait_until(lambda: not edge.link.leading)
                 await edge.async_wait_leading()
             await asyncio.sleep(0.1)
-            earned = RATE * (clock() - at)
-            now_left = quotas.get_balance("acme", clock()) or 0.0
-        assert now_left >= min(RATE, before + earned) - 1.0
+            refilled = RATE * (clock() - at)
+            balance = quotas.get_balance("acme", clock()) or 0.0
+        assert balance >= min(RATE, before + refilled) - 1.0
 
-    async def test_what_was_spent_elsewhere_is_not_taken_as_counted(self) -> None:
-        """An edge was at a standby that granted nothing, and comes back to it."""
+    async def test_spending_elsewhere_is_counted(self) -> None:
+        """An edge reconnects to a standby that granted nothing before."""
         standby = Scheduler()
         standby.leading = False
-        limit(standby)
+        configure_quotas(standby)
         row = SpendingEntry("acme", 0.5, 2 * RATE)
-        standby.server._note_lost("e1")
+        standby.server._record_edge_lost("e1")
         standby.leading = True
-        told = standby.server._drop_known("e1", SpendingReported(rows=(row,)))
-        assert told.rows == (row,)
+        reported = standby.server._drop_counted_spending(
+            "e1", SpendingReported(rows=(row,))
+        )
+        assert reported.rows == (row,)
 
-    async def test_it_learns_what_was_spent(self) -> None:
+    async def test_new_scheduler_receives_spending(self) -> None:
         second = Scheduler()
         async with connect() as (scheduler, edge):
-            limit(scheduler, edge)
-            limit(second, edge)
+            configure_quotas(scheduler, edge)
+            configure_quotas(second, edge)
             assert edge.client.consume_quota("acme", RATE) == 0.0
             assert edge.client.consume_quota("acme", RATE) == 0.0
             edge.follow(await second.async_start(), fence=2)
@@ -192,7 +202,9 @@
                 lambda: (quotas.get_balance("acme", clock()) or 0) < 0, most_s=2.0
             )
             await asyncio.sleep(0)
-            answer = await receive(edge.client.ask(ask("q9", RATE)))
+            answer = await receive(
+                edge.client.request_grant(make_grant_request("q9", RATE))
+            )
             second.stop()
         assert isinstance(answer, Refuse)
         assert answer.over_quota
--- a/tests/scheduling/test_server.py
+++ b/tests/scheduling/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of what the scheduler sends to all edges, by their number."""
+"""Tests of the messages to all edges, at different numbers of edges."""
 
 import pytest
 
@@ -33,20 +33,20 @@
 
 
 class TestFanOut:
-    """Work for each host at 30, 100 and 300 of them."""
+    """Messages to 30, 100 and 300 hosts."""
 
     @pytest.mark.parametrize("hosts", HOSTS)
     async def test_heartbeats_of_all_are_bounded(self, hosts: int) -> None:
         scheduler = Scheduler()
         connect_many(scheduler, hosts)
-        a_second = hosts / scheduler.server._choose_period()
-        assert a_second <= HEARTBEATS_PER_S + 1e-6
+        heartbeats_per_s = hosts / scheduler.server._choose_period()
+        assert heartbeats_per_s <= HEARTBEATS_PER_S + 1e-6
 
     @pytest.mark.parametrize("hosts", HOSTS)
-    async def test_message_is_encoded_once_and_is_as_long_for_each(
+    async def test_message_is_encoded_once_for_all(
         self, hosts: int, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """It was encoded, and compressed, anew for each edge."""
+        """Encoding and compressing it for each edge would take too much time."""
         scheduler = Scheduler()
         links = connect_many(scheduler, hosts)
         encoded = []
@@ -60,7 +60,7 @@
         monkeypatch.setattr(feed_module, "encode_frame", count)
         change = Change(key="k", revision=7, item=None)
         scheduler.server.feed.pass_changes(Changes(changes=(change,), revision=7))
-        scheduler.server.feed._pass_on()
+        scheduler.server.feed._relay_changes()
         scheduler.server.send_heartbeats()
         assert encoded == [1, 1]
         assert all(each.frames == 2 and each.bytes < 200 for each in links)
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -8,7 +8,7 @@
 from mangoway.models.fleet import Member, Role
 from mangoway.policy.scheduling.events import EndKind, Grant
 from mangoway.scheduling.codec import encode_frame
-from mangoway.scheduling.messages import StateChanged, StateRead
+from mangoway.scheduling.messages import StoreChanges, StoreSnapshot
 
 from ..fakes.fleet import make_asked, make_table
 from ..fakes.polling import async_wait_until
@@ -28,7 +28,7 @@
 
 @asynccontextmanager
 async def start_two() -> AsyncIterator[tuple[Scheduler, Scheduler, Edge]]:
-    """Start a leader and a standby; the edge follows the leader and knows both."""
+    """Start a leader, a standby, and an edge that knows both and follows the leader."""
     leader, standby, edge = Scheduler(), Scheduler(), Edge()
     standby.leading = False
     try:
@@ -47,11 +47,11 @@
         standby.stop()
 
 
-class TestWelcome:
-    """What a scheduler sends to the edges that come to it all at once."""
+class TestUpdate:
+    """State that a scheduler sends to edges that connect to it at once."""
 
-    async def test_edge_gets_what_it_lacks(self) -> None:
-        """With the names of 450 keys for each of 195 edges it was busy for a second."""
+    async def test_edge_receives_missing_changes(self) -> None:
+        """Sending the names of 450 keys to each of 195 edges takes a second."""
         scheduler = Scheduler()
         items = tuple(
             Item(key=f"runners/{number}", value=b"v" * 300, revision=5)
@@ -62,13 +62,13 @@
         scheduler.mirror.take_changes(Changes(changes=(change,), revision=7))
         snapshot = scheduler.mirror.make_snapshot()
         assert snapshot is not None
-        welcome = scheduler.server.feed.make_welcome(snapshot, 6)
-        assert isinstance(welcome, StateChanged)
-        assert welcome.changes.changes == (change,)
-        assert len(encode_frame([welcome])) < 300
-        assert isinstance(scheduler.server.feed.make_welcome(snapshot, 5), StateRead)
+        update = scheduler.server.feed.make_update(snapshot, 6)
+        assert isinstance(update, StoreChanges)
+        assert update.changes.changes == (change,)
+        assert len(encode_frame([update])) < 300
+        assert isinstance(scheduler.server.feed.make_update(snapshot, 5), StoreSnapshot)
 
-    async def test_edge_that_comes_later_has_all_changes(self) -> None:
+    async def test_edge_receives_all_changes_from_a_standby(self) -> None:
         async with start_two() as (leader, standby, edge):
             item = Item(key="l", value=b"2", revision=6)
             snapshot = Snapshot(items=(item,), revision=6)
@@ -85,37 +85,41 @@
 
 
 class TestStandby:
-    """Who grants places until another scheduler has taken the lead."""
+    """Grants while no scheduler leads."""
 
     async def test_standby_grants_while_the_leader_is_gone(self) -> None:
-        """Each edge chose alone for the three seconds of the leader's lease."""
+        """Edges must not grant locally for the leader's lease of three seconds."""
         async with start_two() as (leader, standby, edge):
             leader.stop()
             standby.leading = True
             await async_wait_until(lambda: edge.link.leading)
-            assert isinstance(await receive(edge.client.ask(make_asked("q1"))), Grant)
+            assert isinstance(
+                await receive(edge.client.request_grant(make_asked("q1"))), Grant
+            )
             await async_wait_until(
                 lambda: ("e1", "q1") in standby.server.core.state.granted
             )
 
-    async def test_standby_hears_what_runs(self) -> None:
+    async def test_standby_receives_running_requests(self) -> None:
         async with start_two() as (leader, standby, edge):
-            assert isinstance(await receive(edge.client.ask(make_asked("q1"))), Grant)
+            assert isinstance(
+                await receive(edge.client.request_grant(make_asked("q1"))), Grant
+            )
             leader.stop()
             standby.leading = True
             await async_wait_until(
                 lambda: ("e1", "q1") in standby.server.core.state.granted
             )
-            edge.client.end("q1", EndKind.SERVED)
+            edge.client.end_request("q1", EndKind.SERVED)
             await async_wait_until(lambda: not standby.server.core.state.granted)
 
     async def test_waiting_request_goes_to_the_standby(self) -> None:
-        """What waits at all edges must not meet on full runners."""
+        """The waiting requests of all edges must not arrive at full runners at once."""
         async with start_two() as (leader, standby, edge):
             leader.server.core.state.orders_allowed = False
-            first = edge.client.ask(make_asked("q1"))
+            first = edge.client.request_grant(make_asked("q1"))
             assert isinstance(await receive(first), Grant)
-            waiting = edge.client.ask(make_asked("q2"))
+            waiting = edge.client.request_grant(make_asked("q2"))
             await async_wait_until(
                 lambda: len(leader.server.core.state.get_queue("llm")) == 1
             )
@@ -125,41 +129,41 @@
                 lambda: len(standby.server.core.state.get_queue("llm")) == 1
             )
             assert len(edge.local.core.state.get_queue("llm")) == 0
-            edge.client.end("q1", EndKind.SERVED)
+            edge.client.end_request("q1", EndKind.SERVED)
             assert isinstance(await receive(waiting), Grant)
 
-    async def test_edge_chooses_alone_where_nobody_stands_in(self) -> None:
+    async def test_edge_grants_locally_without_a_standby(self) -> None:
         async with start_two() as (leader, standby, edge):
             leader.stop()
             standby.stop()
             await async_wait_until(lambda: edge.link.link is None)
-            granted = await receive(edge.client.ask(make_asked("q1")))
+            granted = await receive(edge.client.request_grant(make_asked("q1")))
             assert isinstance(granted, Grant)
 
-    async def test_edge_goes_back_to_a_leader_that_others_still_hear(self) -> None:
-        """A standby that hears the leader grants nothing, so the edge must not stay."""
+    async def test_edge_returns_to_a_leader_that_still_leads(self) -> None:
+        """A standby that hears the leader grants nothing, so the edge must leave it."""
         async with start_two() as (leader, _standby, edge):
             first = edge.view.leader
             assert first is not None
-            edge.link._avoid(first.member.peer_address)
+            edge.link._skip(first.member.peer_address)
             edge.link.close("for the test")
             await async_wait_until(lambda: edge.link.link is not None)
             assert not edge.link.leading
             await edge.async_wait_leading()
             assert leader.server.edge_count == 1
 
-    async def test_leader_is_tried_when_the_standby_is_left(self) -> None:
-        """Were it avoided for longer, it would be passed over again and again."""
+    async def test_leader_is_retried_when_the_standby_is_left(self) -> None:
+        """If it were skipped for longer, the edge would reconnect to the standby."""
         async with start_two() as (_leader, _standby, edge):
             first = edge.view.leader
             assert first is not None
             for seed in range(50):
                 edge.link.random.seed(seed)
                 edge.link.close("for the test")
-                edge.link._avoid(first.member.peer_address)
+                edge.link._skip(first.member.peer_address)
                 await async_wait_until(lambda: edge.link.link is not None)
-                leave_at = edge.link._try_leader_at
-                assert edge.link._avoided[first.member.peer_address] <= leave_at
+                leave_at = edge.link._retry_leader_at
+                assert edge.link._skipped_until[first.member.peer_address] <= leave_at
 
     async def test_edge_follows_the_next_leader(self) -> None:
         async with start_two() as (leader, standby, edge):
