--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -113,7 +113,7 @@
             core=self._make_core(),
             clock=process.clock,
             is_leading=self._is_granting,
-            give_order=lambda order: self.orders.give(order),
+            send_order=lambda order: self.orders.give(order),
             mirror=process.mirror,
             get_retention_s=lambda: process.view.get_retention_s(process.clock()),
         )
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -56,7 +56,7 @@
     core: SchedulingCore
     clock: Callable[[], float]
     is_leading: Callable[[], bool]
-    give_order: Callable[[SendOrder], None]
+    send_order: Callable[[SendOrder], None]
     mirror: Mirror
     """The state of the store in this process, which it relays."""
 
@@ -78,7 +78,7 @@
     """Called with the incarnation of each edge that connects or disconnects."""
 
     _links: dict[str, Link] = field(factory=dict, init=False)
-    _asking: set[str] = field(factory=set, init=False)
+    _edges: set[str] = field(factory=set, init=False)
     """Incarnations of the edges among the followers; the others are standbys."""
 
     _lost_at: dict[str, float] = field(factory=dict, init=False)
@@ -113,7 +113,7 @@
     @property
     def edge_count(self) -> int:
         """Return the number of connected edges."""
-        return len(self._asking)
+        return len(self._edges)
 
     def stop(self) -> None:
         """Stop listening and close all connections."""
@@ -142,7 +142,7 @@
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendOrder):
-                self.give_order(action)
+                self.send_order(action)
                 continue
             link = self._links.get(action.edge)
             if link is not None:
@@ -262,7 +262,7 @@
         link.edge = hello.edge
         self._links[hello.edge] = link
         if hello.requests_grants:
-            self._asking.add(hello.edge)
+            self._edges.add(hello.edge)
             self.core.state.edge_data_centres[hello.edge] = hello.data_centre
             self.on_edge_connection(hello.edge, True)
         # The heartbeat is sent at once and the snapshot in its turn, because a follower
@@ -294,8 +294,8 @@
             del self._links[link.edge]
             self.feed.remove(link)
             self._record_edge_lost(link.edge)
-            if link.edge in self._asking:
-                self._asking.discard(link.edge)
+            if link.edge in self._edges:
+                self._edges.discard(link.edge)
                 self.on_edge_connection(link.edge, False)
             self.core.state.edge_data_centres.pop(link.edge, None)
             log_event(log.LinkLost(peer=link.edge, reason=reason))
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -65,9 +65,9 @@
                 f"m/{number}", evolve(member, role=Role.EDGE)
             )
         assert scheduler._measure_share() == 1 / 8
-        scheduler.server._asking.update(f"e{number}" for number in range(6))
+        scheduler.server._edges.update(f"e{number}" for number in range(6))
         assert scheduler._measure_share() == 0.75
-        scheduler.server._asking.update(f"e{number}" for number in range(9))
+        scheduler.server._edges.update(f"e{number}" for number in range(9))
         assert scheduler._measure_share() == 1.0
 
     async def test_it_begins_as_if_it_heard_all(self) -> None:
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -86,7 +86,7 @@
             core=make_core(),
             clock=clock,
             is_leading=lambda: self.leading,
-            give_order=self.orders.append,
+            send_order=self.orders.append,
             mirror=self.mirror,
             get_retention_s=lambda: 0.0,
         )
