--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -105,7 +105,7 @@
         """Refund the quota charge of a request that no longer waits."""
         charge = self.state.charges.pop(key, None)
         if charge is not None:
-            self.state.quotas.spend(charge.customer, -charge.amount, now)
+            self.state.quotas.record_spending(charge.customer, -charge.amount, now)
 
     def serve_request(self, waiting: WaitingRequest, now: float) -> list[Action]:
         """Queue a request and return the actions that it allows."""
@@ -199,11 +199,11 @@
         """Update the health record of a runner from the result of a request."""
         health = self.state.health
         if kind.was_served:
-            if health.note_success(running.runner_id):
+            if health.record_success(running.runner_id):
                 self.on_health_change(running.runner_id, 0)
         elif kind in (EndKind.FAILED, EndKind.UNREACHABLE):
             unreachable = kind is EndKind.UNREACHABLE
-            failures = health.note_failure(
+            failures = health.record_failure(
                 running.runner_id, now, unreachable=unreachable
             )
             if failures:
@@ -216,7 +216,7 @@
 ) -> list[Action]:
     state = core.state
     if event.cost > 0:
-        wait_s = state.quotas.take(event.customer, event.cost, now)
+        wait_s = state.quotas.try_consume(event.customer, event.cost, now)
         if wait_s > 0:
             return [_refuse_over_quota(event, wait_s)]
         charge = QuotaCharge(event.customer, event.cost)
@@ -300,7 +300,7 @@
 def _handle_quota_spent(
     core: SchedulingCore, event: QuotaSpent, now: float
 ) -> list[Action]:
-    core.state.quotas.spend(event.customer, event.amount, now)
+    core.state.quotas.record_spending(event.customer, event.amount, now)
     return []
 
 
@@ -314,7 +314,7 @@
 
 @handles(LimitReport)
 def _handle_limit(core: SchedulingCore, event: LimitReport, now: float) -> list[Action]:
-    if not core.state.limits.note(event, now):
+    if not core.state.limits.update(event, now):
         return []
     runner = core.state.runners.get(event.runner_id)
     return [] if runner is None else core.serve_runner(runner, now)
@@ -324,7 +324,7 @@
 def _handle_cooldown(
     core: SchedulingCore, event: CooldownReport, now: float
 ) -> list[Action]:
-    core.state.cooldowns.note(event, now)
+    core.state.cooldowns.update(event, now)
     return []
 
 
@@ -338,11 +338,11 @@
             Refuse(
                 edge=event.edge,
                 request_id=event.request_id,
-                retry_after_s=round(limits.promise(*incarnation, now), 3),
+                retry_after_s=round(limits.reserve_retry_after(*incarnation, now), 3),
                 reason=RATE_LIMITED_REASON,
             )
         ]
-    limits.take(*incarnation, now)
+    limits.record_request(*incarnation, now)
     return [
         Grant(edge=event.edge, request_id=event.request_id, runner_id=event.runner_id)
     ]
--- a/mangoway/policy/scheduling/dispatch.py
+++ b/mangoway/policy/scheduling/dispatch.py
@@ -221,9 +221,9 @@
         grant_request = waiting.grant_request
         assign_request(self.state, waiting, runner, self.now)
         entry = runner.entry
-        self.state.limits.take(entry.runner_id, entry.started_ms, self.now)
+        self.state.limits.record_request(entry.runner_id, entry.started_ms, self.now)
         self._queue.remove(waiting.key)
-        self.state.health.note_sent(runner.runner_id, self.now)
+        self.state.health.record_attempt(runner.runner_id, self.now)
         return Grant(
             edge=grant_request.edge,
             request_id=grant_request.request_id,
