--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -1,9 +1,9 @@
-"""Engines and demand drawn from a seed, in virtual time, and a plain scheduler.
+"""Simulated engines and demand sampled from a seed, and a baseline scheduler.
 
-An engine works in steps: each reads up to a chunk of waiting prompts beside one token
-of every stream. What the scheduling core can't know is drawn: the pace of reading, the
-part of a first event that no reading explains, the steps, the chunk, the slots, the
-time of loads.
+Time is virtual. An engine works in steps: each step prefills up to a chunk of waiting
+prompts and produces one token of every stream. The parameters that the scheduling core
+can't know are sampled: the prefill speed, the overhead of a first event, the step time,
+the chunk size, the slots and the load time.
 """
 
 import math
@@ -33,35 +33,35 @@
 from .world import NETWORK_DELAY_S, FakeRunner, World
 
 LATE_SCORE = 0.4
-"""What a late answer is worth to its caller beside one that is on time."""
+"""Value of a late answer relative to one on time."""
 
 DEMAND_S = 14.0
-"""Time in which requests come; half of it after their models have changed."""
+"""Time in which requests arrive; the popular models change after half of it."""
 
 SIMULATION_S = 29.0
 BEGIN_S = 6.0
-"""Time for which runners stand idle before: shorter than the longest loads."""
+"""Idle time of the runners before; shorter than the longest loads."""
 
 
 @frozen(kw_only=True)
 class Draw:
-    """An engine, a fleet of it, and what is asked of it."""
+    """Parameters of an engine, its fleet and the demand."""
 
     seed: int
     runners: int
     models: int
     models_per_runner: int
-    """Models that a runner has room for."""
+    """Models that fit a runner's memory."""
 
     slots: int
     prefill_s_per_token: float
     first_event_s: float
     step_s: float
     chunk: int
-    """Prompt tokens that one step reads at most."""
+    """Maximum prompt tokens that one step prefills."""
 
     stride: int
-    """Tokens in an event."""
+    """Tokens per event."""
 
     load_s: float
     has_disk_copies: bool
@@ -70,38 +70,38 @@
     prompt_tokens: int
     output_tokens: int
     utilization: float
-    """Part of the runners' time that reading takes."""
+    """Share of the runners' time that prefill takes."""
 
     gap_objective_s: float
 
     @property
     def prefill_s(self) -> float:
-        """Return the reading time of a prompt of mean length."""
+        """Return the prefill time of a prompt of mean length."""
         return self.prompt_tokens * self.prefill_s_per_token
 
     @property
     def objective_s(self) -> float:
-        """Return the time to a first event that is on time."""
+        """Return the objective of the time to the first event."""
         return self.first_event_s + 6 * self.prefill_s + 0.25
 
     @property
     def rate(self) -> float:
-        """Return the requests a second, of which no engine runs out of slots."""
+        """Return the requests per second, limited so that slots don't run out."""
         stream_s = 2 * self.output_tokens * self.step_s
         by_slots = 0.5 * self.runners * self.slots / stream_s
         return min(by_slots, self.utilization * self.runners / self.prefill_s)
 
 
 def draw(seed: int) -> Draw:
-    """Return what a seed stands for."""
+    """Return the parameters sampled from a seed."""
     random = Random(seed)
     runners = random.randint(3, 12)
     models_per_runner = random.randint(2, 4)
     step_s = random.uniform(0.003, 0.015)
     gap_objective_s = random.uniform(0.15, 0.5)
     prefill_s_per_token = 1 / random.uniform(10_000, 60_000)
-    # An engine of which each long prompt stalls all streams for too long is none that
-    # anybody would run with that objective.
+    # An engine on which each long prompt stalls all streams beyond the objective would
+    # not be run with that objective.
     longest = 0.6 * gap_objective_s / prefill_s_per_token
     chunk = random.choice([each for each in (256, 512, 1024, 2048) if each <= longest])
     stride = max(1, int(random.uniform(0.2, 0.5) * gap_objective_s / step_s / 3))
@@ -135,7 +135,7 @@
     grant: Grant
     unread: int
     left: int
-    """Output tokens that are still to come."""
+    """Output tokens that remain."""
 
     first_event_sent: bool = False
     tokens: int = 0
@@ -145,7 +145,7 @@
 
 @define(eq=False)
 class Engine:
-    """Reads prompts in chunks beside the streams of one runner."""
+    """Prefills prompts in chunks beside the streams of one runner."""
 
     drawn: Draw
     world: "DrawnWorld"
@@ -154,14 +154,14 @@
     stepping: bool = False
 
     def add(self, stream: Stream) -> None:
-        """Take a request."""
+        """Add a request."""
         self.prompts.append(stream)
         if not self.stepping:
             self.stepping = True
             self.step()
 
     def step(self) -> None:
-        """Begin a step, if there is anything to do."""
+        """Start a step if there are prompts or streams."""
         if not self.prompts and not self.streams:
             self.stepping = False
             return
@@ -211,20 +211,20 @@
 
 @define(eq=False)
 class DrawnWorld(World):
-    """The fleet of a draw, with a core that schedules it."""
+    """The fleet of a draw with a core that schedules it."""
 
     drawn: Draw = field(kw_only=True)
     gaps: dict[str, float] = field(factory=dict, init=False)
-    """Longest pause of each stream that came to its end."""
+    """Longest pause of each finished stream."""
 
     engines: dict[str, Engine] = field(factory=dict, init=False)
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call something after a time."""
+        """Call a function after a time."""
         self._at(self.now + seconds, call)
 
     def report_first_event(self, grant: Grant) -> None:
-        """Note that a request's first event came."""
+        """Send the first event of a request to the core."""
 
         def show() -> None:
             self.outcomes[grant.request_id].first_at = self.now
@@ -233,13 +233,13 @@
         self.after(NETWORK_DELAY_S, show)
 
     def end_stream(self, stream: Stream) -> None:
-        """Note that a stream has ended."""
+        """End a stream and report whether it paused for too long."""
         self.gaps[stream.grant.request_id] = stream.longest_gap_s
         paused = stream.longest_gap_s > self.drawn.gap_objective_s
         self._end(stream.grant, EndKind.PAUSED if paused else EndKind.SERVED)
 
     def compute_score(self) -> float:
-        """Return what callers got, as a share of all answers on time."""
+        """Return the value of the answers, as a share of all answers on time."""
         score = 0.0
         for request_id, outcome in self.outcomes.items():
             gap_s = self.gaps.get(request_id)
@@ -265,7 +265,7 @@
 
 
 def make_world(drawn: Draw) -> DrawnWorld:
-    """Return the fleet of a draw; what is left of its room goes to the first models."""
+    """Return the fleet of a draw; spare memory holds copies of the first models."""
     names = [f"m{number}" for number in range(drawn.models)]
     places = drawn.runners * drawn.models_per_runner
     held: list[list[str]] = [[] for _ in range(drawn.runners)]
@@ -291,7 +291,7 @@
 
 
 def shape_engine(world: DrawnWorld, drawn: Draw) -> None:
-    """Declare what a configuration would say of the drawn engine."""
+    """Set the engine profile to the sampled parameters."""
     service = world.table.services["llm"]
     assert service.engine is not None
     models = {
@@ -316,7 +316,7 @@
 
 
 def shape_model(profile: ModelProfile, drawn: Draw) -> ModelProfile:
-    """Return a model whose loads take what was drawn."""
+    """Return a model with the sampled load times."""
     near_s = min(drawn.load_s, 0.3 + 0.1 * drawn.load_s)
     return evolve(
         profile, load_s=drawn.load_s, disk_load_s=near_s, memory_load_s=near_s
@@ -324,7 +324,7 @@
 
 
 def add_all_requests(world: DrawnWorld) -> None:
-    """Let requests come: most for three models, which change once."""
+    """Add the requests, most of them for three models that change once."""
     drawn, random = world.drawn, Random(world.drawn.seed + 1)
     at = BEGIN_S
     number = 0
@@ -359,10 +359,10 @@
 
 @define(eq=False)
 class BaselineCore:
-    """Sends each request at once to the holder with the fewest, and loads on demand.
+    """Sends each request at once to the least loaded holder, and loads on demand.
 
-    The model that was used longest ago makes way. It is the plain choice that a
-    scheduler must not be worse than.
+    The least recently used model is evicted. A scheduler must not be worse than this
+    baseline.
     """
 
     world: DrawnWorld
@@ -372,7 +372,7 @@
     busy: set[str] = field(factory=set)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take an event."""
+        """Handle an event."""
         if isinstance(event, GrantRequest):
             self.waiting.append(event)
         elif isinstance(event, RequestEnded):
@@ -445,7 +445,7 @@
 def simulate(
     drawn: Draw, make_core: Callable[[DrawnWorld], Any] | None = None
 ) -> float:
-    """Play a draw and return what callers got, as a share of all on time."""
+    """Simulate a draw; return the value of the answers as a share of all on time."""
     world = make_world(drawn)
     if make_core is not None:
         world.core = make_core(world)
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -1,10 +1,10 @@
-"""A drawn fleet with many models, few places, and urgent and patient work together.
+"""A fleet with many models, few copies, and a mix of urgent and patient requests.
 
-Three kinds of request: chats (urgent, long streams, few popular models that change),
-patient chats (the same over a long tail of rare models, with an objective as long as a
-load from the weight store), and summaries (long prompts and short answers, of the
-popular models).
-Customers have ranks that say nothing of the kind.
+There are three kinds of requests: chats (urgent, with long streams, for a few popular
+models that change), patient chats (the same for a long tail of rare models, with an
+objective as long as a load from the weight store), and summaries (long prompts and
+short answers, for the popular models). The ranks of customers are independent of the
+kind.
 """
 
 import math
@@ -21,14 +21,14 @@
 SIMULATION_S = 40.0
 DEMAND_S = 24.0
 BURST_S = 8.0
-"""Time from one burst of patient work to the next."""
+"""Time between bursts of patient requests."""
 
 SHIFT_S = 2.0
-"""Time after which the model that is asked for most falls silent, and a new one comes
-in that is asked for least of the popular ones."""
+"""Time after which demand for the most popular model ends, and a new model becomes the
+least popular of the popular ones."""
 
 POPULAR_PLACES = 0.5
-"""Part of all places that copies of the popular models have at the begin."""
+"""Share of all model slots with copies of the popular models at the start."""
 
 LOAD_S = 4.0
 DISK_S = 0.8
@@ -40,13 +40,13 @@
 
     name: str
     share: float
-    """Part of the requests."""
+    """Share of the requests."""
 
     tokens: int
-    """Mean of the prompt."""
+    """Mean prompt length."""
 
     output: int
-    """Mean of the answer, in tokens."""
+    """Mean answer length in tokens."""
 
     objective_s: float
     patience_s: float
@@ -98,20 +98,21 @@
     runners: int = 20
     models: int = 74
     popular: int = 8
-    """Models that are asked for most at a time."""
+    """Number of popular models at a time."""
 
     rate: float = 85.0
-    """Requests a second."""
+    """Requests per second."""
 
     burst: float = 2.5
-    """Factor of the patient kind for three seconds after each shift."""
+    """Factor of the patient requests in the three seconds after the start of a
+    burst."""
 
     ranks: tuple[int, ...] = (0, 1, 2)
     """Ranks of customers."""
 
 
 def make_mixed(workload: MixedWorkload) -> DrawnWorld:
-    """Return a fleet of the kind, its popular models held by several runners."""
+    """Return a fleet whose popular models are held by several runners."""
     drawn = Draw(
         seed=workload.seed,
         runners=workload.runners,
@@ -156,7 +157,7 @@
 
 
 def _spread_models(workload: MixedWorkload) -> list[list[str]]:
-    """Place popular models on several runners, and others on one if there is room."""
+    """Place popular models on several runners, and others on one if it has room."""
     weights = _weigh_places(workload)
     copies = []
     for place, weight in enumerate(weights):
@@ -174,14 +175,14 @@
 
 
 def _weigh_places(workload: MixedWorkload) -> list[float]:
-    """Return what part of the requests the popular models get, first ones most."""
+    """Return the relative demand of the popular models, highest first."""
     return [math.pow(each + 1, -0.8) for each in range(workload.popular)]
 
 
 def add_mixed_requests(
     world: DrawnWorld, workload: MixedWorkload
 ) -> dict[str, RequestKind]:
-    """Let requests come; return the kind of each."""
+    """Add the requests and return the kind of each."""
     random = Random(workload.seed + 7)
     kinds: dict[str, RequestKind] = {}
     at = BEGIN_S
@@ -229,7 +230,7 @@
     kinds: dict[str, RequestKind],
     chosen: Callable[[GrantRequest, RequestKind], bool],
 ) -> float:
-    """Return the worth that callers of some requests got, as a share of all on time."""
+    """Return the value of some answers, as a share of all of them on time."""
     earned = owed = 0.0
     for request_id, kind in kinds.items():
         outcome = world.outcomes[request_id]
--- a/tests/policy/scheduling/test_cooldowns.py
+++ b/tests/policy/scheduling/test_cooldowns.py
@@ -1,4 +1,4 @@
-"""Tests of how the scheduling core leaves runners alone that asked for rest."""
+"""Tests that the scheduling core respects cooldowns of runners."""
 
 from mangoway.policy.limits.cooldowns import CooldownReport
 from mangoway.policy.scheduling.events import EdgeDisconnected
@@ -13,7 +13,7 @@
 def simulate(
     runner_models: list[list[str]], models: str = "abcdef", edge: str = "e1"
 ) -> World:
-    """Return a world in which r0 has asked an edge for rest at 1 s."""
+    """Return a world in which r0 has a cooldown for an edge from 1 s on."""
     world = World(models=list(models), runner_models=runner_models)
     world.run(1.0)
     world.feed(make_cooldown_report(edge))
@@ -26,8 +26,8 @@
     return CooldownReport(edge=edge, runner_id="r0", started_ms=0, rest_s=rest_s)
 
 
-class TestPlaces:
-    """Places for the requests of the edge that was asked."""
+class TestGrants:
+    """Grants for requests of the edge that the cooldown is for."""
 
     def test_patient_request_waits_for_the_end(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
@@ -60,7 +60,7 @@
         world.run(3.0)
         assert count_at(world, "r0") == 10
 
-    def test_repeat_is_held_as_well(self) -> None:
+    def test_retry_waits_as_well(self) -> None:
         world = simulate([["a", "b"], ["a", "c"]])
         grant_request = make_asked(
             "q1", "a", repeat=True, only=("r0",), patience_s=16.0
@@ -69,7 +69,7 @@
         world.run(1.0 + COOLDOWN_S - 0.1)
         assert world.outcomes["q1"].runner_id == ""
 
-    def test_request_that_waits_when_it_begins_is_held(self) -> None:
+    def test_queued_request_waits_for_the_end(self) -> None:
         world = World(models=list("abc"), runner_models=[["a", "b", "c"]])
         world.run(1.0)
         for number in range(8):
@@ -81,15 +81,15 @@
         world.run(1.0 + COOLDOWN_S - 0.1)
         assert count_at(world, "r0") <= before + 1
 
-    def test_end_brings_no_crowd(self) -> None:
-        """A prompt goes out when the one before was read."""
+    def test_end_causes_no_burst(self) -> None:
+        """Each prompt is sent only after the prefill of the one before."""
         world = simulate([["a", "b", "c"]], models="abc")
         for number in range(20):
             world.add_request(make_asked(f"q{number}", "a", patience_s=16.0), at=1.1)
         world.run(1.0 + COOLDOWN_S + 0.06)
         assert count_at(world, "r0") <= 3
 
-    def test_edge_that_is_gone_leaves_no_rest(self) -> None:
+    def test_disconnected_edge_has_no_cooldown(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         world.feed(EdgeDisconnected(edge="e1"))
         world.add_request(make_asked("q1", "a"), at=1.1)
@@ -98,9 +98,9 @@
 
 
 class TestPlacement:
-    """Models and adapters of a runner that rests."""
+    """Models and adapters of a runner in cooldown."""
 
-    def test_adapter_is_not_loaded_onto_it(self) -> None:
+    def test_adapter_is_loaded_on_another_runner(self) -> None:
         world = simulate([["a", "b"], ["a", "c"]])
         world.run(2.0)
         world.add_request(make_asked("q1", "a", adapter="x"), at=2.0)
@@ -109,7 +109,7 @@
         assert orders == ["r1"]
         assert world.outcomes["q1"].runner_id == "r1"
 
-    def test_popular_model_gets_a_copy_elsewhere_if_it_goes_on(self) -> None:
+    def test_long_cooldown_loads_a_popular_model_elsewhere(self) -> None:
         world = simulate([["a", "b", "c"], ["d", "e", "f"]])
         add_requests(world, "a", 10.0, 1.0, 8.0)
         for number in range(1, 5):
--- a/tests/policy/scheduling/test_demand.py
+++ b/tests/policy/scheduling/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of how much is asked of a model, and will be."""
+"""Tests of the estimated and predicted demand for a model."""
 
 from mangoway.policy.scheduling.const import REFUSAL_MATCH_S
 from mangoway.policy.scheduling.demand import Demand, RefusedRequests
@@ -10,7 +10,7 @@
 
 
 def simulate(rates: list[float]) -> Demand:
-    """Return a demand after seconds with so many evenly spaced requests each."""
+    """Return the demand after seconds with these numbers of evenly spaced requests."""
     demand = Demand()
     for second, rate in enumerate(rates):
         for number in range(int(rate)):
@@ -19,13 +19,13 @@
 
 
 class TestTrend:
-    """What is expected some seconds ahead."""
+    """Demand predicted for some seconds ahead."""
 
     def test_even_rise_is_followed(self) -> None:
         demand = simulate([4, 8, 12, 16, 20])
         assert 20 < demand.predict(5.0, HORIZON_S) < 36
 
-    def test_the_rate_alone_lags_behind(self) -> None:
+    def test_rate_lags_behind(self) -> None:
         demand = simulate([4, 8, 12, 16, 20])
         assert demand.get_rate(5.0) < 15
 
@@ -33,15 +33,15 @@
         demand = simulate([10] * 30)
         assert 9 < demand.predict(30.0, HORIZON_S) < 12
 
-    def test_fall_does_not_go_below_what_is_asked(self) -> None:
+    def test_falling_rate_is_not_extrapolated(self) -> None:
         demand = simulate([20] * 20 + [10, 5, 5, 5])
         assert 5 < demand.predict(24.0, HORIZON_S) < 12
 
 
-class TestReturns:
-    """Callers that were refused and come back."""
+class TestRefusedRequests:
+    """Retries of refused callers."""
 
-    def test_return_is_known_once(self) -> None:
+    def test_retry_is_recognised_once(self) -> None:
         refused = RefusedRequests()
         grant_request = make_asked("q1")
         refused.add(grant_request.model, grant_request.prompt, now=1.0)
@@ -50,7 +50,7 @@
             grant_request.model, grant_request.prompt, now=2.1
         )
 
-    def test_late_return_is_new_demand(self) -> None:
+    def test_late_retry_is_new_demand(self) -> None:
         refused = RefusedRequests()
         grant_request = make_asked("q1")
         refused.add(grant_request.model, grant_request.prompt, now=1.0)
@@ -64,7 +64,7 @@
         assert not refused.pop_recent("a", make_asked("q2").prompt, now=2.0)
 
     def test_demand_counts_a_refused_caller_once(self) -> None:
-        """30.8 requests a second were seen for a model that 19 asked for."""
+        """Counted retries would show 30.8 requests per second instead of 19."""
         world = World(models=["a"], runner_models=[["a"]])
         world.run(0.5)
         for number in range(200):
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Tests of which runner gets which request."""
+"""Tests of which runner serves which request."""
 
 from mangoway.policy.scheduling.const import (
     BACKLOG_LIMIT_S,
@@ -22,19 +22,19 @@
     return World(models=list(models), runner_models=list(held))
 
 
-def feed_asked(world: World, request_id: str, **fields: object) -> list[Grant]:
+def send_request(world: World, request_id: str, **fields: object) -> list[Grant]:
     grant_request = make_asked(request_id, **fields)  # type: ignore[arg-type]
     actions = world.core.handle(grant_request, world.now)
     return [each for each in actions if isinstance(each, Grant)]
 
 
 class TestPacing:
-    """A runner reads one prompt at a time."""
+    """A runner receives one prompt at a time."""
 
     def test_second_prompt_waits_for_the_first_event(self) -> None:
         world = make_world(["a"])
-        assert len(feed_asked(world, "q1")) == 1
-        assert feed_asked(world, "q2") == []
+        assert len(send_request(world, "q1")) == 1
+        assert send_request(world, "q2") == []
         actions = world.core.handle(FirstEventSeen(edge="e1", request_id="q1"), 0.03)
         assert [each.request_id for each in actions if isinstance(each, Grant)] == [
             "q2"
@@ -42,7 +42,7 @@
 
     def test_prompts_spread_over_the_copies(self) -> None:
         world = make_world(["a"], ["a"])
-        grants = [*feed_asked(world, "q1"), *feed_asked(world, "q2")]
+        grants = [*send_request(world, "q1"), *send_request(world, "q2")]
         assert {each.runner_id for each in grants} == {"r0", "r1"}
 
     def test_pressure_raises_the_limit(self) -> None:
@@ -51,20 +51,20 @@
         some = get_backlog_limit_s(measure_pressure(9, 6))
         assert BACKLOG_LIMIT_S < some < PRESSURE_BACKLOG_LIMIT_S
 
-    def test_request_that_left_frees_its_place(self) -> None:
+    def test_ended_request_frees_its_runner(self) -> None:
         world = make_world(["a"])
-        feed_asked(world, "q1")
-        feed_asked(world, "q2")
+        send_request(world, "q1")
+        send_request(world, "q2")
         ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.LEFT)
         actions = world.core.handle(ended, 0.01)
         assert [each.request_id for each in actions if isinstance(each, Grant)] == [
             "q2"
         ]
 
-    def test_lost_edge_frees_its_places(self) -> None:
+    def test_disconnected_edge_frees_its_runners(self) -> None:
         world = make_world(["a"])
-        feed_asked(world, "q1", edge="e1")
-        feed_asked(world, "q2", edge="e2")
+        send_request(world, "q1", edge="e1")
+        send_request(world, "q2", edge="e2")
         actions = world.core.handle(EdgeDisconnected(edge="e1"), 0.01)
         assert [each.request_id for each in actions if isinstance(each, Grant)] == [
             "q2"
@@ -76,27 +76,27 @@
             grant_request=make_asked("q1"), runner_id="r0", prefilling=True
         )
         world.core.handle(adopted, 0.0)
-        assert feed_asked(world, "q2") == []
+        assert send_request(world, "q2") == []
 
 
 class TestChoice:
-    """Which of several runners."""
+    """Choice among several runners."""
 
     def test_model_must_be_held(self) -> None:
         world = make_world(["b"], ["a"])
-        assert [each.runner_id for each in feed_asked(world, "q1")] == ["r1"]
+        assert [each.runner_id for each in send_request(world, "q1")] == ["r1"]
 
-    def test_failed_runner_is_left_out(self) -> None:
+    def test_failed_runner_is_excluded(self) -> None:
         world = make_world(["a"], ["a"])
-        grants = feed_asked(world, "q1", excluded=("r0",))
+        grants = send_request(world, "q1", excluded=("r0",))
         assert [each.runner_id for each in grants] == ["r1"]
 
-    def test_request_sent_often_enough_goes_only_where_it_was(self) -> None:
+    def test_request_with_no_attempts_left_stays_at_its_runner(self) -> None:
         world = make_world(["a"], ["a"])
-        grants = feed_asked(world, "q1", only=("r1",), repeat=True)
+        grants = send_request(world, "q1", only=("r1",), repeat=True)
         assert [each.runner_id for each in grants] == ["r1"]
 
-    def test_kept_prompt_draws_its_like(self) -> None:
+    def test_same_prompt_goes_where_it_is_cached(self) -> None:
         world = make_world(["a"], ["a"])
         first = make_asked("q1", tokens=800)
         [grant] = [
@@ -124,18 +124,18 @@
                 grant_request=make_asked(f"s{number}"), runner_id="r0", prefilling=False
             )
             world.core.handle(adopted, 0.0)
-        grants = feed_asked(world, "long", tokens=7000)
+        grants = send_request(world, "long", tokens=7000)
         assert [each.runner_id for each in grants] == ["r1"]
 
 
 class TestOrder:
-    """Who is first when requests wait."""
+    """Order of the waiting requests."""
 
     def test_request_that_can_be_on_time_goes_before_one_that_cannot(self) -> None:
         world = make_world(["a"])
-        feed_asked(world, "running")
-        feed_asked(world, "late", objective_s=-0.1)
-        feed_asked(world, "fresh")
+        send_request(world, "running")
+        send_request(world, "late", objective_s=-0.1)
+        send_request(world, "fresh")
         actions = world.core.handle(
             FirstEventSeen(edge="e1", request_id="running"), 0.03
         )
@@ -145,9 +145,9 @@
 
     def test_urgent_goes_before_less_urgent(self) -> None:
         world = make_world(["a"])
-        feed_asked(world, "running")
-        feed_asked(world, "patient", priority=2)
-        feed_asked(world, "urgent", priority=0)
+        send_request(world, "running")
+        send_request(world, "patient", priority=2)
+        send_request(world, "urgent", priority=0)
         actions = world.core.handle(
             FirstEventSeen(edge="e1", request_id="running"), 0.03
         )
@@ -157,25 +157,25 @@
 
 
 class TestRefusedArtifact:
-    """A runner that says it doesn't hold a model."""
+    """A runner that reports that it doesn't hold a model."""
 
-    def test_it_is_asked_again_only_after_a_pause(self) -> None:
+    def test_model_is_used_again_only_after_a_backoff(self) -> None:
         world = make_world(["a"])
-        feed_asked(world, "q1")
+        send_request(world, "q1")
         ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD)
         world.core.handle(ended, 0.01)
         world.now = 0.02
-        assert feed_asked(world, "q2") == []
+        assert send_request(world, "q2") == []
         world.now = 0.2
-        assert len(feed_asked(world, "q3")) == 1
+        assert len(send_request(world, "q3")) == 1
 
     def test_failures_in_a_row_avoid_the_runner(self) -> None:
         world = make_world(["a"], ["a"])
         for number in range(8):
-            for grant in feed_asked(world, f"q{number}"):
+            for grant in send_request(world, f"q{number}"):
                 kind = EndKind.FAILED if grant.runner_id == "r0" else EndKind.SERVED
                 world.core.handle(
                     RequestEnded(edge="e1", request_id=grant.request_id, kind=kind), 0.0
                 )
-        grants = [*feed_asked(world, "x1"), *feed_asked(world, "x2")]
+        grants = [*send_request(world, "x1"), *send_request(world, "x2")]
         assert "r0" not in {each.runner_id for each in grants}
--- a/tests/policy/scheduling/test_drawn.py
+++ b/tests/policy/scheduling/test_drawn.py
@@ -1,8 +1,8 @@
-"""Plays engines that nobody tuned for, and compares with a plain scheduler.
+"""Simulates engines with random parameters and compares with a baseline scheduler.
 
-Reading takes at most half of the runners' time and half of their slots are free on
-average, so that an ideal scheduler that knows the future serves all in time: the bound
-of each draw is 1.
+Prefill takes at most half of the runners' time, and half of their slots are free on
+average. An ideal scheduler with knowledge of the future would serve all requests in
+time, so that the bound of each draw is 1.
 """
 
 import pytest
@@ -12,27 +12,27 @@
 SEEDS = range(16)
 
 MIN_SHARE = 0.5
-"""Share of the bound that callers get on each draw. The lowest of these draws makes
-0.513: three of four models change at once there, and any prompt pauses its streams."""
+"""Minimum share of the bound on each draw. The lowest of these draws has 0.513, as
+three of four models change at once there and any prompt pauses its streams."""
 
 MEAN_SHARE = 0.78
-"""The same in the mean over the draws; it was 0.800 when this was set."""
+"""Minimum mean share over the draws, slightly below the mean of 0.800."""
 
-values: dict[int, float] = {}
+scores: dict[int, float] = {}
 
 
 def compute_score(seed: int) -> float:
-    """Return what callers get on a draw; each is played once."""
-    if seed not in values:
-        values[seed] = simulate(draw(seed))
-    return values[seed]
+    """Return the score of a draw; each draw is simulated once."""
+    if seed not in scores:
+        scores[seed] = simulate(draw(seed))
+    return scores[seed]
 
 
 class TestDraws:
-    """What callers get, as a share of all answers on time."""
+    """Value of the answers, as a share of all answers on time."""
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_no_draw_is_worse_than_the_plain_choice(self, seed: int) -> None:
+    def test_no_draw_is_worse_than_the_baseline(self, seed: int) -> None:
         assert compute_score(seed) >= simulate(draw(seed), BaselineCore)
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -42,5 +42,5 @@
     def test_mean_is_near_the_bound(self) -> None:
         assert sum(compute_score(seed) for seed in SEEDS) / len(SEEDS) >= MEAN_SHARE
 
-    def test_same_seed_plays_the_same_day(self) -> None:
+    def test_same_seed_gives_the_same_score(self) -> None:
         assert simulate(draw(2)) == simulate(draw(2))
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -1,4 +1,4 @@
-"""Tests that an event leaves nothing undone that a look at everything would find."""
+"""Tests that handling an event finds all that a check of the whole state would."""
 
 from random import Random
 
@@ -20,10 +20,10 @@
 
 @define(eq=False)
 class CheckedWorld(World):
-    """A world that looks at all requests and runners after each look of the core."""
+    """A world that checks all requests and runners after some events."""
 
     missed: list[tuple[float, str, str]] = field(factory=list, init=False)
-    """Requests that a runner could have had: when, which, and the runner."""
+    """Requests that a runner could have served: time, request and runner."""
 
     def feed(self, event: Event) -> None:
         super().feed(event)
@@ -49,7 +49,7 @@
 
 
 def make_world(seed: int) -> CheckedWorld:
-    """Return a world with clumped requests for changing models and adapters."""
+    """Return a world with clustered requests for changing models and adapters."""
     random = Random(seed)
     held = [random.sample(MODELS, 3) for _ in range(random.randint(1, 6))]
     world = CheckedWorld(models=MODELS, runner_models=held, seed=seed)
@@ -71,18 +71,18 @@
 
 
 class TestEvents:
-    """Whatever happened, no request waits that a runner with room could serve."""
+    """No request waits that a runner with room could serve."""
 
     @given(st.integers(0, 10_000))
     @settings(max_examples=25, deadline=None)
-    def test_nothing_is_left_undone(self, seed: int) -> None:
+    def test_no_servable_request_waits(self, seed: int) -> None:
         world = make_world(seed)
         world.run(8.0)
         assert world.missed == []
 
     @given(st.integers(0, 10_000))
     @settings(max_examples=10, deadline=None)
-    def test_index_of_copies_is_that_of_the_runners(self, seed: int) -> None:
+    def test_copy_index_matches_the_runners(self, seed: int) -> None:
         world = make_world(seed)
         for step in range(1, 9):
             world.run(float(step))
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of how the scheduling core keeps to runners' limits."""
+"""Tests that the scheduling core respects rate limits of runners."""
 
 import pytest
 from attrs import evolve
@@ -15,7 +15,7 @@
 
 
 def make_limit_report(limit: float | None, runner_id: str = "r0") -> LimitReport:
-    """Return what a runner says to a request that was just sent."""
+    """Return a runner's limit as reported in the response to a new request."""
     return LimitReport(
         runner_id=runner_id,
         started_ms=0,
@@ -42,7 +42,7 @@
 
 
 def count_at(world: World, runner_id: str, began: float = 0.0) -> int:
-    """Return the requests that a runner got."""
+    """Return the number of requests that a runner received."""
     return sum(
         1
         for each in world.outcomes.values()
@@ -50,23 +50,23 @@
     )
 
 
-class TestPace:
+class TestRate:
     """Requests at a limited runner."""
 
-    def test_runner_gets_what_it_takes_and_no_more(self) -> None:
+    def test_runner_receives_its_limit(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         add_requests(world, "a", 20.0, 1.0, 9.0)
         world.run(9.0)
         assert 8 * LIMIT - 2 <= count_at(world, "r0") <= 8 * LIMIT + 2
 
-    def test_others_get_the_rest(self) -> None:
+    def test_other_runners_receive_the_remaining_requests(self) -> None:
         world = simulate([["a", "b"], ["a", "c"]])
         add_requests(world, "a", 12.0, 1.0, 5.0)
         world.run(8.0)
         assert count_at(world, "r0") <= 4 * LIMIT + 2
         assert world.count_first_in(0.4) >= 45
 
-    def test_end_of_the_limit_frees_what_waits(self) -> None:
+    def test_end_of_the_limit_releases_the_queue(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         add_requests(world, "a", 8.0, 1.0, 1.5)
         world.run(1.5)
@@ -74,7 +74,7 @@
         world.run(2.5)
         assert world.count_first_in(1.0) == 4
 
-    def test_repeat_keeps_it_as_well(self) -> None:
+    def test_retries_count_as_well(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         for number in range(40):
             grant_request = make_asked(f"q{number}", "a", repeat=True, only=("r0",))
@@ -82,7 +82,7 @@
         world.run(5.0)
         assert count_at(world, "r0") <= 4 * LIMIT + 2
 
-    def test_new_scheduler_that_is_told_keeps_it(self) -> None:
+    def test_new_scheduler_respects_a_reported_limit(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         add_requests(world, "a", 20.0, 1.0, 9.0)
         world.run(5.0)
@@ -91,7 +91,7 @@
         world.run(9.0)
         assert count_at(world, "r0") <= 8 * LIMIT + 3
 
-    def test_entry_that_vanishes_for_a_moment_changes_nothing(self) -> None:
+    def test_limit_outlasts_a_missing_entry(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         world.feed(FleetUpdated(table=world.table, runners=()))
         world.update_fleet()
@@ -101,7 +101,7 @@
 
 
 class TestRefusal:
-    """Callers whom a limited runner can't take."""
+    """Requests that a limited runner can't serve in time."""
 
     def simulate(self) -> list[Refuse]:
         world = simulate([["a", "b", "c"]], models="abc")
@@ -110,11 +110,11 @@
         world.run(1.2)
         return [each.refusal for each in world.outcomes.values() if each.refusal]
 
-    def test_they_are_refused_at_once(self) -> None:
-        # In 2.4 s of patience the runner takes 5.
+    def test_requests_are_refused_at_once(self) -> None:
+        # The runner accepts 5 within the callers' patience of 2.4 s.
         assert len(self.simulate()) >= 24
 
-    def test_they_come_back_when_it_is_their_turn(self) -> None:
+    def test_retry_times_follow_the_limit(self) -> None:
         times = sorted(each.retry_after_s for each in self.simulate())
         assert times[0] > 1.0
         assert times[-1] > times[0] + 1.0
@@ -131,7 +131,7 @@
         assert [each.runner_id for each in loads] == ["r1"]
         assert count_at(world, "r1", began=5.0) >= 20
 
-    def test_limit_of_a_moment_moves_nothing(self) -> None:
+    def test_short_limit_causes_no_loads(self) -> None:
         world = simulate([["a", "b", "c"], ["d", "e", "f"]])
         add_requests(world, "a", 1.0, 1.0, 5.0)
         world.run(1.0 + MIN_LIMITED_S / 2)
@@ -139,7 +139,7 @@
         world.run(5.0)
         assert not any(each.load for each in world.orders)
 
-    def test_no_model_is_loaded_onto_it(self) -> None:
+    def test_no_model_is_loaded_on_a_limited_runner(self) -> None:
         world = simulate([["a", "b", "c"], ["d", "e", "f"], ["a", "d", "e"]])
         world.run(1.0 + MIN_LIMITED_S)
         add_requests(world, "f", 20.0, 2.0, 8.0)
@@ -155,26 +155,28 @@
 
 
 class TestPermits:
-    """Requests for plain services, for which edges choose the runners."""
+    """Requests for plain services, whose runners the edges choose."""
 
-    ASKED = PermitRequest(request_id="p1", edge="e1", runner_id="r0", started_ms=0)
+    PERMIT_REQUEST = PermitRequest(
+        request_id="p1", edge="e1", runner_id="r0", started_ms=0
+    )
 
-    def test_runner_without_a_limit_takes_any(self) -> None:
+    def test_runner_without_a_limit_gets_every_permit(self) -> None:
         world = World(models=["a"], runner_models=[["a"]])
-        actions = world.core.handle(self.ASKED, 1.0)
+        actions = world.core.handle(self.PERMIT_REQUEST, 1.0)
         assert [type(each) for each in actions] == [Grant]
 
     def test_permits_keep_to_the_limit(self) -> None:
         world = simulate([["a"]], models="a")
         granted = 0
         for tick in range(800):
-            [action] = world.core.handle(self.ASKED, 1.0 + tick / 100)
+            [action] = world.core.handle(self.PERMIT_REQUEST, 1.0 + tick / 100)
             granted += isinstance(action, Grant)
         assert granted == pytest.approx(8 * LIMIT, abs=2)
 
-    def test_refused_ones_get_turns_of_their_own(self) -> None:
+    def test_refused_permits_have_distinct_retry_times(self) -> None:
         world = simulate([["a"]], models="a")
-        refusals = [world.core.handle(self.ASKED, 1.0)[0] for _ in range(3)]
+        refusals = [world.core.handle(self.PERMIT_REQUEST, 1.0)[0] for _ in range(3)]
         assert all(isinstance(each, Refuse) for each in refusals)
         times = [each.retry_after_s for each in refusals if isinstance(each, Refuse)]
         assert times == pytest.approx([0.5, 1.0, 1.5])
@@ -182,8 +184,8 @@
             RATE_LIMITED_REASON
         }
 
-    def test_new_life_of_a_runner_owes_nothing(self) -> None:
+    def test_new_incarnation_has_no_limit(self) -> None:
         world = simulate([["a"]], models="a")
         world.feed(evolve(make_limit_report(LIMIT), started_ms=1000))
-        [action] = world.core.handle(evolve(self.ASKED, started_ms=2000), 1.0)
+        [action] = world.core.handle(evolve(self.PERMIT_REQUEST, started_ms=2000), 1.0)
         assert isinstance(action, Grant)
--- a/tests/policy/scheduling/test_load.py
+++ b/tests/policy/scheduling/test_load.py
@@ -1,26 +1,26 @@
-"""Plays heavy loads on the core and checks what callers get."""
+"""Simulates heavy loads and checks the time to the first event."""
 
 from ...fakes.fleet import make_asked
 from .world import World
 
 
-class TestClump:
-    """Requests for one model that come together."""
+class TestBurst:
+    """Simultaneous requests for one model."""
 
-    def test_most_of_what_can_be_on_time_is(self) -> None:
+    def test_most_requests_are_on_time(self) -> None:
         world = World(models=list("abcdef"), runner_models=[["a", "b"], ["a", "c"]])
         world.run(0.5)
         for number in range(20):
             world.add_request(make_asked(f"q{number}", "a"), at=1.0)
         world.run(4.0)
-        # Two runners read 20 prompts of 27 ms with their ways in 0.4 s.
+        # Two runners prefill 20 prompts of 27 ms in 0.4 s, network delays included.
         assert world.count_first_in(0.45) >= 18
 
 
 class TestOverload:
-    """Twice as many requests as the runners can read."""
+    """Twice as many requests as the runners can prefill."""
 
-    def play(self) -> World:
+    def simulate(self) -> World:
         world = World(models=list("abc"), runner_models=[["a", "b", "c"]])
         world.run(0.5)
         for number in range(400):
@@ -28,20 +28,20 @@
         world.run(10.0)
         return world
 
-    def test_useful_work_stays_near_what_the_runner_can_give(self) -> None:
-        world = self.play()
-        # In 5 s a runner reads at most 187 prompts of 27 ms.
+    def test_throughput_on_time_stays_near_the_capacity(self) -> None:
+        world = self.simulate()
+        # A runner prefills at most 187 prompts of 27 ms in 5 s.
         assert world.count_first_in(0.45) >= 100
 
-    def test_nobody_is_held_until_he_leaves(self) -> None:
-        world = self.play()
+    def test_no_request_waits_until_its_caller_leaves(self) -> None:
+        world = self.simulate()
         for outcome in world.outcomes.values():
             assert outcome.first_at is not None or outcome.refused_at is not None
             if outcome.refused_at is not None:
                 assert outcome.refused_at - outcome.requested_at < 2.4
 
-    def test_times_to_come_back_are_spread(self) -> None:
-        world = self.play()
+    def test_retry_times_are_spread(self) -> None:
+        world = self.simulate()
         times = {
             each.refusal.retry_after_s
             for each in world.outcomes.values()
@@ -51,9 +51,9 @@
 
 
 class TestSlowFirstEvents:
-    """An engine whose first events come long after a prompt was read."""
+    """An engine whose first events arrive long after the end of the prefill."""
 
-    def test_runner_reads_on_meanwhile(self) -> None:
+    def test_runner_prefills_meanwhile(self) -> None:
         world = World(
             models=["a"],
             runner_models=[["a"]],
@@ -67,15 +67,15 @@
             )
             world.add_request(grant_request, at=1.0 + number / 30)
         world.run(16.0)
-        # 30 prompts of 13 ms a second take 0.4 of the runner; one prompt at a time
-        # with its first event takes it 2.9 s of each.
+        # 30 prompts of 13 ms per second take a share of 0.4 of the runner. Waiting for
+        # the first event of each prompt would take 2.9 s per second.
         assert world.count_first_in(0.8) >= 285
 
 
 class TestShift:
     """Demand that moves to a model with one copy."""
 
-    def test_it_is_served_within_seconds(self) -> None:
+    def test_new_demand_is_served_within_seconds(self) -> None:
         world = World(
             models=list("abcdefghi"),
             runner_models=[["a", "b", "c"], ["a", "d", "e"], ["a", "f", "g"]],
@@ -95,8 +95,8 @@
         assert len(late) <= 10
 
 
-class TestTail:
-    """More models than places, each asked for now and then."""
+class TestLongTail:
+    """More models than the runners can hold, with occasional requests for each."""
 
     def test_no_model_goes_unserved(self) -> None:
         names = list("abcdefghijkl")
--- a/tests/policy/scheduling/test_machine.py
+++ b/tests/policy/scheduling/test_machine.py
@@ -1,4 +1,4 @@
-"""State machine: no runner is overfilled whatever becomes of orders and schedulers."""
+"""State machine test that faulty orders and new schedulers overfill no runner."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 class PlacementMachine(RuleBasedStateMachine):
-    """Requests for changing models, faulty orders, schedulers that are replaced."""
+    """Requests for changing models, with faulty orders and replaced schedulers."""
 
     @initialize(seed=st.integers(0, 99))
     def start(self, seed: int) -> None:
@@ -27,7 +27,7 @@
         self.world.run(self.world.now + seconds)
 
     @rule(model=st.sampled_from(MODELS), many=st.integers(1, 8), adapter=st.booleans())
-    def ask(self, model: str, many: int, adapter: bool) -> None:
+    def add_requests(self, model: str, many: int, adapter: bool) -> None:
         for number in range(many):
             self.added += 1
             grant_request = make_asked(
@@ -39,7 +39,7 @@
             self.world.add_request(grant_request, at=self.world.now + number / 50)
 
     @rule(faults=st.lists(st.sampled_from(FAULTS), min_size=1, max_size=5))
-    def disturb(self, faults: list[str]) -> None:
+    def inject_faults(self, faults: list[str]) -> None:
         self.world.faults.extend(faults)
 
     @rule()
--- a/tests/policy/scheduling/test_mixed.py
+++ b/tests/policy/scheduling/test_mixed.py
@@ -1,8 +1,9 @@
-"""Plays fleets with many models, few places, and urgent and patient work together.
+"""Simulates fleets with many models, few copies, and a mix of requests.
 
-Streams keep some 0.5 of the slots and reading some 0.2 of the runners' time, so that an
-ideal scheduler that knows which model comes next serves all in time: the bound is 1.
-What is lost below it are loads of four seconds for models that nobody asked for before.
+Streams occupy some 0.5 of the slots and prefill some 0.2 of the runners' time. An ideal
+scheduler that knows the next popular model would serve all requests in time, so that
+the bound is 1. The loss below it comes from loads of four seconds for models without
+earlier demand.
 """
 
 import pytest
@@ -23,17 +24,17 @@
 SEEDS = range(4)
 
 TARGET_SHARE = 0.80
-"""Share of the worth that users ask for on days with trouble."""
+"""Share of the value that users require on days with faults."""
 
 MAX_DEFICIT = 0.15
-"""By how much a kind may earn less of its worth than one that is less urgent."""
+"""Maximum by which the share of a kind may be lower than that of a less urgent one."""
 
 Simulation = tuple[DrawnWorld, dict[str, RequestKind]]
 simulations: dict[int, Simulation] = {}
 
 
 def simulate(seed: int) -> Simulation:
-    """Return a day that was played; each is played once."""
+    """Return the simulation of a seed; each seed is simulated once."""
     if seed not in simulations:
         workload = MixedWorkload(seed=seed)
         world = make_mixed(workload)
@@ -44,9 +45,9 @@
 
 
 class TestMixedWork:
-    """What the callers of each kind and rank get."""
+    """Results by kind of request and rank of the customer."""
 
-    def test_callers_get_what_is_aimed_at(self) -> None:
+    def test_mean_share_reaches_the_target(self) -> None:
         shares = [
             compute_share(*simulate(seed), lambda grant_request, kind: True)
             for seed in SEEDS
@@ -55,7 +56,7 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_kind_is_far_behind_a_less_urgent_one(self, seed: int) -> None:
-        """Long prompts go first by their route, whoever their customers are."""
+        """Long prompts are ranked first by their route, whoever their customers are."""
         shares = {
             each.name: compute_share(
                 *simulate(seed), lambda grant_request, kind, one=each: kind is one
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -30,9 +30,9 @@
 
 
 class TestOnDemand:
-    """A model that nobody holds."""
+    """A model that no runner holds."""
 
-    def test_waiting_request_gets_it_loaded_in_its_time(self) -> None:
+    def test_waiting_request_gets_its_model_in_time(self) -> None:
         world = make_world(["a", "b", "c"], ["a", "d", "e"])
         world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
         world.run(4.0)
@@ -40,7 +40,7 @@
         assert outcome.first_at is not None
         assert outcome.first_at - outcome.requested_at < 2.0
 
-    def test_wanted_copy_is_not_taken_away_for_it(self) -> None:
+    def test_needed_copy_is_not_evicted_for_it(self) -> None:
         world = make_world(["a", "b", "c"], ["d", "e", "g"])
         for number in range(40):
             world.add_request(
@@ -69,7 +69,7 @@
         world.run(1.6)
         assert [each for each in world.orders if not each.load] == []
 
-    def test_two_rare_models_do_not_take_each_others_place_unasked(self) -> None:
+    def test_two_rare_models_do_not_replace_each_other(self) -> None:
         world = make_world(["a", "b", "c"])
         for number in range(6):
             model = "b" if number % 2 else "c"
@@ -79,7 +79,7 @@
 
 
 class TestSlowLoads:
-    """Loads from the weight store of 6 s, beside copies on the runners' disks."""
+    """Loads of 6 s from the weight store, beside copies on the runners' disks."""
 
     def test_load_waits_for_the_runner_that_has_a_copy(self) -> None:
         world = make_world(
@@ -107,7 +107,7 @@
         assert "k" in [each.model for each in world.orders if each.load]
 
     def test_copies_are_ordered_for_the_demand_at_the_end_of_a_load(self) -> None:
-        """Demand that rises to 24 requests a second in 6 s, as long as a load takes."""
+        """Demand rises to 24 requests per second in 6 s, as long as a load takes."""
         world = make_world(
             ["a", "b", "c"],
             ["a", "d", "e"],
@@ -126,7 +126,7 @@
 
 
 class TestCopies:
-    """Popular models get more copies."""
+    """Further copies of popular models."""
 
     def test_rising_demand_gets_further_copies(self) -> None:
         world = make_world(["a", "b", "c"], ["d", "e", "f"], ["d", "e", "g"])
@@ -137,7 +137,7 @@
         assert len(holders) >= 2
 
     def test_popular_model_goes_before_rare_ones_that_wait(self) -> None:
-        """Loads of 6 s: a rare request must not keep a popular model waiting."""
+        """With loads of 6 s, a rare request must not delay a popular model."""
         world = make_world(["a", "b", "c"], ["d", "e", "f"], load_s=6.0)
         for number in range(300):
             world.add_request(make_asked(f"q{number}", "a"), at=1.0 + number / 60)
@@ -149,7 +149,7 @@
         assert loads[0] == "a"
 
     def test_copies_load_beside_each_other(self) -> None:
-        """Loads of 6 s: the second copy must not wait until the first is there."""
+        """With loads of 6 s, the second copy must not wait until the first is ready."""
         world = make_world(
             ["a", "b", "c"], ["a", "d", "e"], ["a", "f", "b"], load_s=6.0
         )
@@ -159,7 +159,7 @@
         loads = [each.runner_id for each in world.orders if each.load]
         assert len(set(loads)) >= 2
 
-    def test_free_room_is_filled(self) -> None:
+    def test_free_memory_is_filled(self) -> None:
         world = make_world(["a", "b", "c"], [])
         world.run(8.0)
         assert len(world.runners["r1"].models) == 3
@@ -176,9 +176,9 @@
 
 
 class TestState:
-    """Orders rest on a state that is known."""
+    """Orders require a known state of the runner."""
 
-    def order_for_waiting(self, world: World) -> list[SendOrder]:
+    def list_orders_for_request(self, world: World) -> list[SendOrder]:
         grant_request = make_asked("q1", "f", patience_s=30.0)
         world.outcomes["q1"] = Outcome(grant_request, world.now)
         world.feed(grant_request)
@@ -186,19 +186,19 @@
 
     def test_no_order_before_a_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b", "c"]])
-        assert self.order_for_waiting(world) == []
+        assert self.list_orders_for_request(world) == []
 
-    def test_no_order_on_a_report_that_says_busy(self) -> None:
+    def test_no_order_after_a_busy_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 6, busy=True)
         world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.0))
-        assert self.order_for_waiting(world) == []
+        assert self.list_orders_for_request(world) == []
 
     def test_refused_order_waits_for_a_fresh_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 0)
         world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.0))
-        first = len(self.order_for_waiting(world))
+        first = len(self.list_orders_for_request(world))
         assert first == 1
         world.now = 0.1
         outcome = OrderOutcome.NOT_NOW
@@ -212,7 +212,7 @@
         world.feed(Tick())
         assert [each.order_count for each in world.orders] == [0, 1]
 
-    def test_no_order_without_leave(self) -> None:
+    def test_no_order_unless_allowed(self) -> None:
         world = make_world(["a", "b", "c"])
         world.feed(OrdersAllowed(allowed=False))
         world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
@@ -229,7 +229,7 @@
 
 
 class TestAdapters:
-    """Adapters on the first request."""
+    """Loads of adapters on the first request."""
 
     def test_waiting_request_gets_its_adapter(self) -> None:
         world = make_world(["a", "b", "c"])
@@ -239,7 +239,7 @@
         assert outcome.first_at is not None
         assert outcome.first_at - outcome.requested_at < 0.1
 
-    def test_full_places_give_up_the_adapter_unused_for_longest(self) -> None:
+    def test_full_slots_evict_the_least_recently_used_adapter(self) -> None:
         world = make_world(["a", "b", "c"])
         for number in range(9):
             grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
@@ -250,7 +250,7 @@
         assert all(each.first_at is not None for each in world.outcomes.values())
         assert world.runners["r0"].overfilled == 0
 
-    def test_unload_that_is_answered_as_done_counts(self) -> None:
+    def test_unload_answered_as_already_done_counts(self) -> None:
         """The runner answers 200 and counts it; the next order must not be stale."""
         world = make_world(["a", "b", "c"])
         for number in range(9):
@@ -261,8 +261,8 @@
         assert last.first_at is not None
         assert last.first_at - last.requested_at < 0.1
 
-    def test_model_is_loaded_where_adapters_are_not_asked_for(self) -> None:
-        """A runner that loads for 6 s refuses orders for adapters all the while."""
+    def test_model_is_loaded_where_adapters_are_not_requested(self) -> None:
+        """A runner refuses orders for adapters during a load of 6 s."""
         world = make_world(["a", "b", "c"], ["d", "e", "f"], load_s=6.0)
         for number in range(20):
             grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
@@ -274,7 +274,7 @@
         loads = [each.runner_id for each in world.orders if each.model == "g"]
         assert loads == ["r1"]
 
-    def test_adapter_that_cannot_come_in_time_is_refused_at_once(self) -> None:
+    def test_request_whose_adapter_would_be_late_is_refused_at_once(self) -> None:
         world = make_world(["a", "b", "c"], load_s=6.0)
         for number in range(4):
             world.add_request(make_asked(f"a{number}", "a"), at=0.8 + number / 10)
@@ -298,12 +298,12 @@
 
 
 class TestOneOrder:
-    """Several models that nobody holds, and one runner that is best for all."""
+    """Several models without a copy, and one runner that is best for all of them."""
 
     def test_runner_gets_one_order_at_a_time(self) -> None:
-        """An offer that was worked out before an order must not stand after it."""
+        """A capacity that was computed before an order must not be used after it."""
         world = World(models=list("abcdef"), runner_models=[["a"]], disk_mb=1e6)
-        # Loads from a disk are not held back by the weight store.
+        # The weight store doesn't limit loads from a disk.
         world.runners["r0"].on_disk = list("abcd")
         world.feed(OrdersAllowed(allowed=False))
         for name in "bcd":
--- a/tests/policy/scheduling/test_prefetching.py
+++ b/tests/policy/scheduling/test_prefetching.py
@@ -1,4 +1,4 @@
-"""Tests of copies that are fetched while nobody asks for anything."""
+"""Tests of copies that are prefetched while a service is idle."""
 
 from mangoway.policy.scheduling.events import FleetUpdated
 
@@ -18,20 +18,20 @@
     )
 
 
-def list_near(world: World) -> set[str]:
+def list_disk_models(world: World) -> set[str]:
     return {name for each in world.runners.values() for name in each.on_disk}
 
 
 class TestIdle:
     """Runners before the first request, or after the last."""
 
-    def test_models_that_nobody_has_held_come_near(self) -> None:
+    def test_models_without_a_copy_are_prefetched(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         world.run(16.0)
-        assert list_near(world) == set("abcdefg")
+        assert list_disk_models(world) == set("abcdefg")
 
     def test_first_request_for_a_rare_model_is_served_in_its_patience(self) -> None:
-        """A load from the store takes 6 s, from the disk 0.6."""
+        """A load takes 6 s from the store and 0.6 s from the disk."""
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         for number, model in enumerate("bcdefg"):
             at = 20.0 + 4 * number
@@ -44,13 +44,13 @@
         world.run(16.0)
         assert all("a" in each.models for each in world.runners.values())
 
-    def test_no_copy_is_fetched_beyond_the_disk(self) -> None:
-        """It would take the place of another copy."""
+    def test_no_copy_is_fetched_beyond_the_disk_size(self) -> None:
+        """A further copy would evict another one."""
         world = make_idle(["a", "b", "c"], ["a", "d", "e"], disk_mb=0.0)
         world.run(16.0)
         assert world.orders == []
 
-    def test_full_disk_gives_way_only_to_what_has_no_copy(self) -> None:
+    def test_full_disk_evicts_only_for_models_without_a_copy(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"], disk_mb=285_000.0)
         world.run(40.0)
         loads = [each.model for each in world.orders if each.load]
@@ -61,7 +61,7 @@
         world.run(30.0)
         assert sum(each.overfilled for each in world.runners.values()) == 0
 
-    def test_it_comes_to_an_end(self) -> None:
+    def test_prefetching_ends(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         world.run(60.0)
         orders = len(world.orders)
@@ -69,11 +69,11 @@
         assert len(world.orders) == orders
 
 
-class TestBegin:
-    """Requests that come while copies are still being fetched."""
+class TestRequestsMeanwhile:
+    """Requests that arrive during prefetches."""
 
-    def test_most_runners_keep_what_they_hold(self) -> None:
-        """All six had unloaded a model for a load of 6 s when requests came."""
+    def test_most_runners_keep_their_models(self) -> None:
+        """Not all six runners may unload a model for a load of 6 s at once."""
         world = make_idle(
             ["a"], ["b"], ["c"], ["d"], ["e"], ["f"], disk_mb=DISK_MB, models=12
         )
@@ -82,16 +82,16 @@
 
 
 class TestBusy:
-    """Runners that serve."""
+    """Runners that serve requests."""
 
-    def test_nothing_is_fetched_ahead(self) -> None:
+    def test_nothing_is_prefetched(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         for number in range(40):
             world.add_request(make_asked(f"q{number}", "a"), at=number / 2)
         world.run(20.0)
         assert [each for each in world.orders if each.model in "fg"] == []
 
-    def test_new_runner_is_no_reason_to_begin(self) -> None:
+    def test_new_runner_starts_no_prefetch(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         world.add_request(make_asked("q0", "a"), at=0.0)
         world.run(4.0)
--- a/tests/policy/scheduling/test_prefill_estimator.py
+++ b/tests/policy/scheduling/test_prefill_estimator.py
@@ -1,4 +1,4 @@
-"""Tests of how the pace of runners is learned."""
+"""Tests of how the prefill speed of runners is estimated."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 )
 
 
-def train(
+def add_samples(
     estimator: PrefillEstimator,
     model: str,
     *,
@@ -20,7 +20,7 @@
     samples: int = 30,
     seed: int = 1,
 ) -> None:
-    """Show prompts of several lengths, with some noise above the true time."""
+    """Add samples of several prompt lengths, with some noise above the true time."""
     random = Random(seed)
     for _ in range(samples):
         tokens = random.randint(200, 3000)
@@ -30,10 +30,10 @@
         )
 
 
-class TestFirstGuess:
-    """What is held before anything was seen."""
+class TestPrior:
+    """Estimates without or with few samples."""
 
-    def test_it_is_the_declared_one(self) -> None:
+    def test_prior_is_used_without_samples(self) -> None:
         estimator = PrefillEstimator()
         assert estimator.first_event_overhead_s == FIRST_EVENT_OVERHEAD_S
         assert estimator.estimate("a", 1000) == 1000 * PREFILL_S_PER_TOKEN
@@ -44,7 +44,7 @@
         assert estimator.estimate("a", 800) < 0.4
 
 
-class TestLearning:
+class TestFit:
     """Offset and slopes from samples."""
 
     @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     )
     def test_both_are_found(self, first_event_s: float, per_token: float) -> None:
         estimator = PrefillEstimator()
-        train(estimator, "a", first_event_s=first_event_s, per_token=per_token)
+        add_samples(estimator, "a", first_event_s=first_event_s, per_token=per_token)
         assert estimator.first_event_overhead_s == pytest.approx(
             first_event_s + 0.004, abs=0.012
         )
@@ -68,32 +68,36 @@
 
     def test_models_share_the_offset_and_keep_their_slopes(self) -> None:
         estimator = PrefillEstimator()
-        train(estimator, "small", first_event_s=0.08, per_token=1 / 68_000)
-        train(estimator, "large", first_event_s=0.08, per_token=1 / 19_000, seed=2)
+        add_samples(estimator, "small", first_event_s=0.08, per_token=1 / 68_000)
+        add_samples(
+            estimator, "large", first_event_s=0.08, per_token=1 / 19_000, seed=2
+        )
         small, large = (
             estimator.estimate("small", 1000),
             estimator.estimate("large", 1000),
         )
         assert large / small == pytest.approx(68 / 19, rel=0.2)
 
-    def test_frozen_host_is_no_pace(self) -> None:
+    def test_outlier_is_capped(self) -> None:
         estimator = PrefillEstimator()
-        train(estimator, "a", first_event_s=0.012, per_token=1 / 29_000)
+        add_samples(estimator, "a", first_event_s=0.012, per_token=1 / 29_000)
         before = estimator.estimate("a", 1000)
         estimator.add_sample("a", 1000, 6.8)
         assert estimator.estimate("a", 1000) < 1.2 * before
 
-    def test_change_of_pace_is_followed(self) -> None:
+    def test_change_of_speed_is_followed(self) -> None:
         estimator = PrefillEstimator()
-        train(estimator, "a", first_event_s=0.012, per_token=1 / 29_000)
-        train(estimator, "a", first_event_s=0.012, per_token=1 / 15_000, samples=120)
+        add_samples(estimator, "a", first_event_s=0.012, per_token=1 / 29_000)
+        add_samples(
+            estimator, "a", first_event_s=0.012, per_token=1 / 15_000, samples=120
+        )
         assert estimator.estimate("a", 1000) == pytest.approx(1000 / 15_000, rel=0.2)
 
 
 class TestServices:
-    """One pace a service."""
+    """Separate estimators of services."""
 
     def test_services_do_not_mix(self) -> None:
         estimators = PrefillEstimators()
-        train(estimators.get("x"), "a", first_event_s=0.15, per_token=1 / 10_000)
+        add_samples(estimators.get("x"), "a", first_event_s=0.15, per_token=1 / 10_000)
         assert estimators.get("y").first_event_overhead_s == FIRST_EVENT_OVERHEAD_S
--- a/tests/policy/scheduling/test_queue.py
+++ b/tests/policy/scheduling/test_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the order of what waits, against a sort of all of it."""
+"""Tests of the order of waiting requests, compared with sorting all of them."""
 
 from attrs import evolve
 from hypothesis import given
@@ -59,10 +59,10 @@
 
 
 class TestOrder:
-    """On time before late, by the ranks of customer and route, the earliest bound."""
+    """On time before late, then by rank of customer and route, then by time limit."""
 
     @given(STEPS)
-    def test_it_is_that_of_a_sort(
+    def test_order_matches_a_sort(
         self, steps: list[tuple[str, int, str, str, tuple[int, int], float]]
     ) -> None:
         queue, known, now = ServiceQueue(), dict[str, WaitingRequest](), 0.0
@@ -90,7 +90,7 @@
                         w for w in of_model if w.grant_request.adapter == each
                     ]
 
-    def test_edge_that_is_gone_leaves_nothing(self) -> None:
+    def test_removed_edge_leaves_no_requests(self) -> None:
         queue = ServiceQueue()
         queue.add(make_waiting("q1", "a", "", (0, 0), 0.4, 0.0), 0.0)
         queue.remove_edge("e1")
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -1,4 +1,4 @@
-"""Tests of a runner that starts again under the id that it had."""
+"""Tests of a runner that restarts with the same id."""
 
 from mangoway.policy.scheduling.core import SchedulingCore
 from mangoway.policy.scheduling.events import (
@@ -23,40 +23,42 @@
 
 
 def make_core() -> tuple[World, SchedulingCore]:
-    """Return a core that knows the first life of one runner, which holds `a`."""
+    """Return a core that knows one incarnation of a runner that holds `a`."""
     world = World(models=["a", "b"], runner_models=[])
-    see_entry(world, FIRST_START_MS, ("a",))
-    report(world, FIRST_START_MS, ("a",), order_count=5, at=1.0)
+    update_entry(world, FIRST_START_MS, ("a",))
+    receive_report(world, FIRST_START_MS, ("a",), order_count=5, at=1.0)
     return world, world.core
 
 
-def see_entry(world: World, started_ms: int, models: tuple[str, ...]) -> None:
+def update_entry(world: World, started_ms: int, models: tuple[str, ...]) -> None:
     entry = make_runner("r0", models, started_ms=started_ms)
     world.core.handle(FleetUpdated(table=world.table, runners=(entry,)), world.now)
 
 
-def report(
+def receive_report(
     world: World, started_ms: int, models: tuple[str, ...], order_count: int, at: float
 ) -> None:
-    seen = make_report(make_residents(models), order_count, started_ms=started_ms)
+    report = make_report(make_residents(models), order_count, started_ms=started_ms)
     world.now = at
-    world.core.handle(ReportReceived(runner_id="r0", report=seen, requested_at=at), at)
+    world.core.handle(
+        ReportReceived(runner_id="r0", report=report, requested_at=at), at
+    )
 
 
 def get_runner(world: World) -> RunnerState:
     return world.core.state.runners["r0"]
 
 
-class TestNewLife:
-    """What is forgotten when a runner has started again."""
+class TestNewIncarnation:
+    """State that is removed when a runner has restarted."""
 
-    def test_entry_of_a_new_life_holds_and_counts_nothing_of_before(self) -> None:
+    def test_entry_of_a_new_incarnation_clears_the_state(self) -> None:
         world, core = make_core()
         [grant] = [
             each for each in core.handle(make_asked("q1"), 1.0) if each.edge == "e1"
         ]
         assert isinstance(grant, Grant)
-        see_entry(world, SECOND_START_MS, ())
+        update_entry(world, SECOND_START_MS, ())
         runner = get_runner(world)
         assert not runner.models
         assert not runner.running
@@ -65,29 +67,29 @@
 
     def test_report_shows_it_before_the_entry(self) -> None:
         world, _ = make_core()
-        report(world, SECOND_START_MS, (), order_count=0, at=2.0)
+        receive_report(world, SECOND_START_MS, (), order_count=0, at=2.0)
         runner = get_runner(world)
         assert not runner.models
         assert runner.order_count == 0
-        see_entry(world, SECOND_START_MS, ())
+        update_entry(world, SECOND_START_MS, ())
         assert get_runner(world) is runner
 
-    def test_late_report_of_the_earlier_life_changes_nothing(self) -> None:
+    def test_late_report_of_the_earlier_incarnation_changes_nothing(self) -> None:
         world, _ = make_core()
-        see_entry(world, SECOND_START_MS, ())
-        report(world, FIRST_START_MS, ("a",), order_count=5, at=2.0)
+        update_entry(world, SECOND_START_MS, ())
+        receive_report(world, FIRST_START_MS, ("a",), order_count=5, at=2.0)
         runner = get_runner(world)
         assert not runner.models
         assert runner.order_count is None
 
-    def test_late_end_of_a_request_of_the_earlier_life_is_taken(self) -> None:
+    def test_late_end_of_an_earlier_request_is_accepted(self) -> None:
         world, core = make_core()
         core.handle(make_asked("q1"), 1.0)
-        see_entry(world, SECOND_START_MS, ())
+        update_entry(world, SECOND_START_MS, ())
         ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.FAILED)
         assert core.handle(ended, 2.0) == []
 
-    def test_late_answer_to_an_order_of_the_earlier_life_changes_nothing(self) -> None:
+    def test_late_answer_to_an_earlier_order_changes_nothing(self) -> None:
         world, core = make_core()
         core.handle(OrdersAllowed(allowed=True), 1.0)
         core.handle(make_asked("q1", "b", patience_s=20.0), 1.0)
@@ -96,8 +98,8 @@
         ] or [get_runner(world).open_order]
         assert order is not None
         assert order.started_ms == FIRST_START_MS
-        see_entry(world, SECOND_START_MS, ())
-        report(world, SECOND_START_MS, (), order_count=0, at=2.0)
+        update_entry(world, SECOND_START_MS, ())
+        receive_report(world, SECOND_START_MS, (), order_count=0, at=2.0)
         ended = OrderEnded(
             runner_id="r0", outcome=OrderOutcome.STARTED, started_ms=FIRST_START_MS
         )
@@ -107,22 +109,22 @@
         assert "b" not in runner.models
 
 
-class TestUnsaid:
-    """Runners whose entries or reports don't say when their life began."""
+class TestUnknownStart:
+    """Runners whose entries or reports have no start time."""
 
-    def test_first_word_of_it_is_no_new_life(self) -> None:
+    def test_first_start_time_is_no_new_incarnation(self) -> None:
         world = World(models=["a", "b"], runner_models=[])
-        see_entry(world, 0, ("a",))
+        update_entry(world, 0, ("a",))
         runner = get_runner(world)
-        report(world, FIRST_START_MS, ("a",), order_count=5, at=1.0)
+        receive_report(world, FIRST_START_MS, ("a",), order_count=5, at=1.0)
         assert get_runner(world) is runner
 
-    def test_entry_without_it_takes_nothing_back(self) -> None:
-        """Each such entry made the next report look like that of a new life."""
+    def test_entry_without_start_time_keeps_the_known_one(self) -> None:
+        """Without it, the next report would look like one of a new incarnation."""
         world, core = make_core()
         core.handle(make_asked("q1"), 1.0)
         runner = get_runner(world)
-        see_entry(world, 0, ("a",))
-        report(world, FIRST_START_MS, ("a",), order_count=5, at=2.0)
+        update_entry(world, 0, ("a",))
+        receive_report(world, FIRST_START_MS, ("a",), order_count=5, at=2.0)
         assert get_runner(world) is runner
         assert runner.running
--- a/tests/policy/scheduling/test_slot_times.py
+++ b/tests/policy/scheduling/test_slot_times.py
@@ -1,4 +1,4 @@
-"""Tests of copies for models whose streams keep the slots of their runners."""
+"""Tests of copies for models whose streams occupy the slots of their runners."""
 
 from attrs import evolve
 
@@ -8,8 +8,8 @@
 from .world import World
 
 
-class TestStays:
-    """The time that a request keeps a slot."""
+class TestSlotTimes:
+    """Time for which a request occupies a slot."""
 
     def test_unknown_model_takes_the_mean_of_all(self) -> None:
         slot_times = SlotTimeEstimator()
@@ -27,10 +27,10 @@
 
 
 class TestFewSlots:
-    """Short prompts and long streams, at runners with 12 slots."""
+    """Short prompts and long streams, on runners with 12 slots."""
 
     def test_model_gets_copies_for_its_streams(self) -> None:
-        """By reading alone it had two copies, 24 slots of the 45 that it needs."""
+        """By prefill time alone it has two copies, 24 slots of the 45 that it needs."""
         held = [["a", "b", "c"], ["d", "e", "f"], ["d", "e", "f"], ["g", "h", "i"]]
         world = World(models=list("abcdefghi"), runner_models=[*held, *held[1:]])
         service = world.table.services["llm"]
--- a/tests/policy/scheduling/test_store_loads.py
+++ b/tests/policy/scheduling/test_store_loads.py
@@ -1,4 +1,4 @@
-"""Tests of how the weight store's rate of loads is kept."""
+"""Tests that loads keep to the weight store's rate."""
 
 from attrs import evolve
 
@@ -8,40 +8,40 @@
 from ...fakes.fleet import make_engine, make_model
 
 
-class TestAtOnce:
-    """Loads that run at once at full speed."""
+class TestConcurrentLoads:
+    """Loads that run concurrently at full speed."""
 
-    def test_short_load_may_begin_beside_long_ones(self) -> None:
-        """One of 2.6 s had to wait for two of 5.4 s, its runner with an empty place."""
+    def test_short_load_may_start_beside_long_ones(self) -> None:
+        """A load of 2.6 s must not wait for two of 5.4 s while a runner has room."""
         models = {"a": make_model("a", 2.6), "b": make_model("b", 5.4)}
         engine = evolve(make_engine([]), loads_per_s=1.1, models=models)
         loads = StoreLoadLimiter()
-        for begun_at in (0.0, 0.5):
-            assert loads.can_start(engine, begun_at)
-            loads.record_load(begun_at, begun_at + 5.4)
+        for started_at in (0.0, 0.5):
+            assert loads.can_start(engine, started_at)
+            loads.record_load(started_at, started_at + 5.4)
         assert loads.can_start(engine, 1.0)
 
     def test_rate_is_kept(self) -> None:
         engine = make_engine(["a", "b"], load_s=0.1)
         loads = StoreLoadLimiter()
-        begun = 0
+        started = 0
         for step in range(500):
             if loads.can_start(engine, step / 100):
                 loads.record_load(step / 100, step / 100 + 0.1)
-                begun += 1
-        assert begun <= 2.0 * 5.0
+                started += 1
+        assert started <= 2.0 * 5.0
 
 
-class TestSuccession:
-    """Schedulers that order loads one after the other."""
+class TestSchedulerChange:
+    """Schedulers that send orders one after the other."""
 
     def test_two_leaders_within_a_window_keep_to_the_rate_of_the_store(self) -> None:
         engine = evolve(make_engine(["a"], load_s=5.4), loads_per_s=1.8)
         first, second = StoreLoadLimiter(), StoreLoadLimiter()
         first.start(0.0)
         second.start(21.0)
-        begun = count_loads(first, engine, 20.0) + count_loads(second, engine, 21.0)
-        assert begun <= engine.loads_per_s * 5.0 * 1.1 + 3
+        started = count_loads(first, engine, 20.0) + count_loads(second, engine, 21.0)
+        assert started <= engine.loads_per_s * 5.0 * 1.1 + 3
 
     def test_leader_uses_the_whole_rate_after_a_window(self) -> None:
         engine = evolve(make_engine(["a"], load_s=5.4), loads_per_s=1.8)
@@ -51,9 +51,9 @@
 
 
 def count_loads(loads: StoreLoadLimiter, engine: EngineProfile, now: float) -> int:
-    """Return how many loads may begin at a time."""
-    begun = 0
+    """Return how many loads may start at a time."""
+    started = 0
     while loads.can_start(engine, now):
         loads.record_load(now, now + 5.4)
-        begun += 1
-    return begun
+        started += 1
+    return started
--- a/tests/policy/scheduling/test_stream_pauses.py
+++ b/tests/policy/scheduling/test_stream_pauses.py
@@ -1,4 +1,4 @@
-"""Tests of how the share of reading follows the gaps that are seen."""
+"""Tests of how the planned prefill share follows the observed pauses."""
 
 from mangoway.policy.scheduling.const import (
     CALM_COPY_PREFILL_SHARE,
@@ -8,7 +8,7 @@
 
 
 def simulate(paused_each: int, seconds: int = 10) -> StreamPauses:
-    """Return the gaps after ten streams a second, of which every nth paused."""
+    """Return the pauses after ten streams per second, of which every nth paused."""
     pauses = StreamPauses()
     for number in range(10 * seconds):
         paused = bool(paused_each) and number % paused_each == 0
@@ -16,25 +16,25 @@
     return pauses
 
 
-class TestCopyWork:
-    """How much one copy of a model is to take."""
+class TestCopyPrefillShare:
+    """Prefill share that one copy of a model is planned for."""
 
-    def test_streams_without_pauses_allow_much(self) -> None:
+    def test_no_pauses_allow_a_high_share(self) -> None:
         assert simulate(0).choose_copy_prefill_share(10.0) == CALM_COPY_PREFILL_SHARE
 
-    def test_many_pauses_allow_little(self) -> None:
+    def test_many_pauses_allow_a_low_share(self) -> None:
         assert simulate(5).choose_copy_prefill_share(10.0) == PAUSED_COPY_PREFILL_SHARE
 
-    def test_some_pauses_allow_less(self) -> None:
+    def test_some_pauses_allow_a_medium_share(self) -> None:
         some = simulate(16).choose_copy_prefill_share(10.0)
         assert PAUSED_COPY_PREFILL_SHARE < some < CALM_COPY_PREFILL_SHARE
 
-    def test_pauses_are_forgotten(self) -> None:
+    def test_pauses_decay(self) -> None:
         pauses = simulate(5)
         for number in range(300):
             pauses.record_stream(10 + number / 10, paused=False)
         assert pauses.choose_copy_prefill_share(40.0) == CALM_COPY_PREFILL_SHARE
 
-    def test_nothing_seen_lies_between(self) -> None:
+    def test_prior_lies_between(self) -> None:
         some = StreamPauses().choose_copy_prefill_share(0.0)
         assert PAUSED_COPY_PREFILL_SHARE < some < CALM_COPY_PREFILL_SHARE
--- a/tests/policy/scheduling/test_work.py
+++ b/tests/policy/scheduling/test_work.py
@@ -1,7 +1,7 @@
-"""Tests that an event costs what it touches, whatever the size of the fleet.
+"""Tests that the cost of an event doesn't grow with the size of the fleet.
 
-Work is counted in calls of functions of the scheduling package, which are the same on
-each machine.
+The cost is counted in calls of functions of the scheduling package, which don't depend
+on the host.
 """
 
 import sys
@@ -26,7 +26,7 @@
 
 
 def count_calls(size: Size, use: float) -> float:
-    """Return the calls that a request takes."""
+    """Return the number of calls per request."""
     fleet = Fleet(size, use)
     calls = 0
 
@@ -44,10 +44,11 @@
 
 
 class TestWork:
-    """Calls a request.
+    """Calls per request.
 
-    With a look at all runners and all that waits the first four rows took 492, 544,
-    3413 and 2104. The rows take 333, 367, 626, 505, 952 and 1135.
+    If each event evaluated all runners and all waiting requests, the first four rows
+    would take 492, 544, 3413 and 2104 calls. The rows take 333, 367, 626, 505, 952 and
+    1135.
     """
 
     @pytest.mark.parametrize(
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -1,8 +1,8 @@
 """Fake runners in virtual time, and a core that serves requests with them.
 
-A runner reads prompts one after the other, and answers and carries out orders as the
-platform's runners do: one at a time, counted, with a precondition, at times late or
-without an answer. It counts what must never happen.
+A runner prefills prompts one after the other. It executes orders as real runners do:
+one at a time, counted, with a precondition, and sometimes late or without a response.
+It counts violations of its memory limits.
 """
 
 import heapq
@@ -47,7 +47,7 @@
 
 @define(eq=False)
 class FakeRunner:
-    """One life of a runner with an engine."""
+    """One incarnation of a runner with an engine."""
 
     runner_id: str
     engine: EngineProfile
@@ -59,13 +59,13 @@
     overfilled: int = 0
     loading: str = ""
     on_disk: list[str] = field(factory=list)
-    """Models of which the disk keeps a copy, latest used last; none without a disk."""
+    """Models on the disk, least recently used first; empty without a disk."""
 
     store_loads: int = 0
     history: list[tuple[float, RunnerReport]] = field(factory=list)
 
     def execute(self, order: SendOrder, now: float) -> OrderOutcome:
-        """Carry out an order, or say why not."""
+        """Execute an order and return the result."""
         if now < self.busy_until or order.order_count != self.order_count:
             return OrderOutcome.NOT_NOW
         if order.adapter:
@@ -99,13 +99,13 @@
         return sum(self.engine.models[name].weights_mb for name in self.on_disk)
 
     def finish_load(self, now: float) -> None:
-        """End a load whose time is over."""
+        """Finish a load whose time is over."""
         if self.loading and now >= self.busy_until:
             self.models[self.loading] = set()
             self.loading = ""
 
     def record_state(self, now: float) -> None:
-        """Keep the state for reports, which are late."""
+        """Record the state for later reports."""
         residents = tuple(
             ResidentModel(name=name, version=1, adapters=frozenset(adapters))
             for name, adapters in self.models.items()
@@ -125,7 +125,7 @@
         self.history.append((now, report))
 
     def read_report(self, now: float) -> RunnerReport | None:
-        """Return the state of some time ago."""
+        """Return the report of the state some time ago."""
         older = [each for at, each in self.history if at <= now - REPORT_LAG_S]
         return older[-1] if older else None
 
@@ -151,7 +151,7 @@
 
 @define(eq=False)
 class Outcome:
-    """What a request's caller got."""
+    """Result of a request."""
 
     grant_request: GrantRequest
     requested_at: float
@@ -172,13 +172,14 @@
     seed: int = 1
     prefill_s_per_token: float = PREFILL_S_PER_TOKEN
     first_event_s: float = 0.005
-    """Time from the end of reading to a first event, in which others are read."""
+    """Time from the end of a prefill to the first event, during which the runner
+    prefills other prompts."""
 
     now: float = field(default=0.0, init=False)
     outcomes: dict[str, Outcome] = field(factory=dict, init=False)
     orders: list[SendOrder] = field(factory=list, init=False)
     faults: list[str] = field(factory=list, init=False)
-    """Fates of the next orders: `lose`, `late`, `no_answer` or empty."""
+    """Faults of the next orders: `lose`, `late`, `no_answer` or empty."""
 
     _queue: list[tuple[float, int, Callable[[], None]]] = field(
         factory=list, init=False
@@ -213,7 +214,7 @@
         self._at(0.0, self._report)
 
     def update_fleet(self) -> None:
-        """Tell the core which runners there are."""
+        """Send the current list of runners to the core."""
         entries: list[RunnerEntry] = [
             make_runner(each.runner_id, tuple(each.models))
             for each in self.runners.values()
@@ -221,18 +222,18 @@
         self.feed(FleetUpdated(table=self.table, runners=tuple(entries)))
 
     def replace_core(self) -> None:
-        """Let a new scheduler begin with what the runners report."""
+        """Start a new scheduler, which knows only the reports of the runners."""
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
         self.update_fleet()
         self.feed(OrdersAllowed(allowed=True))
 
     def add_request(self, grant_request: GrantRequest, at: float) -> None:
-        """Let a request come at a time."""
+        """Schedule the arrival of a request."""
         self._at(at, lambda: self._arrive(grant_request))
 
     def run(self, until: float) -> None:
-        """Play until a time."""
+        """Simulate until a time."""
         while self._queue and self._queue[0][0] <= until:
             at, _, call = heapq.heappop(self._queue)
             self.now = max(self.now, at)
@@ -242,12 +243,12 @@
         self.now = until
 
     def feed(self, event: Event) -> None:
-        """Feed the core and carry out its actions."""
+        """Send an event to the core and execute its actions."""
         for action in self.core.handle(event, self.now):
             self._execute(action)
 
     def count_first_in(self, seconds: float) -> int:
-        """Return the requests whose first event came in so many seconds."""
+        """Return the number of requests whose first event arrived within a time."""
         return sum(
             1
             for each in self.outcomes.values()
