--- a/tests/policy/dispatch/test_machine.py
+++ b/tests/policy/dispatch/test_machine.py
@@ -140,15 +140,15 @@
     @rule(place=PLACE)
     def freeze_or_thaw(self, place: int) -> None:
         identity = self.find(place)
-        if self.world.gateways[identity].frozen:
-            self.world.thaw(identity)
+        if self.world.gateways[identity].paused:
+            self.world.resume(identity)
         else:
-            self.world.gateways[identity].frozen = True
+            self.world.gateways[identity].paused = True
 
     @rule(place=PLACE, rare=RARE)
     def stop(self, place: int, rare: int) -> None:
         identity = self.find(place)
-        if not rare and not self.world.gateways[identity].frozen:
+        if not rare and not self.world.gateways[identity].paused:
             self.world.stop(identity)
 
     @rule(
@@ -163,7 +163,7 @@
     ) -> None:
         """Stop a gateway, hand its keys over and resubmit what it may have run."""
         identity = self.find(place)
-        if rare or self.world.gateways[identity].frozen:
+        if rare or self.world.gateways[identity].paused:
             return
         self.world.stop(identity)
         self.world.retire(identity, self.find(place + 1), lost)
@@ -181,7 +181,7 @@
 
     @rule(place=PLACE, upstream=st.sampled_from([ENGINES[0], HOSTS[0]]))
     def leave(self, place: int, upstream: str) -> None:
-        self.world.tell_leaving(self.find(place), UpstreamId(upstream))
+        self.world.notify_leaving(self.find(place), UpstreamId(upstream))
 
     @rule(place=PLACE, engine=st.sampled_from(ENGINES), load=PLACE, lag=PLACE)
     def report(self, place: int, engine: str, load: int, lag: int) -> None:
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -108,9 +108,9 @@
     """One incarnation of a gateway."""
 
     core: DispatchCore
-    frozen: bool = False
+    paused: bool = False
     stopping: bool = False
-    told_leaving: set[UpstreamId] = field(factory=set)
+    notified_leaving: set[UpstreamId] = field(factory=set)
     inbox: list[DispatchEvent] = field(factory=list)
 
 
@@ -151,25 +151,25 @@
             self.send(identity, make_met(name))
             self.send(identity, make_report(name, self.now))
         for upstream in self.leaving:
-            self.tell_leaving(identity, upstream)
+            self.notify_leaving(identity, upstream)
         return identity
 
     def send(self, identity: IncarnationId, event: DispatchEvent) -> None:
         gateway = self.gateways.get(identity)
         if gateway is None:
             return
-        if gateway.frozen:
+        if gateway.paused:
             gateway.inbox.append(event)
             return
         for action in gateway.core.handle(event, self.now):
-            self.take(identity, action)
+            self.perform(identity, action)
 
     def kill(self, identity: IncarnationId) -> None:
         del self.gateways[identity]
 
-    def thaw(self, identity: IncarnationId) -> None:
+    def resume(self, identity: IncarnationId) -> None:
         gateway = self.gateways[identity]
-        gateway.frozen = False
+        gateway.paused = False
         inbox, gateway.inbox = gateway.inbox, []
         for event in inbox:
             self.send(identity, event)
@@ -192,11 +192,11 @@
         successors = tuple(self.successors)
         self.send(identity, HomesChanged(live=live, successors=successors))
 
-    def tell_leaving(self, identity: IncarnationId, upstream: UpstreamId) -> None:
+    def notify_leaving(self, identity: IncarnationId, upstream: UpstreamId) -> None:
         gateway = self.gateways[identity]
-        if gateway.frozen:
+        if gateway.paused:
             return
-        gateway.told_leaving.add(upstream)
+        gateway.notified_leaving.add(upstream)
         self.send(identity, UpstreamLeaving(upstream_id=upstream))
 
     def advance(self, seconds: float) -> None:
@@ -304,7 +304,7 @@
 
     # What the cores decided.
 
-    def take(self, identity: IncarnationId, action: DispatchAction) -> None:
+    def perform(self, identity: IncarnationId, action: DispatchAction) -> None:
         match action:
             case StartAttempt():
                 self._take_start(identity, action)
@@ -336,7 +336,9 @@
     def _take_start(self, identity: IncarnationId, action: StartAttempt) -> None:
         assert action.attempt_id not in self.sent_attempts, "attempt id used twice"
         gateway = self.gateways[identity]
-        assert action.upstream_id not in gateway.told_leaving, "sent to one that leaves"
+        assert action.upstream_id not in gateway.notified_leaving, (
+            "sent to one that leaves"
+        )
         submission = self.submissions[action.request_id]
         assert submission.gateway == identity
         assert not submission.endings, "started after its end"
@@ -375,7 +377,7 @@
     def drain(self) -> None:
         """End all faults; then every request at a live gateway has to end."""
         for identity in list(self.gateways):
-            self.thaw(identity)
+            self.resume(identity)
         while self.forwards:
             self.deliver_forward(0)
         while self.claiming:
--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -30,7 +30,7 @@
     handed: list[RequestId] = field(factory=list)
     starts_before: int = 0
 
-    def take(self, identity: IncarnationId, action: DispatchAction) -> None:
+    def perform(self, identity: IncarnationId, action: DispatchAction) -> None:
         match action:
             case ReplayAnswer():
                 self.shared[action.request_id] = action.answer_id
@@ -38,7 +38,7 @@
                 self.shared[action.request_id] = action.leader_id
             case ForwardToPeer():
                 self.handed.append(action.request_id)
-        super().take(identity, action)
+        super().perform(identity, action)
 
     def _check_refusal(self, submission: Submission, failure: Failure) -> None:
         self.told[submission.request.id] = failure
@@ -118,12 +118,12 @@
 
 @when(parsers.parse("{name} is frozen"))
 def freeze(stage: Stage, name: str) -> None:
-    stage.gateways[stage.names[name]].frozen = True
+    stage.gateways[stage.names[name]].paused = True
 
 
 @when(parsers.parse("{name} goes on"))
 def go_on(stage: Stage, name: str) -> None:
-    stage.thaw(stage.names[name])
+    stage.resume(stage.names[name])
 
 
 @when(parsers.parse("{name} leaves and hands its records to {heir}"))
@@ -172,7 +172,7 @@
 
 @when(parsers.parse("{name} hears that {upstream} leaves"))
 def hear_leaving(stage: Stage, name: str, upstream: str) -> None:
-    stage.tell_leaving(stage.names[name], UpstreamId(upstream))
+    stage.notify_leaving(stage.names[name], UpstreamId(upstream))
     stage.starts_before = len(stage.sent_attempts)
 
 
