--- a/mangoway/policy/dispatch/actions.py
+++ b/mangoway/policy/dispatch/actions.py
@@ -24,13 +24,13 @@
     """Engine priority; higher goes first."""
 
     resume_from: int = 0
-    """Tokens already delivered; the engine continues behind them."""
+    """Tokens already delivered; the engine continues after them."""
 
     timeout_s: float
     """Seconds until the deadline of the request."""
 
     silence_s: float
-    """Seconds without any progress after which the connection is given up."""
+    """Seconds without progress after which the connection is closed."""
 
 
 @frozen(kw_only=True)
@@ -42,7 +42,7 @@
 
 @frozen(kw_only=True)
 class Refuse:
-    """Answer a request with a failure; it is forgotten after this."""
+    """Answer a request with a failure; the core keeps no state of it afterwards."""
 
     request_id: RequestId
     failure: Failure
@@ -50,10 +50,10 @@
 
 @frozen(kw_only=True)
 class FinishRequest:
-    """A request's answer is whole; the shell ends it.
+    """End a request whose answer is complete.
 
-    Where `keep_answer` is set the shell stores the answer under the request's id
-    until `ForgetAnswer`.
+    If `keep_answer` is set, the dispatcher stores the answer under the request's id
+    until `DeleteAnswer`.
     """
 
     request_id: RequestId
@@ -72,7 +72,7 @@
 class JoinRequest:
     """Let a resubmission share the answer of a request in progress.
 
-    The shell copies the answer or the failure of `leader_id` to `request_id`.
+    The dispatcher copies the answer or the failure of `leader_id` to `request_id`.
     """
 
     request_id: RequestId
@@ -81,7 +81,7 @@
 
 @frozen(kw_only=True)
 class DeleteAnswer:
-    """Drop a stored answer."""
+    """Delete a stored answer."""
 
     answer_id: RequestId
 
@@ -104,14 +104,14 @@
 
 @frozen(kw_only=True)
 class ForwardToPeer:
-    """Hand a new arrival to any other live gateway, since this one leaves."""
+    """Forward a new request to another live gateway, since this one is stopping."""
 
     request_id: RequestId
 
 
 @frozen(kw_only=True)
 class ReportDemand:
-    """Demand of the last period, for the controller."""
+    """Report the demand of the last period to the controller."""
 
     period_s: float
     demands: tuple[ArtifactDemand, ...]
@@ -119,7 +119,7 @@
 
 @frozen(kw_only=True)
 class Explain:
-    """Why a request was decided as it was; kept in bounded memory."""
+    """Record the reason for a decision about a request; kept in bounded memory."""
 
     request_id: RequestId
     reason: str
@@ -135,12 +135,12 @@
 
     upstream_id: UpstreamId
     failures: int
-    """Failures in a row that opened it; 0 if it closed."""
+    """Consecutive failures that opened it; 0 if it closed."""
 
 
 @frozen(kw_only=True)
 class WakeAt:
-    """Send `Ticked` at this time (replaces any earlier one)."""
+    """Send `Ticked` at this time; replaces any earlier `WakeAt`."""
 
     time: float
 
--- a/mangoway/policy/dispatch/arrivals.py
+++ b/mangoway/policy/dispatch/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals: keys, limits and admission, in this order."""
+"""Handling of new requests: keys, rate limits and admission, in this order."""
 
 from attrs import define, field
 
@@ -8,26 +8,26 @@
 from ...models.request import Request
 from ...models.verdict import Verdict
 from .actions import ClaimKey, ForwardToHome, ForwardToPeer, ReplayAnswer
-from .admission import Admission, find_fault
+from .admission import Admission, check_request_offered
 from .const import WEIGHT_MIN
 from .context import Context
 from .entries import Entry, EntryState
 from .events import ClaimOutcome, KeyClaimed
-from .held_keys import HeldKey
 from .keys import ForwardKey, JoinKey, KeyTable, RefuseKey, ReplayKey, RunKey
 from .limits import CallerLimits, TokenBucket
 from .requests import Requests
 from .scheduler import Scheduler
+from .tracked_keys import TrackedKey
 
 DEFAULT_OFFER = CallerOffer()
 
 
 @define(eq=False)
-class Arrivals:
-    """Decides about each arrival.
+class ArrivalHandler:
+    """Handler of new requests.
 
-    Keys come first: a resubmission whose first try may have run must get that
-    answer or verdict, not a refusal that says this arrival did not run.
+    Keys are resolved first: a resubmission whose first submission may have run must
+    get the answer or verdict of that one, not a refusal with the verdict "not run".
     """
 
     context: Context
@@ -38,12 +38,12 @@
     limits: CallerLimits = field(factory=CallerLimits)
     claims: TokenBucket = field(factory=lambda: TokenBucket(1.0, 1.0, 0.0))
     stopped_at: float | None = None
-    """Time of the planned stop; None while the gateway takes new requests."""
+    """Time of the planned stop; None while the gateway accepts new requests."""
 
-    _claiming: dict[RequestId, HeldKey] = field(factory=dict)
+    _claiming: dict[RequestId, TrackedKey] = field(factory=dict)
 
-    def take(self, request: Request) -> None:
-        """Take a request in, or end it at once."""
+    def handle(self, request: Request) -> None:
+        """Admit a request, forward it or refuse it."""
         if self.requests.is_known(request.id):
             return
         run = self._resolve_key(request)
@@ -51,19 +51,24 @@
             return
         configuration = self.context.configuration
         if configuration is None:
-            self._refuse(request, ErrorCode.NOT_READY, "no configuration yet", 1.0)
+            self._refuse(
+                request,
+                ErrorCode.NOT_READY,
+                "no configuration has been received yet",
+                1.0,
+            )
             return
         if self._redirect(request):
             return
-        fault = find_fault(request, configuration)
-        if fault is not None:
-            self.requests.refuse_arrival(request, fault)
+        failure = check_request_offered(request, configuration)
+        if failure is not None:
+            self.requests.refuse_arrival(request, failure)
             return
         self._admit(request, run)
 
     def _resolve_key(self, request: Request) -> RunKey | None:
-        """Return how a request may run; None if that was decided otherwise."""
-        # A request that may run twice needs no record.
+        """Return how a request may run; None if its key has already decided it."""
+        # An idempotent request may run twice, so its key needs no record.
         if request.idempotent or request.key is None:
             return RunKey()
         decision = self.keys.resolve(request, self.context.now)
@@ -82,17 +87,17 @@
         return None
 
     def _redirect(self, request: Request) -> bool:
-        """Send a new request elsewhere if this gateway leaves."""
+        """Forward or refuse a new request if this gateway is stopping."""
         configuration = self.context.configuration
         homed = not request.idempotent and request.key_home is not None
         if self.stopped_at is None or configuration is None:
             return False
         age = self.context.now - self.stopped_at
         if age > configuration.site.address_validity_s:
-            self._refuse(request, ErrorCode.LEAVING, "this gateway leaves", 0.0)
+            self._refuse(request, ErrorCode.LEAVING, "this gateway is stopping", 0.0)
             return True
         if homed:
-            # No other gateway may run it, and callers may still name this home.
+            # Only the key's home may run it, and callers may still use this home.
             return False
         self.context.emit(ForwardToPeer(request_id=request.id))
         return True
@@ -100,14 +105,14 @@
     def _admit(self, request: Request, run: RunKey) -> None:
         now = self.context.now
         self.context.demand.count_arrival(request)
-        wait = self.limits.take(request.caller, now)
+        wait = self.limits.try_acquire(request.caller, now)
         if wait > 0.0:
-            detail = f"caller {request.caller} is over its rate"
+            detail = f"caller {request.caller} exceeds its rate limit"
             self._refuse(request, ErrorCode.CALLER_LIMIT, detail, wait)
             return
         entry = Entry(request, self._find_weight(request))
         self.scheduler.update_times(entry)
-        obstacle = self.admission.find_obstacle(entry, now)
+        obstacle = self.admission.check(entry, now)
         if obstacle is not None:
             self.context.demand.count_refusal(request)
             self.requests.refuse_arrival(request, obstacle)
@@ -125,60 +130,60 @@
         if request.idempotent or request.key is None:
             return True
         now = self.context.now
-        if run.held is None and self.keys.is_full():
-            wait = self.keys.find_room_in_s(now)
-            detail = "no room for another idempotency key"
+        if run.tracked_key is None and self.keys.is_full():
+            wait = self.keys.estimate_room_wait_s(now)
+            detail = "the table of idempotency keys is full"
             self._refuse(request, ErrorCode.OVERLOADED, detail, wait)
             return False
         if run.needs_claim:
-            wait = self.claims.take(now)
+            wait = self.claims.try_acquire(now)
             if wait > 0.0:
-                detail = "claims are over their write budget"
+                detail = "the rate limit for claims of idempotency keys is exceeded"
                 self._refuse(request, ErrorCode.KEY_CLAIM_UNAVAILABLE, detail, wait)
                 return False
-        entry.held = self.keys.open(request, run, now)
+        entry.tracked_key = self.keys.open(request, run, now)
         return True
 
     def _claim(self, entry: Entry) -> None:
         request = entry.request
-        held = entry.held
-        if held is None:
+        tracked = entry.tracked_key
+        if tracked is None:
             return
-        held.claiming += 1
-        self._claiming[request.id] = held
+        tracked.claiming += 1
+        self._claiming[request.id] = tracked
         entry.state = EntryState.CLAIMING
         self.scheduler.set_timer(entry, entry.latest_start)
-        self.context.emit(ClaimKey(request_id=request.id, key=held.key))
+        self.context.emit(ClaimKey(request_id=request.id, key=tracked.key))
 
-    def end_claim(self, event: KeyClaimed) -> None:
-        """Go on with a request whose claim was answered."""
-        held = self._claiming.pop(event.request_id, None)
-        if held is None:
+    def handle_claim(self, event: KeyClaimed) -> None:
+        """Start or refuse a request whose claim has ended."""
+        tracked = self._claiming.pop(event.request_id, None)
+        if tracked is None:
             return
         entry = self.requests.entries.get(event.request_id)
-        self.keys.end_claim(held, event.outcome == ClaimOutcome.CLAIMED)
+        self.keys.record_claim(tracked, event.outcome == ClaimOutcome.CLAIMED)
         if entry is None or entry.state is not EntryState.CLAIMING:
             return
-        if held.claimed:
+        if tracked.claimed:
             self.scheduler.submit(entry)
             return
         self.requests.refuse(entry, self._make_claim_failure(event.outcome))
-        # The claim is the authority; a record here would only take room.
-        if not held.claiming:
-            self.keys.drop(held)
+        # The claim in the key-value service is authoritative; drop the local record.
+        if not tracked.claiming:
+            self.keys.drop(tracked)
 
     def _make_claim_failure(self, outcome: str) -> Failure:
         if outcome == ClaimOutcome.TAKEN:
             return Failure(
                 code=ErrorCode.KEY_ALREADY_CLAIMED,
                 verdict=Verdict.MAY_HAVE_RUN,
-                detail="another gateway claimed the key",
+                detail="another gateway has claimed the key",
             )
         if outcome == ClaimOutcome.UNSETTLED:
             return Failure(
                 code=ErrorCode.KEY_CLAIM_UNAVAILABLE,
                 verdict=Verdict.MAY_HAVE_RUN,
-                detail="the key-value service did not say who has the key",
+                detail="the key-value service did not confirm the claim of the key",
             )
         return Failure(
             code=ErrorCode.KEY_CLAIM_UNAVAILABLE,
--- a/mangoway/policy/dispatch/attempts.py
+++ b/mangoway/policy/dispatch/attempts.py
@@ -1,18 +1,18 @@
-"""Attempts at upstreams, each with an identifier that is never used again."""
+"""Attempts at upstreams, each with an identifier that is never reused."""
 
 from attrs import define, field
 
 from ...models.identifiers import AttemptId
 from .actions import CancelAttempt, StartAttempt
 from .const import (
-    CANCEL_GRACE_S,
+    CANCEL_TIMEOUT_S,
     PRIORITY_CRITICAL,
     PRIORITY_PATIENT,
     PRIORITY_URGENT,
     REASON_DISPATCHED,
     REASON_RESUMED,
-    SILENCE_PATIENT_S,
-    SILENCE_URGENT_S,
+    SILENCE_TIMEOUT_PATIENT_S,
+    SILENCE_TIMEOUT_URGENT_S,
 )
 from .context import Context
 from .entries import Attempt, Entry, EntryState
@@ -21,18 +21,18 @@
 
 @define(eq=False)
 class Attempts:
-    """The attempts that have not ended at their upstreams."""
+    """Table of the attempts that have not ended at their upstreams."""
 
     context: Context
     _attempts: dict[AttemptId, Attempt] = field(factory=dict)
     _count: int = 0
-    _written_off: list[AttemptId] = field(factory=list)
+    _expired: list[AttemptId] = field(factory=list)
 
     def __len__(self) -> int:
         return len(self._attempts)
 
     def find(self, attempt_id: AttemptId) -> Attempt | None:
-        """Return an attempt; None for one that ended or is not ours."""
+        """Return an attempt; None if it ended or belongs to another process."""
         return self._attempts.get(attempt_id)
 
     def start(self, entry: Entry, upstream: Upstream) -> None:
@@ -52,15 +52,17 @@
         entry.attempts += 1
         entry.state = EntryState.RUNNING
         self._attempts[attempt.id] = attempt
-        context.fleet.begin(attempt, upstream)
+        context.fleet.add_attempt(attempt, upstream)
         timeout_s = request.deadline - context.now
-        silence_s = SILENCE_URGENT_S if entry.urgent else SILENCE_PATIENT_S
+        silence_s = (
+            SILENCE_TIMEOUT_URGENT_S if entry.urgent else SILENCE_TIMEOUT_PATIENT_S
+        )
         context.emit(
             StartAttempt(
                 attempt_id=attempt.id,
                 request_id=request.id,
                 upstream_id=upstream.id,
-                priority=self._find_priority(entry),
+                priority=self._compute_priority(entry),
                 resume_from=entry.tokens,
                 timeout_s=timeout_s,
                 silence_s=min(silence_s, timeout_s),
@@ -70,40 +72,40 @@
         context.explain(request.id, reason, upstream.id)
 
     def preempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt whose request waits to go on later."""
+        """Cancel an attempt whose request is queued again and resumed later."""
         attempt.preempting = True
         self.context.emit(CancelAttempt(attempt_id=attempt.id))
-        self._write_off_later(attempt)
+        self._schedule_expiry(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Cancel an attempt that no request waits for any more."""
+        """Cancel an attempt whose request has ended."""
         attempt.entry = None
         if not attempt.preempting:
             self.context.emit(CancelAttempt(attempt_id=attempt.id))
-            self._write_off_later(attempt)
+            self._schedule_expiry(attempt)
 
-    def release(self, attempt: Attempt) -> Upstream:
-        """Count an attempt that ended no longer; return its upstream."""
+    def remove(self, attempt: Attempt) -> Upstream:
+        """Remove an attempt that ended; return its upstream."""
         del self._attempts[attempt.id]
         self.context.timers.cancel(attempt.timer)
         entry = attempt.entry
         if entry is not None:
             entry.attempt = None
-        return self.context.fleet.end(attempt)
+        return self.context.fleet.remove_attempt(attempt)
 
-    def take_written_off(self) -> list[Attempt]:
-        """Return the cancelled attempts that nothing was heard of in time."""
-        ids = self._written_off
-        self._written_off = []
+    def pop_expired(self) -> list[Attempt]:
+        """Return the cancelled attempts whose end was not reported in time, once."""
+        ids = self._expired
+        self._expired = []
         return [self._attempts[item] for item in ids if item in self._attempts]
 
-    def _write_off_later(self, attempt: Attempt) -> None:
-        at = self.context.now + CANCEL_GRACE_S
+    def _schedule_expiry(self, attempt: Attempt) -> None:
+        at = self.context.now + CANCEL_TIMEOUT_S
         attempt.timer = self.context.timers.schedule(
-            at, lambda: self._written_off.append(attempt.id)
+            at, lambda: self._expired.append(attempt.id)
         )
 
-    def _find_priority(self, entry: Entry) -> int:
+    def _compute_priority(self, entry: Entry) -> int:
         if entry.urgent:
             return PRIORITY_URGENT
         if entry.critical_at <= self.context.now:
--- a/mangoway/policy/dispatch/breakers.py
+++ b/mangoway/policy/dispatch/breakers.py
@@ -8,27 +8,27 @@
 
 
 class BreakerState(Enum):
-    """Whether an upstream is given work."""
+    """State of a circuit breaker: whether an upstream gets requests."""
 
     CLOSED = "closed"
     OPEN = "open"
     HALF_OPEN = "half_open"
-    """One attempt at a time, as a probe."""
+    """The upstream gets one attempt at a time, as a probe."""
 
 
 @define(eq=False)
 class Breaker:
-    """The breaker of one upstream.
+    """The circuit breaker of one upstream.
 
-    It trips after a run of failures. Each trip that a probe doesn't mend lasts
-    twice as long as the one before.
+    It trips after consecutive failures. When a probe fails, the breaker stays open
+    for twice as long as before.
     """
 
     state: BreakerState = BreakerState.CLOSED
     failures: int = 0
     open_s: float = BREAKER_OPEN_MIN_S
     probing: bool = False
-    """Whether a probe is out."""
+    """Whether a probe is in progress."""
 
     def record_success(self) -> None:
         """Close the breaker."""
@@ -39,7 +39,7 @@
     def record_failure(self, probe: bool) -> bool:
         """Count a failure; return whether the breaker should trip now.
 
-        While it is half open only the probe counts, not what was sent before.
+        In the half-open state only the probe counts, not attempts that began before.
         """
         if self.state is BreakerState.HALF_OPEN:
             return probe
@@ -54,6 +54,6 @@
         return self.open_s
 
     def probe(self) -> None:
-        """Let a probe through after the time that `trip` named."""
+        """Become half open after the time that `trip` returned."""
         if self.state is BreakerState.OPEN:
             self.state = BreakerState.HALF_OPEN
--- a/mangoway/policy/dispatch/choice.py
+++ b/mangoway/policy/dispatch/choice.py
@@ -1,11 +1,11 @@
-"""Which upstream gets a request."""
+"""Choice of an upstream for a request."""
 
 from random import Random
 
 from attrs import frozen
 
 from .breakers import BreakerState
-from .const import AFFINITY_BONUS, PREFIX_MAX_BLOCKS, REMOTE_COST
+from .const import AFFINITY_BONUS, PREFIX_MAX_BLOCKS, REMOTE_LOAD_COST
 from .entries import Entry
 from .fleet import Fleet
 from .options import DispatchOptions
@@ -16,8 +16,9 @@
 class Chooser:
     """Compares a few random upstreams with room, and one with the prefix cached.
 
-    The random draw keeps gateways that act on the same old report apart. The prefix
-    bonus is bounded, so a cached prefix never outweighs a much fuller upstream.
+    The random sample keeps gateways that act on the same old report from choosing
+    the same upstream. The bonus for a cached prefix is bounded, so it never outweighs
+    a much higher load.
     """
 
     fleet: Fleet
@@ -25,30 +26,30 @@
     options: DispatchOptions
 
     def choose(self, entry: Entry, now: float) -> Upstream | None:
-        """Return an upstream with room; None if there is none."""
-        candidates = self._draw(entry)
+        """Return the upstream with the lowest score; None if none has room."""
+        candidates = self._sample(entry)
         if self.options.patient_headroom and entry.has_slack(now):
-            candidates = [item for item in candidates if item.takes_patient(now)]
+            candidates = [item for item in candidates if item.has_patient_headroom(now)]
         if not candidates:
             return None
-        fresh = [item for item in candidates if self._suits(entry, item)]
-        return min(fresh or candidates, key=lambda item: self.score(entry, item, now))
+        untried = [item for item in candidates if self._is_untried(entry, item)]
+        return min(untried or candidates, key=lambda item: self.score(entry, item, now))
 
     def score(self, entry: Entry, upstream: Upstream, now: float) -> float:
-        """Return the cost of an upstream in shares of a full load; lower is better."""
-        cost = upstream.find_load(now)
+        """Return the cost of an upstream as a share of full load; lower is better."""
+        cost = upstream.estimate_load(now)
         address = upstream.address
         own = self.options.data_centre
         if address is not None and own is not None and address.data_centre != own:
-            cost += REMOTE_COST
+            cost += REMOTE_LOAD_COST
         if self.options.prefix_affinity:
-            cost -= self._find_bonus(entry, upstream)
+            cost -= self._compute_affinity_bonus(entry, upstream)
         return cost
 
-    def _draw(self, entry: Entry) -> list[Upstream]:
+    def _sample(self, entry: Entry) -> list[Upstream]:
         resource = find_resource(entry.request.target)
         count = self.options.candidates
-        candidates = self.fleet.draw_open(resource, count, self.rng)
+        candidates = self.fleet.sample_available(resource, count, self.rng)
         if len(candidates) == count and self.options.prefix_affinity:
             holder = self._find_holder(entry)
             if holder is not None and holder not in candidates:
@@ -63,19 +64,19 @@
                 continue
             holder_id = holders[int(self.rng.random() * len(holders))]
             holder = self.fleet.upstreams.get(holder_id)
-            if holder is not None and self.fleet.is_open(resource, holder):
+            if holder is not None and self.fleet.is_available(resource, holder):
                 return holder
         return None
 
-    def _find_bonus(self, entry: Entry, upstream: Upstream) -> float:
+    def _compute_affinity_bonus(self, entry: Entry, upstream: Upstream) -> float:
         hashes = entry.request.prefix_hashes
         if not hashes:
             return 0.0
         cached = self.fleet.prefixes.count_cached(upstream.id, hashes)
         return AFFINITY_BONUS * cached / min(len(hashes), PREFIX_MAX_BLOCKS)
 
-    def _suits(self, entry: Entry, upstream: Upstream) -> bool:
-        if upstream.id in entry.tried:
+    def _is_untried(self, entry: Entry, upstream: Upstream) -> bool:
+        if upstream.id in entry.tried_upstreams:
             return False
         probing = upstream.breaker.state is BreakerState.HALF_OPEN
         return entry.request.idempotent or not probing
--- a/mangoway/policy/dispatch/context.py
+++ b/mangoway/policy/dispatch/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatch core share."""
+"""State that the parts of the dispatch core share."""
 
 from random import Random
 
@@ -19,7 +19,7 @@
 
 @define(eq=False)
 class Context:
-    """State, time and outgoing actions."""
+    """Shared state, current time and the actions to return."""
 
     identity: IncarnationId
     rng: Random
@@ -34,7 +34,7 @@
     actions: list[DispatchAction] = field(factory=list)
 
     def emit(self, action: DispatchAction) -> None:
-        """Return an action from the current event."""
+        """Add an action to those that the current event returns."""
         self.actions.append(action)
 
     def explain(
@@ -44,7 +44,7 @@
         upstream_id: UpstreamId | None = None,
         detail: str = "",
     ) -> None:
-        """Say why a request was decided as it was."""
+        """Emit the reason for a decision about a request."""
         self.emit(
             Explain(
                 request_id=request_id,
@@ -55,6 +55,6 @@
         )
 
     def explain_failure(self, request_id: RequestId, failure: Failure) -> None:
-        """Say why a request was refused."""
+        """Emit the reason why a request was refused."""
         reason = REASON_REFUSED_PREFIX + failure.code.value
         self.explain(request_id, reason, detail=failure.detail)
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -1,4 +1,4 @@
-"""The dispatch core: decides what becomes of each request."""
+"""The dispatch core: decides how each request is handled."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,11 +9,11 @@
 from ...models.offer import Configuration
 from ...models.request import WorkClass
 from .actions import DeleteAnswer, DispatchAction, ReportDemand, WakeAt
-from .admission import Admission, find_target_fault
-from .arrivals import Arrivals
+from .admission import Admission, check_target_offered
+from .arrivals import ArrivalHandler
 from .attempts import Attempts
 from .choice import Chooser
-from .const import DEMAND_PERIOD_S, RESERVE_PER_URGENT
+from .const import DEMAND_PERIOD_S, RESERVED_STARTS_PER_URGENT
 from .context import Context
 from .events import (
     AttemptCancelled,
@@ -40,21 +40,22 @@
 from .homes import Homes
 from .keys import KeyTable
 from .options import DispatchOptions
-from .outcomes import Outcomes
+from .outcomes import OutcomeHandler
 from .queues import Queues
 from .recheck import Recheck
 from .requests import Requests
 from .retries import RetryBudget
 from .scheduler import Scheduler
-from .sickness import Sickness
+from .upstream_health import UpstreamHealth
 from .upstreams import Upstream
 
 
 class DispatchCore:
     """A pure state machine from events about requests and upstreams to actions.
 
-    Every arrival ends in exactly one of: `Finish`, `Refuse`, `ReplayAnswer`,
-    `ForwardToHome`, `ForwardToPeer`, or the end of the request that it joined.
+    Every request ends with exactly one of `FinishRequest`, `Refuse`, `ReplayAnswer`,
+    `ForwardToHome` and `ForwardToPeer`, or with the end of the request that it
+    joined.
     """
 
     def __init__(
@@ -86,33 +87,33 @@
             chooser,
             RetryBudget(),
         )
-        self.sickness = Sickness(self.context, self.scheduler)
-        self.arrivals = Arrivals(
+        self.upstream_health = UpstreamHealth(self.context, self.scheduler)
+        self.arrivals = ArrivalHandler(
             self.context, self.keys, self.requests, self.admission, self.scheduler
         )
-        self.outcomes = Outcomes(
+        self.outcomes = OutcomeHandler(
             self.context,
             self.attempts,
             self.requests,
             self.scheduler,
-            self.sickness,
+            self.upstream_health,
         )
-        self._wake_at: float | None = None
+        self._wakeup_at: float | None = None
         self._recheck = Recheck(self.context, self.admission, self.scheduler)
         self._started = False
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             RequestArrived: self._on_arrived,
             RequestCancelled: self._on_cancelled,
-            AttemptProgressed: self.outcomes.progress,
-            AttemptSucceeded: self.outcomes.succeed,
-            AttemptFailed: self.outcomes.fail,
-            AttemptCancelled: self.outcomes.end_cancelled,
-            KeyClaimed: self.arrivals.end_claim,
-            UpstreamListChanged: self._on_listed,
+            AttemptProgressed: self.outcomes.handle_progress,
+            AttemptSucceeded: self.outcomes.handle_success,
+            AttemptFailed: self.outcomes.handle_failure,
+            AttemptCancelled: self.outcomes.handle_cancellation,
+            KeyClaimed: self.arrivals.handle_claim,
+            UpstreamListChanged: self._on_upstream_list,
             UpstreamLeaving: self._on_leaving,
-            EngineDescribed: self._on_met,
-            EngineReported: self._on_reported,
-            GatewayCountChanged: self._on_counted,
+            EngineDescribed: self._on_engine_described,
+            EngineReported: self._on_engine_report,
+            GatewayCountChanged: self._on_gateway_count,
             PeerKeysReceived: self._on_peer_keys,
             HomesChanged: self._on_homes,
             ConfigurationChanged: self._on_configuration,
@@ -121,21 +122,22 @@
         }
 
     def handle(self, event: DispatchEvent, now: float) -> list[DispatchAction]:
-        """Take one event at time `now` (seconds, never decreasing)."""
+        """Handle one event at time `now` (seconds, never decreasing)."""
         context = self.context
         context.now = max(now, context.now)
         context.actions = []
-        # What became too late in a pause ends before anything new is decided.
+        # Requests that expired while the process was paused end before new decisions.
         context.timers.run_due(context.now)
         self._handlers[type(event)](event)
-        self.outcomes.write_off()
-        self._plan_wake()
+        self.outcomes.expire_cancelled()
+        self._schedule_wakeup()
         return context.actions
 
     def export_keys(self) -> tuple[KeyRecord, ...]:
-        """Return all key records for the successor; no new key is run after this.
+        """Return all key records for the successor; no new key runs after this.
 
-        Whoever gets the records, the home names one successor and keeps to it.
+        The gateway must name a single successor and never change it, even if the
+        records reach more than one gateway.
         """
         return self.keys.export()
 
@@ -147,7 +149,7 @@
     # Requests.
 
     def _on_arrived(self, event: RequestArrived) -> None:
-        self.arrivals.take(event.request)
+        self.arrivals.handle(event.request)
 
     def _on_cancelled(self, event: RequestCancelled) -> None:
         self.requests.cancel(event.request_id)
@@ -156,51 +158,53 @@
         adopted = self.keys.adopt(event.home, event.keys)
         self.requests.schedule_drops(adopted)
         for record in event.keys:
-            if record.answer_id is not None and not self.keys.answers_from(record):
+            if record.answer_id is not None and not self.keys.uses_answer(record):
                 self.context.emit(DeleteAnswer(answer_id=record.answer_id))
         if event.last:
-            self.keys.end_adoption(event.home, self.context.now)
+            self.keys.finish_adoption(event.home, self.context.now)
 
     def _on_homes(self, event: HomesChanged) -> None:
-        self.homes.follow(event)
+        self.homes.update(event)
 
     # Upstreams.
 
-    def _on_listed(self, event: UpstreamListChanged) -> None:
-        for upstream in self.context.fleet.follow_list(event.upstreams):
-            self.scheduler.pump(upstream)
+    def _on_upstream_list(self, event: UpstreamListChanged) -> None:
+        for upstream in self.context.fleet.update_list(event.upstreams):
+            self.scheduler.start_waiting(upstream)
 
     def _on_leaving(self, event: UpstreamLeaving) -> None:
         self.context.fleet.mark_leaving(event.upstream_id)
 
-    def _on_met(self, event: EngineDescribed) -> None:
-        self.scheduler.pump(self.context.fleet.meet(event.description))
+    def _on_engine_described(self, event: EngineDescribed) -> None:
+        self.scheduler.start_waiting(
+            self.context.fleet.update_description(event.description)
+        )
 
-    def _on_reported(self, event: EngineReported) -> None:
+    def _on_engine_report(self, event: EngineReported) -> None:
         upstream = self.context.fleet.upstreams.get(event.report.upstream)
         loading = {} if upstream is None else upstream.loading
-        upstream = self.context.fleet.follow_report(event.report)
+        upstream = self.context.fleet.apply_report(event.report)
         if upstream is None:
             return
-        self._follow_loads(loading, upstream)
-        self.scheduler.pump(upstream)
+        self._record_loads(loading, upstream)
+        self.scheduler.start_waiting(upstream)
 
-    def _follow_loads(self, before: dict[Artifact, None], upstream: Upstream) -> None:
+    def _record_loads(self, before: dict[Artifact, None], upstream: Upstream) -> None:
         estimates = self.context.estimates
         now = self.context.now
         for artifact in upstream.loading:
-            estimates.note_loading(artifact, True, now)
+            estimates.record_loading(artifact, True, now)
         for artifact in before:
             if artifact in upstream.ready:
-                estimates.note_ready(artifact, now)
+                estimates.record_loaded(artifact, now)
             elif not self.context.fleet.count_loading(artifact):
-                estimates.note_loading(artifact, False, now)
+                estimates.record_loading(artifact, False, now)
 
-    def _on_counted(self, event: GatewayCountChanged) -> None:
-        for upstream in self.context.fleet.count_gateways(event.count):
-            self.scheduler.pump(upstream)
+    def _on_gateway_count(self, event: GatewayCountChanged) -> None:
+        for upstream in self.context.fleet.set_gateway_count(event.count):
+            self.scheduler.start_waiting(upstream)
 
-    # The process.
+    # Configuration, stop and timers.
 
     def _on_configuration(self, event: ConfigurationChanged) -> None:
         context = self.context
@@ -213,10 +217,12 @@
         writes = site.claim_writes_per_second
         self.keys.configure(site.key_retention_s, site.key_capacity, context.now)
         self.arrivals.limits.configure(configuration.callers, context.now)
-        self.arrivals.claims.change(writes, max(1.0, writes), context.now)
-        context.queues.credit_per_urgent = _find_credit(configuration)
-        context.estimates.forget_others(
-            lambda target: find_target_fault(target, configuration) is None
+        self.arrivals.claims.reconfigure(writes, max(1.0, writes), context.now)
+        context.queues.reserved_starts_per_urgent = _compute_reserved_starts(
+            configuration
+        )
+        context.estimates.retain(
+            lambda target: check_target_offered(target, configuration) is None
         )
 
     def _on_stop(self, event: StopRequested) -> None:
@@ -224,12 +230,12 @@
             self.arrivals.stopped_at = self.context.now
 
     def _on_ticked(self, event: Ticked) -> None:
-        self._wake_at = None
+        self._wakeup_at = None
 
-    def _run_period(self) -> None:
+    def _run_periodic(self) -> None:
         context = self.context
-        context.timers.schedule(context.now + DEMAND_PERIOD_S, self._run_period)
-        context.fleet.forget_old_reports(context.now)
+        context.timers.schedule(context.now + DEMAND_PERIOD_S, self._run_periodic)
+        context.fleet.expire_reports(context.now)
         self._report_demand()
         if context.options.early_refusal:
             self._recheck.run()
@@ -244,25 +250,25 @@
         demands = context.demand.take_digest(queued)
         context.emit(ReportDemand(period_s=DEMAND_PERIOD_S, demands=demands))
 
-    def _plan_wake(self) -> None:
+    def _schedule_wakeup(self) -> None:
         if not self._started:
             self._started = True
             first = self.context.now + DEMAND_PERIOD_S
-            self.context.timers.schedule(first, self._run_period)
+            self.context.timers.schedule(first, self._run_periodic)
         at = self.context.timers.find_next()
         if at is None:
             return
-        planned = self._wake_at
-        # An earlier wake that is no longer needed costs one idle tick, no more.
+        planned = self._wakeup_at
+        # An obsolete earlier wake-up is not cancelled: it costs one idle tick only.
         if planned is None or at < planned or planned <= self.context.now:
-            self._wake_at = at
+            self._wakeup_at = at
             self.context.emit(WakeAt(time=at))
 
 
-def _find_credit(configuration: Configuration) -> float:
-    """Return what urgent starts earn for critical patient work, by class weights."""
+def _compute_reserved_starts(configuration: Configuration) -> float:
+    """Return the reserved patient starts per urgent start, by the class weights."""
     urgent = configuration.classes.get(WorkClass.URGENT)
     patient = configuration.classes.get(WorkClass.PATIENT)
     if urgent is None or patient is None or urgent.weight <= 0:
-        return RESERVE_PER_URGENT
-    return min(1.0, RESERVE_PER_URGENT * patient.weight / urgent.weight)
+        return RESERVED_STARTS_PER_URGENT
+    return min(1.0, RESERVED_STARTS_PER_URGENT * patient.weight / urgent.weight)
--- a/mangoway/policy/dispatch/demand.py
+++ b/mangoway/policy/dispatch/demand.py
@@ -1,4 +1,4 @@
-"""Demand by artifact, counted for the controller."""
+"""Demand per artifact, counted for reports to the controller."""
 
 from attrs import define, field
 
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class DemandMeter:
-    """Counts demand; a digest costs as much as there were artifacts asked for."""
+    """Counts demand; the cost of a digest grows with the artifacts requested."""
 
     _counts: dict[Artifact, DemandCount] = field(factory=dict)
 
@@ -30,12 +30,12 @@
             count.tokens += request.max_tokens
 
     def count_refusal(self, request: Request) -> None:
-        """Count a request that got no answer for want of capacity."""
+        """Count a request that was refused for lack of capacity."""
         if isinstance(request.target, Artifact):
             self._counts.setdefault(request.target, DemandCount()).refused += 1
 
     def take_digest(self, queued: dict[Artifact, int]) -> tuple[ArtifactDemand, ...]:
-        """Return the counts with the queue lengths of now, and start anew."""
+        """Return the counts with the current queue lengths, and reset them."""
         counts = self._counts
         self._counts = {}
         for artifact in queued:
--- a/mangoway/policy/dispatch/entries.py
+++ b/mangoway/policy/dispatch/entries.py
@@ -8,12 +8,12 @@
 from ...models.request import Request, WorkClass
 from ...models.verdict import Verdict
 from .const import PROMPT_TOKEN_COST
-from .held_keys import HeldKey
 from .timers import Timer
+from .tracked_keys import TrackedKey
 
 
 class EntryState(Enum):
-    """Where a request is."""
+    """State of a request in progress."""
 
     NEW = "new"
     CLAIMING = "claiming"
@@ -33,62 +33,62 @@
 
     state: EntryState = EntryState.NEW
     verdict: Verdict = Verdict.NOT_RUN
-    """Verdict of all attempts that ended."""
+    """Merged verdict of all attempts that ended."""
 
     tokens: int = 0
-    """Tokens of the answer that were delivered."""
+    """Tokens of the answer delivered so far."""
 
     attempts: int = 0
     preemptions: int = 0
     attempt: "Attempt | None" = None
-    tried: set[UpstreamId] = field(factory=set)
+    tried_upstreams: set[UpstreamId] = field(factory=set)
     timer: Timer | None = None
     queued_at: float = 0.0
     latest_start: float = 0.0
     critical_at: float = 0.0
     sequence: int = 0
-    """Place in the queue, unique there."""
+    """Order of insertion into the queue; unique there."""
 
-    held: HeldKey | None = None
-    """Record of its idempotency key."""
+    tracked_key: TrackedKey | None = None
+    """Record of its idempotency key, if it needs one."""
 
     free_retry: bool = False
-    """Whether its next retry costs no budget, since no upstream was at fault."""
+    """Whether its next retry costs no budget, since the upstream did not fail."""
 
     detached: bool = False
-    """Its caller hung up, but it goes on since its key is kept."""
+    """Whether its caller hung up while it continues, since its answer is kept."""
 
     def has_slack(self, now: float) -> bool:
-        """Return whether it is patient and not critical yet."""
+        """Return whether the request is patient and not critical yet."""
         return not self.urgent and self.critical_at > now
 
     @property
     def urgent(self) -> bool:
-        """Return whether somebody waits for the answer."""
+        """Return whether the request is of the urgent class."""
         return self.request.work_class is WorkClass.URGENT
 
     @property
     def caller(self) -> CallerId:
-        """Return the caller."""
+        """Return the caller of the request."""
         return self.request.caller
 
     @property
     def cost(self) -> float:
-        """Return the work that the request may need, in generated tokens."""
+        """Return the maximum work of the request, in generated tokens."""
         request = self.request
         return max(1.0, request.max_tokens + request.prompt_tokens * PROMPT_TOKEN_COST)
 
 
 @define(eq=False)
 class Attempt:
-    """One try of a request at one upstream."""
+    """One attempt of a request at one upstream."""
 
     id: AttemptId
     upstream_id: UpstreamId
     request_id: RequestId
     started_at: float
     entry: Entry | None
-    """None once the request no longer waits for this attempt."""
+    """None if the request no longer waits for this attempt."""
 
     resumed_from: int = 0
     first_token_at: float | None = None
--- a/mangoway/policy/dispatch/estimates.py
+++ b/mangoway/policy/dispatch/estimates.py
@@ -1,4 +1,4 @@
-"""What requests have taken so far, per target."""
+"""Estimates of durations and rates per target, and of model loads."""
 
 import math
 from collections.abc import Callable
@@ -8,26 +8,26 @@
 from ...models.artifact import Artifact
 from ...models.request import Target
 from .const import (
-    DURATION_OPTIMISM,
-    ESTIMATE_HALF_TIME_S,
+    ESTIMATE_HALF_LIFE_S,
     ESTIMATE_WEIGHT,
     LOAD_ESTIMATE_S,
     LOAD_ESTIMATE_WEIGHT,
     LOAD_REACTION_S,
-    RATE_HALF_TIME_S,
+    MIN_DURATION_SHARE,
+    RATE_HALF_LIFE_S,
 )
 from .entries import Attempt, Entry
 
 
 @define(eq=False)
-class Average:
-    """A moving average that fades while there are no samples."""
+class DecayingAverage:
+    """A moving average that decays while there are no samples."""
 
     value: float | None = None
     updated_at: float = 0.0
 
     def add(self, sample: float, now: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         if self.value is None:
             self.value = sample
         else:
@@ -39,47 +39,47 @@
         if self.value is None:
             return 0.0
         age = max(0.0, now - self.updated_at)
-        return self.value * math.exp2(-age / ESTIMATE_HALF_TIME_S)
+        return self.value * math.exp2(-age / ESTIMATE_HALF_LIFE_S)
 
 
 @define(eq=False)
 class RateMeter:
-    """Events per second, older ones counting less."""
+    """Events per second; the weight of an event decays with its age."""
 
     value: float = 0.0
     updated_at: float = 0.0
 
     def add(self, now: float) -> None:
         """Count an event."""
-        self.value = self.get(now) + math.log(2) / RATE_HALF_TIME_S
+        self.value = self.get(now) + math.log(2) / RATE_HALF_LIFE_S
         self.updated_at = now
 
     def get(self, now: float) -> float:
         """Return the rate."""
         age = max(0.0, now - self.updated_at)
-        return self.value * math.exp2(-age / RATE_HALF_TIME_S)
+        return self.value * math.exp2(-age / RATE_HALF_LIFE_S)
 
 
 @define(eq=False)
 class TargetEstimate:
     """Averages of one target."""
 
-    first_token_s: Average = field(factory=Average)
+    first_token_s: DecayingAverage = field(factory=DecayingAverage)
     """Time from the start of an attempt to its first token."""
 
-    token_s: Average = field(factory=Average)
-    """Time between tokens of one request."""
+    token_s: DecayingAverage = field(factory=DecayingAverage)
+    """Time between two tokens of one request."""
 
-    used_share: Average = field(factory=Average)
-    """Tokens generated as a share of the most that was asked for."""
+    used_share: DecayingAverage = field(factory=DecayingAverage)
+    """Generated tokens as a share of the request's maximum."""
 
-    duration_s: Average = field(factory=Average)
+    duration_s: DecayingAverage = field(factory=DecayingAverage)
     starts: RateMeter = field(factory=RateMeter)
 
 
 @define(eq=False)
 class Estimates:
-    """Estimates of all targets that were asked for, and of loads."""
+    """Estimates of all requested targets, and of model loads."""
 
     _targets: dict[Target, TargetEstimate] = field(factory=dict)
     _load_s: float = LOAD_ESTIMATE_S
@@ -92,8 +92,8 @@
             estimate = self._targets[target] = TargetEstimate()
         return estimate
 
-    def forget_others(self, is_kept: Callable[[Target], bool]) -> None:
-        """Keep only the estimates of some targets, say of those still offered."""
+    def retain(self, is_kept: Callable[[Target], bool]) -> None:
+        """Drop the estimates of all targets but those that `is_kept` accepts."""
         self._targets = {
             target: estimate
             for target, estimate in self._targets.items()
@@ -101,12 +101,12 @@
         }
 
     def record_first_token(self, attempt: Attempt, target: Target, now: float) -> None:
-        """Take the time of an attempt's first token."""
+        """Record the time to the first token of an attempt."""
         attempt.first_token_at = now
         self.get(target).first_token_s.add(now - attempt.started_at, now)
 
     def record_success(self, attempt: Attempt, entry: Entry, now: float) -> None:
-        """Take the figures of an answer that one attempt gave whole."""
+        """Record the durations of an answer that a single attempt delivered."""
         estimate = self.get(entry.request.target)
         if attempt.resumed_from:
             return
@@ -119,48 +119,48 @@
             share = min(1.0, entry.tokens / entry.request.max_tokens)
             estimate.used_share.add(share, now)
 
-    def find_latest_start(self, entry: Entry, now: float) -> float:
-        """Return the time after which a start could no longer meet the deadlines.
+    def estimate_latest_start(self, entry: Entry, now: float) -> float:
+        """Return the latest start that can still meet the deadlines.
 
-        The estimates are low on purpose: a request that could have been met must not
-        be refused, while one that is started in vain costs some capacity.
+        The estimated duration is low on purpose: a request that can meet its deadline
+        must not be refused, while a start that misses it costs only some capacity.
         """
         request = entry.request
-        latest = request.deadline - self._find_remaining_s(entry, now)
+        latest = request.deadline - self._estimate_remaining_s(entry, now)
         if request.first_token_deadline is None or entry.tokens:
             return latest
         first_token_s = self.get(request.target).first_token_s.get(now)
-        first = request.first_token_deadline - first_token_s * DURATION_OPTIMISM
+        first = request.first_token_deadline - first_token_s * MIN_DURATION_SHARE
         return min(latest, first)
 
-    def _find_remaining_s(self, entry: Entry, now: float) -> float:
+    def _estimate_remaining_s(self, entry: Entry, now: float) -> float:
         request = entry.request
         estimate = self.get(request.target)
         if not request.max_tokens:
-            return estimate.duration_s.get(now) * DURATION_OPTIMISM
+            return estimate.duration_s.get(now) * MIN_DURATION_SHARE
         wanted = request.max_tokens * estimate.used_share.get(now) - entry.tokens
         decoding = max(0.0, wanted) * estimate.token_s.get(now)
-        return (estimate.first_token_s.get(now) + decoding) * DURATION_OPTIMISM
+        return (estimate.first_token_s.get(now) + decoding) * MIN_DURATION_SHARE
 
-    # Loads.
+    # Model loads.
 
-    def note_loading(self, artifact: Artifact, loading: bool, now: float) -> None:
-        """Follow whether some engine is loading an artifact that nobody has ready."""
+    def record_loading(self, artifact: Artifact, loading: bool, now: float) -> None:
+        """Record whether an engine is loading an artifact that has no ready copy."""
         if loading:
             self._loading_since.setdefault(artifact, now)
         else:
             self._loading_since.pop(artifact, None)
 
-    def note_ready(self, artifact: Artifact, now: float) -> None:
-        """Take the time that a load took, if its start was seen."""
+    def record_loaded(self, artifact: Artifact, now: float) -> None:
+        """Record the duration of a finished load, if its start was observed."""
         since = self._loading_since.pop(artifact, None)
         if since is not None:
             self._load_s += (now - since - self._load_s) * LOAD_ESTIMATE_WEIGHT
 
-    def find_load_s(self, artifact: Artifact, now: float) -> float:
+    def estimate_load_s(self, artifact: Artifact, now: float) -> float:
         """Return the estimated time until an artifact without a copy is ready."""
-        whole = self._load_s
+        load_s = self._load_s
         since = self._loading_since.get(artifact)
         if since is None:
-            return LOAD_REACTION_S + whole
-        return max(1.0, whole - (now - since))
+            return LOAD_REACTION_S + load_s
+        return max(1.0, load_s - (now - since))
--- a/mangoway/policy/dispatch/events.py
+++ b/mangoway/policy/dispatch/events.py
@@ -1,4 +1,4 @@
-"""Events that the dispatch core takes."""
+"""Events that the dispatch core handles."""
 
 from attrs import frozen
 
@@ -20,43 +20,43 @@
 
 @frozen(kw_only=True)
 class RequestArrived:
-    """A caller's request was read and checked."""
+    """A caller's request was received and validated."""
 
     request: Request
 
 
 @frozen(kw_only=True)
 class RequestCancelled:
-    """The caller hung up."""
+    """The caller closed its connection."""
 
     request_id: RequestId
 
 
 @frozen(kw_only=True)
 class AttemptProgressed:
-    """An upstream delivered more of an answer."""
+    """An upstream delivered more tokens of an answer."""
 
     attempt_id: AttemptId
     tokens: int
-    """Tokens of the whole answer delivered so far, earlier attempts included."""
+    """Tokens of the answer delivered so far, including those of earlier attempts."""
 
 
 @frozen(kw_only=True)
 class AttemptSucceeded:
-    """An attempt delivered its answer whole."""
+    """An attempt delivered its complete answer."""
 
     attempt_id: AttemptId
 
 
 @frozen(kw_only=True)
 class AttemptFailed:
-    """An attempt ended without its answer."""
+    """An attempt ended without a complete answer."""
 
     attempt_id: AttemptId
     verdict: Verdict
     failure: Failure
     tokens: int = 0
-    """Tokens of the whole answer delivered before it failed."""
+    """Tokens of the answer delivered before the failure, as in `AttemptProgressed`."""
 
 
 @frozen(kw_only=True)
@@ -73,45 +73,45 @@
     CLAIMED = "claimed"
     TAKEN = "taken"
     UNSETTLED = "unsettled"
-    """Whether it was written is unknown; the key counts as taken."""
+    """It is unknown whether the claim was written; the key counts as taken."""
 
     UNAVAILABLE = "unavailable"
-    """It certainly was not written."""
+    """The claim was certainly not written."""
 
 
 @frozen(kw_only=True)
 class KeyClaimed:
-    """The key-value service answered a claim, or it could not be asked."""
+    """A claim of a plain idempotency key ended."""
 
     request_id: RequestId
     outcome: str
-    """One of `ClaimOutcome`."""
+    """One of the values of `ClaimOutcome`."""
 
 
 @frozen(kw_only=True)
 class UpstreamListChanged:
-    """The whole list of upstreams that are known now."""
+    """The list of upstreams changed; the event holds the complete list."""
 
     upstreams: tuple[UpstreamAddress, ...]
 
 
 @frozen(kw_only=True)
 class UpstreamLeaving:
-    """An upstream said that it leaves, or a peer or the host list said so."""
+    """An upstream is leaving, as reported by itself, a peer or the host list."""
 
     upstream_id: UpstreamId
 
 
 @frozen(kw_only=True)
 class EngineDescribed:
-    """An engine described itself."""
+    """An engine sent its description."""
 
     description: EngineDescription
 
 
 @frozen(kw_only=True)
 class EngineReported:
-    """A load report arrived, from the engine or through a peer."""
+    """A load report was received from the engine or through a peer."""
 
     report: EngineReport
 
@@ -125,7 +125,7 @@
 
 @frozen(kw_only=True)
 class PeerKeysReceived:
-    """A leaving home handed over its records of idempotency keys, or some of them."""
+    """A gateway that leaves handed over some or all records of its idempotency keys."""
 
     home: IncarnationId
     keys: "tuple[KeyRecord, ...]"
@@ -134,7 +134,7 @@
 
 @frozen(kw_only=True)
 class HomesChanged:
-    """The live gateway incarnations, and who answers for those that left."""
+    """The live gateway incarnations or the successors of those that left changed."""
 
     live: frozenset[IncarnationId]
     successors: "tuple[Successor, ...]" = ()
@@ -142,7 +142,7 @@
 
 @frozen(kw_only=True)
 class Successor:
-    """A live incarnation that answers for one that left in a planned way."""
+    """The incarnation that took over the keys of one that left by a planned stop."""
 
     home: IncarnationId
     successor: IncarnationId
@@ -150,43 +150,43 @@
 
 @frozen(kw_only=True)
 class KeyRecord:
-    """What a home knows of one idempotency key, as it is handed over."""
+    """The record of one idempotency key, as one gateway hands it over to another."""
 
     key: IdempotencyKey
     caller: CallerId
-    """Caller that the key belongs to; callers' keys never meet."""
+    """Caller that the key belongs to; each caller has its own key space."""
 
     fingerprint: int
     expires_at: float
-    """Unix seconds until which the record must be kept."""
+    """Unix time in seconds until which the record must be kept."""
 
     verdict: Verdict | None
-    """None: it ran and the answer is kept; else the verdict of its failure."""
+    """Verdict of its failure; None if it ran and its answer is kept."""
 
     answer_id: RequestId | None = None
-    """Request whose stored answer is replayed."""
+    """Request whose stored answer is replayed to resubmissions."""
 
 
 @frozen(kw_only=True)
 class ConfigurationChanged:
-    """A newer configuration is in force."""
+    """A newer configuration is active."""
 
     configuration: Configuration
 
 
 @frozen(kw_only=True)
 class StopRequested:
-    """This gateway leaves: it takes no new requests of its own."""
+    """A planned stop of this gateway began; new requests go to other gateways."""
 
 
 @frozen(kw_only=True)
 class Ticked:
-    """Time passed; sent at the time of the last `WakeAt`, or later."""
+    """Time has advanced; sent at the time of the last `WakeAt`, or later."""
 
 
 @frozen(kw_only=True)
 class ArtifactDemand:
-    """Demand for one artifact since the last digest."""
+    """Demand for one artifact since the last report."""
 
     artifact: Artifact
     arrived: int
--- a/mangoway/policy/dispatch/fleet.py
+++ b/mangoway/policy/dispatch/fleet.py
@@ -1,4 +1,4 @@
-"""All upstreams, indexed by what they serve."""
+"""Index of all upstreams by the artifacts and services that they serve."""
 
 from random import Random
 
@@ -13,29 +13,34 @@
     UpstreamAddress,
 )
 from .breakers import Breaker, BreakerState
-from .const import BREAKER_MAX_OPEN_SHARE, REPORT_STALE_S, RETIRED_MAX, UNLISTED_MAX
+from .const import (
+    BREAKER_MAX_OPEN_SHARE,
+    EARLIER_INCARNATIONS_MAX,
+    REPORT_STALE_S,
+    UNLISTED_UPSTREAMS_MAX,
+)
 from .entries import Attempt
 from .options import DispatchOptions
-from .pools import Pool
 from .prefixes import PrefixIndex
+from .random_sets import RandomSet
 from .upstreams import Resource, Upstream
 
 
 @define(eq=False)
 class Fleet:
-    """The upstreams, and per resource those that are ready and those with room.
+    """All upstreams, and per resource those that are ready and those with room.
 
-    The cost of a change is in proportion to what one upstream serves; a choice
-    costs the same however many upstreams there are.
+    The cost of a change grows with the resources of the changed upstream; the cost
+    of a lookup doesn't depend on the number of upstreams.
     """
 
     options: DispatchOptions
     rng: Random
     prefixes: PrefixIndex = field(factory=PrefixIndex)
-    gateways: int = 1
+    gateway_count: int = 1
     upstreams: dict[UpstreamId, Upstream] = field(factory=dict)
-    _ready: dict[Resource, Pool[Upstream]] = field(factory=dict)
-    _open: dict[Resource, Pool[Upstream]] = field(factory=dict)
+    _ready: dict[Resource, RandomSet[Upstream]] = field(factory=dict)
+    _available: dict[Resource, RandomSet[Upstream]] = field(factory=dict)
     _loading: dict[Artifact, int] = field(factory=dict)
     _listed: dict[ServiceName | None, set[UpstreamId]] = field(factory=dict)
     _tripped: dict[ServiceName | None, set[UpstreamId]] = field(factory=dict)
@@ -44,33 +49,37 @@
     # Lookups.
 
     def count_ready(self, resource: Resource) -> int:
-        """Return the listed upstreams that serve a resource and don't leave."""
+        """Return the number of upstreams that serve a resource and accept work."""
         pool = self._ready.get(resource)
         return 0 if pool is None else len(pool)
 
     def count_loading(self, artifact: Artifact) -> int:
-        """Return the engines that are loading an artifact."""
+        """Return the number of engines that are loading an artifact."""
         return self._loading.get(artifact, 0)
 
-    def draw_ready(self, resource: Resource, count: int, rng: Random) -> list[Upstream]:
-        """Return some upstreams that serve a resource."""
+    def sample_ready(
+        self, resource: Resource, count: int, rng: Random
+    ) -> list[Upstream]:
+        """Return random upstreams that serve a resource."""
         pool = self._ready.get(resource)
-        return [] if pool is None else pool.draw(count, rng)
+        return [] if pool is None else pool.sample(count, rng)
 
-    def draw_open(self, resource: Resource, count: int, rng: Random) -> list[Upstream]:
-        """Return some upstreams that serve a resource and have room."""
-        pool = self._open.get(resource)
-        return [] if pool is None else pool.draw(count, rng)
+    def sample_available(
+        self, resource: Resource, count: int, rng: Random
+    ) -> list[Upstream]:
+        """Return random upstreams that serve a resource and have room."""
+        pool = self._available.get(resource)
+        return [] if pool is None else pool.sample(count, rng)
 
-    def is_open(self, resource: Resource, upstream: Upstream) -> bool:
+    def is_available(self, resource: Resource, upstream: Upstream) -> bool:
         """Return whether an upstream serves a resource and has room."""
-        pool = self._open.get(resource)
+        pool = self._available.get(resource)
         return pool is not None and upstream in pool
 
-    # News.
+    # Updates.
 
-    def follow_list(self, addresses: tuple[UpstreamAddress, ...]) -> list[Upstream]:
-        """Take the whole list of upstreams; return those that changed."""
+    def update_list(self, addresses: tuple[UpstreamAddress, ...]) -> list[Upstream]:
+        """Apply the complete list of upstreams; return those that changed."""
         listed = {address.id: address for address in addresses}
         changed = []
         for upstream in list(self.upstreams.values()):
@@ -86,16 +95,16 @@
         return changed
 
     def mark_leaving(self, upstream_id: UpstreamId) -> Upstream:
-        """Give an upstream no new work until it comes back as a new process."""
+        """Mark an upstream as leaving, until it restarts as a new incarnation."""
         upstream = self._find_or_add(upstream_id)
         upstream.leaving = True
         self.refresh(upstream)
         return upstream
 
-    def meet(self, description: EngineDescription) -> Upstream:
-        """Take an engine's description of itself."""
+    def update_description(self, description: EngineDescription) -> Upstream:
+        """Apply an engine's description."""
         upstream = self._find_or_add(description.upstream)
-        if description.incarnation in upstream.retired:
+        if description.incarnation in upstream.earlier_incarnations:
             return upstream
         if upstream.incarnation != description.incarnation:
             self._start_incarnation(upstream, description.incarnation)
@@ -104,56 +113,56 @@
         self.refresh(upstream)
         return upstream
 
-    def follow_report(self, report: EngineReport) -> Upstream | None:
-        """Take a load report; return None if it is older than what is known."""
+    def apply_report(self, report: EngineReport) -> Upstream | None:
+        """Apply a load report; return None if it is outdated."""
         upstream = self._find_or_add(report.upstream)
         last = upstream.reported_at
         if last is not None and report.reported_at <= last:
             return None
-        if report.incarnation in upstream.retired:
+        if report.incarnation in upstream.earlier_incarnations:
             return None
         if upstream.incarnation != report.incarnation:
             self._start_incarnation(upstream, report.incarnation)
         upstream.reported_at = report.reported_at
-        self._follow_load(upstream, report)
-        self._follow_residents(upstream, report)
+        self._apply_load(upstream, report)
+        self._apply_residents(upstream, report)
         upstream.leaving = upstream.leaving or report.leaving
         if self.options.prefix_affinity:
             self.prefixes.apply(upstream.id, report.cache_changes)
         self.refresh(upstream)
         return upstream
 
-    def count_gateways(self, count: int) -> list[Upstream]:
-        """Take the number of gateways that share the upstreams."""
-        self.gateways = max(1, count)
+    def set_gateway_count(self, count: int) -> list[Upstream]:
+        """Set the number of gateways that share the upstreams; return all upstreams."""
+        self.gateway_count = max(1, count)
         for upstream in self.upstreams.values():
             self.refresh(upstream)
         return list(self.upstreams.values())
 
-    def deny(self, upstream: Upstream, resource: Resource, now: float) -> None:
-        """Take an upstream's word that it doesn't have an artifact."""
-        upstream.denied[resource] = now
+    def mark_missing(self, upstream: Upstream, resource: Resource, now: float) -> None:
+        """Record an upstream's refusal for lack of a resource."""
+        upstream.missing[resource] = now
         self._index(upstream, resource)
 
-    def forget_old_reports(self, now: float) -> None:
-        """Fall back to even shares where reports have stopped."""
+    def expire_reports(self, now: float) -> None:
+        """Discard stale load reports, so that windows fall back to even shares."""
         for upstream in self.upstreams.values():
             at = upstream.reported_at
             if at is not None and now - at > REPORT_STALE_S:
-                upstream.window.forget_report()
+                upstream.window.clear_report()
                 self.refresh(upstream)
 
     # Attempts.
 
-    def begin(self, attempt: Attempt, upstream: Upstream) -> None:
-        """Count an attempt at an upstream."""
+    def add_attempt(self, attempt: Attempt, upstream: Upstream) -> None:
+        """Add an attempt to an upstream; it is a probe if the breaker is half open."""
         upstream.attempts[attempt.id] = attempt
         if upstream.breaker.state is BreakerState.HALF_OPEN:
             attempt.probe = upstream.breaker.probing = True
         self.refresh(upstream)
 
-    def end(self, attempt: Attempt) -> Upstream:
-        """Count an attempt no longer."""
+    def remove_attempt(self, attempt: Attempt) -> Upstream:
+        """Remove an attempt that ended; return its upstream."""
         upstream = self.upstreams[attempt.upstream_id]
         upstream.attempts.pop(attempt.id, None)
         if attempt.probe:
@@ -164,18 +173,19 @@
     # Breakers.
 
     def may_trip(self, upstream: Upstream) -> bool:
-        """Return whether another breaker may trip among the upstreams of a kind.
+        """Return whether one more breaker may trip among upstreams of one service.
 
-        When most of a kind look sick the fault is a common one. Then taking some out
-        would only load the rest more.
+        If most of them fail, the cause is probably common to all. Excluding some
+        would then only increase the load of the rest. All engines count as one
+        service.
         """
-        listed = len(self._listed.get(upstream.kind, ()))
-        tripped = len(self._tripped.get(upstream.kind, ()))
+        listed = len(self._listed.get(upstream.service, ()))
+        tripped = len(self._tripped.get(upstream.service, ()))
         return tripped + 1 <= listed * BREAKER_MAX_OPEN_SHARE
 
-    def note_breaker(self, upstream: Upstream) -> None:
-        """Follow a change of an upstream's breaker."""
-        tripped = self._tripped.setdefault(upstream.kind, set())
+    def update_breaker(self, upstream: Upstream) -> None:
+        """Update the indexes after a change of an upstream's breaker."""
+        tripped = self._tripped.setdefault(upstream.service, set())
         if upstream.breaker.state is BreakerState.CLOSED:
             tripped.discard(upstream.id)
         else:
@@ -185,25 +195,30 @@
     # Indexes.
 
     def refresh(self, upstream: Upstream) -> None:
-        """Bring the indexes up to date with an upstream."""
-        takes_work = upstream.takes_work
-        has_room = upstream.has_room(self.gateways, self.options.windows)
-        if (takes_work, has_room) == (upstream.indexed_ready, upstream.indexed_open):
+        """Update the indexes after a change of an upstream."""
+        accepts_work = upstream.accepts_work
+        has_room = upstream.has_room(self.gateway_count, self.options.windows)
+        if (accepts_work, has_room) == (
+            upstream.indexed_ready,
+            upstream.indexed_available,
+        ):
             return
-        upstream.indexed_ready = takes_work
-        upstream.indexed_open = has_room
+        upstream.indexed_ready = accepts_work
+        upstream.indexed_available = has_room
         for resource in upstream.ready:
             self._index(upstream, resource)
 
     def _index(self, upstream: Upstream, resource: Resource) -> None:
-        has_it = resource in upstream.ready and resource not in upstream.denied
-        _set_member(self._ready, resource, upstream, has_it and upstream.indexed_ready)
-        _set_member(self._open, resource, upstream, has_it and upstream.indexed_open)
+        has_it = resource in upstream.ready and resource not in upstream.missing
+        _update_set(self._ready, resource, upstream, has_it and upstream.indexed_ready)
+        _update_set(
+            self._available, resource, upstream, has_it and upstream.indexed_available
+        )
 
     def _set_resources(self, upstream: Upstream, ready: dict[Resource, None]) -> None:
         old = upstream.ready
         upstream.ready = ready
-        # In a stable order, so that the same seed gives the same draws.
+        # The order is stable, so that the same seed gives the same random samples.
         changed = [item for item in old if item not in ready]
         changed += [item for item in ready if item not in old]
         for resource in changed:
@@ -218,18 +233,18 @@
             self._loading[artifact] = self._loading.get(artifact, 0) + 1
         upstream.loading = loading
 
-    def _follow_load(self, upstream: Upstream, report: EngineReport) -> None:
+    def _apply_load(self, upstream: Upstream, report: EngineReport) -> None:
         load = report.running + report.waiting
         attempts = upstream.attempts.values()
         own = sum(item.started_at <= report.reported_at for item in attempts)
         upstream.others_load = max(0, load - own)
         upstream.window.dither = self.rng.random()
-        upstream.window.follow_report(load, own)
+        upstream.window.apply_report(load, own)
 
-    def _follow_residents(self, upstream: Upstream, report: EngineReport) -> None:
-        for resource, denied_at in list(upstream.denied.items()):
-            if report.reported_at > denied_at:
-                del upstream.denied[resource]
+    def _apply_residents(self, upstream: Upstream, report: EngineReport) -> None:
+        for resource, missing_since in list(upstream.missing.items()):
+            if report.reported_at > missing_since:
+                del upstream.missing[resource]
                 self._index(upstream, resource)
         ready: dict[Resource, None] = {}
         loading: dict[Artifact, None] = {}
@@ -245,41 +260,41 @@
         self, upstream: Upstream, incarnation: IncarnationId
     ) -> None:
         if upstream.incarnation is not None:
-            upstream.retired.append(upstream.incarnation)
-            del upstream.retired[:-RETIRED_MAX]
+            upstream.earlier_incarnations.append(upstream.incarnation)
+            del upstream.earlier_incarnations[:-EARLIER_INCARNATIONS_MAX]
             upstream.leaving = False
             upstream.breaker = Breaker()
-            self.note_breaker(upstream)
+            self.update_breaker(upstream)
         upstream.incarnation = incarnation
-        upstream.denied.clear()
-        upstream.window.forget_report()
+        upstream.missing.clear()
+        upstream.window.clear_report()
         upstream.others_load = 0
         self._set_resources(upstream, {})
         self._set_loading(upstream, {})
         self.prefixes.drop(upstream.id)
 
     def _unlist(self, upstream: Upstream) -> None:
-        self._listed.get(upstream.kind, set()).discard(upstream.id)
-        self._tripped.get(upstream.kind, set()).discard(upstream.id)
+        self._listed.get(upstream.service, set()).discard(upstream.id)
+        self._tripped.get(upstream.service, set()).discard(upstream.id)
         upstream.address = None
         upstream.breaker = Breaker()
         self.refresh(upstream)
         self._unlisted[upstream.id] = None
-        if len(self._unlisted) > UNLISTED_MAX:
-            self._forget_one()
+        if len(self._unlisted) > UNLISTED_UPSTREAMS_MAX:
+            self._drop_oldest_unlisted()
 
     def _list(self, upstream: Upstream, address: UpstreamAddress) -> None:
         if upstream.address is None and upstream.incarnation is None:
             upstream.leaving = upstream.leaving and upstream.id not in self._unlisted
         self._unlisted.pop(upstream.id, None)
         upstream.address = address
-        self._listed.setdefault(upstream.kind, set()).add(upstream.id)
+        self._listed.setdefault(upstream.service, set()).add(upstream.id)
         if address.service is not None:
             upstream.window.shared = False
             self._set_resources(upstream, {address.service: None})
         self.refresh(upstream)
 
-    def _forget_one(self) -> None:
+    def _drop_oldest_unlisted(self) -> None:
         for upstream_id in self._unlisted:
             upstream = self.upstreams[upstream_id]
             if not upstream.attempts:
@@ -299,8 +314,8 @@
         return upstream
 
 
-def _set_member(
-    pools: dict[Resource, Pool[Upstream]],
+def _update_set(
+    pools: dict[Resource, RandomSet[Upstream]],
     resource: Resource,
     upstream: Upstream,
     member: bool,
@@ -308,7 +323,7 @@
     pool = pools.get(resource)
     if member:
         if pool is None:
-            pool = pools[resource] = Pool()
+            pool = pools[resource] = RandomSet()
         pool.add(upstream)
     elif pool is not None:
         pool.discard(upstream)
--- a/mangoway/policy/dispatch/limits.py
+++ b/mangoway/policy/dispatch/limits.py
@@ -20,16 +20,16 @@
     def __attrs_post_init__(self) -> None:
         self.tokens = self.burst
 
-    def take(self, now: float) -> float:
-        """Take a token; return 0, or the seconds until there is one."""
+    def try_acquire(self, now: float) -> float:
+        """Consume a token; return 0, or the seconds until one is available."""
         self._refill(now)
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
         return (1.0 - self.tokens) / self.rate
 
-    def change(self, rate: float, burst: float, now: float) -> None:
-        """Change the limits; what was used stays used."""
+    def reconfigure(self, rate: float, burst: float, now: float) -> None:
+        """Change the limits; tokens that were consumed stay consumed."""
         self._refill(now)
         used = self.burst - self.tokens
         self.rate = rate
@@ -44,12 +44,12 @@
 
 @define(eq=False)
 class CallerLimits:
-    """The buckets of all callers that have a limit."""
+    """The token buckets of all callers that have a rate limit."""
 
     _buckets: dict[CallerId, TokenBucket] = field(factory=dict)
 
     def configure(self, callers: Mapping[CallerId, CallerOffer], now: float) -> None:
-        """Follow a new configuration; what callers have used is kept."""
+        """Apply a new configuration; the tokens that callers consumed are kept."""
         old = self._buckets
         self._buckets = {}
         for caller, offer in callers.items():
@@ -61,10 +61,10 @@
             if bucket is None:
                 bucket = TokenBucket(rate, burst, now)
             else:
-                bucket.change(rate, burst, now)
+                bucket.reconfigure(rate, burst, now)
             self._buckets[caller] = bucket
 
-    def take(self, caller: CallerId, now: float) -> float:
-        """Count a request; return 0, or the seconds until it would be let in."""
+    def try_acquire(self, caller: CallerId, now: float) -> float:
+        """Count a request; return 0, or the seconds until it is admitted."""
         bucket = self._buckets.get(caller)
-        return 0.0 if bucket is None else bucket.take(now)
+        return 0.0 if bucket is None else bucket.try_acquire(now)
--- a/mangoway/policy/dispatch/options.py
+++ b/mangoway/policy/dispatch/options.py
@@ -8,16 +8,16 @@
 
 @frozen(kw_only=True)
 class DispatchOptions:
-    """Place and clock of the process, and switches that take out mechanisms."""
+    """Location and clock of the process, and switches for single mechanisms."""
 
     data_centre: DataCentreId | None = None
-    """Own data centre; upstreams elsewhere cost a little more."""
+    """Data centre of this gateway; upstreams elsewhere get a higher cost."""
 
     clock_offset_s: float = 0.0
-    """Unix time at which the clock of the core reads zero, for issue times in keys."""
+    """Unix time at which the core's clock is zero, for issue times of keys."""
 
     candidates: int = CHOICE_CANDIDATES
-    """Random upstreams that are compared for each attempt."""
+    """Number of random upstreams that are compared for each attempt."""
 
     prefix_affinity: bool = True
     windows: bool = True
@@ -26,8 +26,8 @@
     fair_share: bool = True
     patient_reserve: bool = True
     patient_headroom: bool = True
-    """Leave part of each upstream open for urgent work while patient work has slack."""
+    """Keep part of each upstream free of patient requests that have slack."""
 
     early_refusal: bool = True
     preemption: bool = False
-    """Cancel patient streams, and resume them later, to let urgent work in."""
+    """Cancel patient requests, and resume them later, to start urgent ones."""
--- a/mangoway/policy/dispatch/outcomes.py
+++ b/mangoway/policy/dispatch/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts."""
+"""Handling of the outcomes of attempts."""
 
 from attrs import define
 
@@ -6,7 +6,7 @@
 from ...models.identifiers import AttemptId, RequestId
 from ...models.verdict import Verdict
 from .attempts import Attempts
-from .const import REASON_LATE_EVENT
+from .const import REASON_LATE_EVENT_DROPPED
 from .context import Context
 from .entries import Attempt, Entry
 from .events import (
@@ -17,22 +17,22 @@
 )
 from .requests import Requests
 from .scheduler import Scheduler
-from .sickness import Sickness
+from .upstream_health import UpstreamHealth
 from .upstreams import Upstream
 
 
 @define(eq=False)
-class Outcomes:
-    """Takes what attempts report; events of attempts that ended are dropped."""
+class OutcomeHandler:
+    """Handler of events of attempts; those of attempts that ended are ignored."""
 
     context: Context
     attempts: Attempts
     requests: Requests
     scheduler: Scheduler
-    sickness: Sickness
+    upstream_health: UpstreamHealth
 
-    def progress(self, event: AttemptProgressed) -> None:
-        """Note what an attempt delivered so far."""
+    def handle_progress(self, event: AttemptProgressed) -> None:
+        """Record the tokens that an attempt delivered so far."""
         attempt = self.attempts.find(event.attempt_id)
         if attempt is None or attempt.entry is None:
             return
@@ -42,28 +42,28 @@
             self.context.estimates.record_first_token(attempt, target, self.context.now)
         entry.tokens = max(entry.tokens, event.tokens)
 
-    def succeed(self, event: AttemptSucceeded) -> None:
-        """End an attempt, and its request with it."""
+    def handle_success(self, event: AttemptSucceeded) -> None:
+        """End an attempt and its request."""
         attempt = self._find(event.attempt_id)
         if attempt is None:
             return
         entry = attempt.entry
-        upstream = self.attempts.release(attempt)
-        self.sickness.record_success(upstream)
+        upstream = self.attempts.remove(attempt)
+        self.upstream_health.record_success(upstream)
         if entry is not None:
             now = self.context.now
             self.context.estimates.record_success(attempt, entry, now)
             self.requests.finish(entry)
-        self.scheduler.pump(upstream)
+        self.scheduler.start_waiting(upstream)
 
-    def fail(self, event: AttemptFailed) -> None:
-        """End an attempt, and retry or end its request."""
+    def handle_failure(self, event: AttemptFailed) -> None:
+        """End a failed attempt, and retry or refuse its request."""
         attempt = self._find(event.attempt_id)
         if attempt is None:
             return
         entry = attempt.entry
-        upstream = self.attempts.release(attempt)
-        self.sickness.record_failure(upstream, attempt, event.failure)
+        upstream = self.attempts.remove(attempt)
+        self.upstream_health.record_failure(upstream, attempt, event.failure)
         if entry is not None:
             entry.tokens = max(entry.tokens, event.tokens)
             entry.verdict = entry.verdict.merge(event.verdict)
@@ -74,43 +74,47 @@
                 retry_after=event.failure.retry_after,
             )
             self.scheduler.retry(entry, upstream, failure)
-        self.scheduler.pump(upstream)
+        self.scheduler.start_waiting(upstream)
 
-    def end_cancelled(self, event: AttemptCancelled) -> None:
-        """End an attempt that was cancelled."""
+    def handle_cancellation(self, event: AttemptCancelled) -> None:
+        """End a cancelled attempt, and queue a preempted request again."""
         attempt = self._find(event.attempt_id)
         if attempt is None:
             return
         entry = attempt.entry
-        upstream = self.attempts.release(attempt)
+        upstream = self.attempts.remove(attempt)
         if entry is not None and attempt.preempting:
             entry.tokens = max(entry.tokens, event.tokens)
-            self.scheduler.resume_later(entry)
+            self.scheduler.requeue_preempted(entry)
         elif entry is not None:
-            self._end_unasked(entry, upstream)
-        self.scheduler.pump(upstream)
+            self._handle_unrequested_cancellation(entry, upstream)
+        self.scheduler.start_waiting(upstream)
 
-    def write_off(self) -> None:
-        """End cancelled attempts that nothing was heard of in time."""
-        for attempt in self.attempts.take_written_off():
+    def expire_cancelled(self) -> None:
+        """End the cancelled attempts whose end was not reported in time."""
+        for attempt in self.attempts.pop_expired():
             entry = attempt.entry
-            upstream = self.attempts.release(attempt)
+            upstream = self.attempts.remove(attempt)
             if entry is not None:
-                self.scheduler.resume_later(entry)
-            self.scheduler.pump(upstream)
+                self.scheduler.requeue_preempted(entry)
+            self.scheduler.start_waiting(upstream)
 
     def _find(self, attempt_id: AttemptId) -> Attempt | None:
         attempt = self.attempts.find(attempt_id)
         if attempt is None:
             request_id = RequestId("")
-            self.context.explain(request_id, REASON_LATE_EVENT, detail=attempt_id)
+            self.context.explain(
+                request_id, REASON_LATE_EVENT_DROPPED, detail=attempt_id
+            )
         return attempt
 
-    def _end_unasked(self, entry: Entry, upstream: Upstream) -> None:
+    def _handle_unrequested_cancellation(
+        self, entry: Entry, upstream: Upstream
+    ) -> None:
         failure = Failure(
             code=ErrorCode.UPSTREAM_FAILED,
             verdict=Verdict.MAY_HAVE_RUN,
-            detail="the attempt was cancelled by somebody else",
+            detail="the attempt was cancelled, but not by this gateway",
         )
         entry.verdict = entry.verdict.merge(failure.verdict)
         self.scheduler.retry(entry, upstream, failure)
--- a/mangoway/policy/dispatch/prefixes.py
+++ b/mangoway/policy/dispatch/prefixes.py
@@ -1,4 +1,4 @@
-"""Which upstreams hold which prefix blocks, as far as is known."""
+"""Index of the prefix blocks that upstreams hold in their caches."""
 
 from collections import defaultdict
 
@@ -11,7 +11,7 @@
 
 @define(eq=False)
 class CacheView:
-    """Blocks of one upstream's cache; the oldest known is forgotten first."""
+    """Known blocks of one upstream's cache; the oldest are dropped first."""
 
     sequence: int | None = None
     blocks: dict[int, None] = field(factory=dict)
@@ -19,9 +19,10 @@
 
 @define(eq=False)
 class PrefixIndex:
-    """An index of prefix blocks, from late and gapped cache events.
+    """An index of prefix blocks by upstream.
 
-    It may be wrong either way; who uses it must bound what it is worth.
+    It is built from cache events that may be late or lost, so it may hold blocks
+    that are gone and lack others. Users must bound the weight that they give it.
     """
 
     _views: dict[UpstreamId, CacheView] = field(factory=dict)
@@ -30,7 +31,7 @@
     )
 
     def apply(self, upstream: UpstreamId, changes: tuple[CacheChange, ...]) -> None:
-        """Take cache events; a gap in the sequence drops all that was known."""
+        """Apply cache events; a gap in their sequence drops all known blocks."""
         for change in changes:
             view = self._views.setdefault(upstream, CacheView())
             if view.sequence is not None and change.sequence <= view.sequence:
@@ -44,14 +45,16 @@
             for block in change.added:
                 self._add(upstream, view, block)
 
-    def expect(self, upstream: UpstreamId, prefix_hashes: tuple[int, ...]) -> None:
-        """Note blocks that a request sent to an upstream will bring there."""
+    def add_expected(
+        self, upstream: UpstreamId, prefix_hashes: tuple[int, ...]
+    ) -> None:
+        """Add the blocks that an upstream will cache for a request sent to it."""
         view = self._views.setdefault(upstream, CacheView())
         for block in prefix_hashes[:PREFIX_MAX_BLOCKS]:
             self._add(upstream, view, block)
 
     def drop(self, upstream: UpstreamId) -> None:
-        """Forget all of one upstream."""
+        """Drop all blocks of one upstream."""
         view = self._views.pop(upstream, None)
         if view is None:
             return
@@ -63,7 +66,7 @@
         return tuple(self._holders.get(block, ()))
 
     def count_cached(self, upstream: UpstreamId, prefix_hashes: tuple[int, ...]) -> int:
-        """Return how many leading blocks an upstream holds."""
+        """Return the number of leading blocks that an upstream holds."""
         view = self._views.get(upstream)
         if view is None:
             return 0
--- a/mangoway/policy/dispatch/pools.py
+++ b/mangoway/policy/dispatch/random_sets.py
@@ -1,4 +1,4 @@
-"""Sets that can be drawn from at random."""
+"""Sets with random sampling."""
 
 from random import Random
 from typing import Generic, TypeVar
@@ -9,20 +9,20 @@
 
 
 @define(eq=False)
-class Pool(Generic[ItemT]):
-    """A set with constant-time change and random choice, in a stable order."""
+class RandomSet(Generic[ItemT]):
+    """A set with updates and random sampling in constant time, in a stable order."""
 
     items: list[ItemT] = field(factory=list)
     _places: dict[ItemT, int] = field(factory=dict)
 
     def add(self, item: ItemT) -> None:
-        """Add an item once."""
+        """Add an item if it is missing."""
         if item not in self._places:
             self._places[item] = len(self.items)
             self.items.append(item)
 
     def discard(self, item: ItemT) -> None:
-        """Remove an item if it is there."""
+        """Remove an item if it is present."""
         place = self._places.pop(item, None)
         if place is None:
             return
@@ -31,8 +31,8 @@
             self.items[place] = last
             self._places[last] = place
 
-    def draw(self, count: int, rng: Random) -> list[ItemT]:
-        """Return up to `count` different items at random."""
+    def sample(self, count: int, rng: Random) -> list[ItemT]:
+        """Return up to `count` distinct random items."""
         size = len(self.items)
         if size <= count:
             return list(self.items)
--- a/mangoway/policy/dispatch/recheck.py
+++ b/mangoway/policy/dispatch/recheck.py
@@ -1,11 +1,11 @@
-"""Requests that wait, checked again as time passes."""
+"""Periodic checks of waiting requests."""
 
 from attrs import define
 
 from ...models.artifact import Artifact
 from ...models.errors import ErrorCode
 from .admission import Admission
-from .const import DURATION_OPTIMISM
+from .const import MIN_DURATION_SHARE
 from .context import Context
 from .entries import Entry
 from .queues import TargetQueue
@@ -15,10 +15,10 @@
 
 @define(eq=False)
 class Recheck:
-    """Ends waiting requests as soon as they can't be met any more.
+    """Refuses waiting requests early if they can no longer meet their deadlines.
 
-    Only clear cases end early; the rest ends at its latest start. One pass costs as
-    much as there are requests waiting, and is made once a period.
+    Only clear cases are refused early; the others expire at their latest start. The
+    cost of a check, made once per period, grows with the number of waiting requests.
     """
 
     context: Context
@@ -38,30 +38,30 @@
         wait = 0.0
         code = ErrorCode.NO_UPSTREAM
         if isinstance(queue.target, Artifact):
-            wait = self.context.estimates.find_load_s(queue.target, now)
+            wait = self.context.estimates.estimate_load_s(queue.target, now)
             code = ErrorCode.MODEL_LOADING
         for entry in queue.list_entries():
-            late = now + wait * DURATION_OPTIMISM > entry.latest_start
+            late = now + wait * MIN_DURATION_SHARE > entry.latest_start
             if late or code is ErrorCode.NO_UPSTREAM:
-                self.scheduler.give_up(entry, code, wait)
+                self.scheduler.refuse_early(entry, code, wait)
 
     def _check_wait(self, queue: TargetQueue) -> None:
         now = self.context.now
         unreachable: list[tuple[Entry, float]] = []
-        rate = self.admission.find_settled_rate(queue, now)
+        rate = self.admission.measure_drain_rate(queue, now)
         if rate is not None:
             for entry, ahead in queue.urgent.list_positions():
                 self._collect(unreachable, entry, ahead / rate)
-        rate = self.admission.find_capacity_rate(queue.target, now)
+        rate = self.admission.estimate_capacity_rate(queue.target, now)
         if rate is not None:
             urgent = queue.urgent.length
             for entry, ahead in queue.patient.list_positions():
                 self._collect(unreachable, entry, (urgent + ahead) / rate)
         for entry, wait in unreachable:
-            self.scheduler.give_up(entry, ErrorCode.DEADLINE_UNREACHABLE, wait)
+            self.scheduler.refuse_early(entry, ErrorCode.DEADLINE_UNREACHABLE, wait)
 
     def _collect(
         self, unreachable: list[tuple[Entry, float]], entry: Entry, wait: float
     ) -> None:
-        if self.context.now + wait * DURATION_OPTIMISM > entry.latest_start:
+        if self.context.now + wait * MIN_DURATION_SHARE > entry.latest_start:
             unreachable.append((entry, wait))
--- a/mangoway/policy/dispatch/requests.py
+++ b/mangoway/policy/dispatch/requests.py
@@ -1,4 +1,4 @@
-"""Requests in progress, and how each of them ends once."""
+"""Requests in progress, each of which ends exactly once."""
 
 from attrs import define, field
 
@@ -8,12 +8,12 @@
 from ...models.verdict import Verdict
 from .actions import DeleteAnswer, FinishRequest, JoinRequest, Refuse
 from .attempts import Attempts
-from .const import REASON_CARRIED_ON
+from .const import REASON_CONTINUED_DETACHED
 from .context import Context
 from .entries import Entry, EntryState
-from .held_keys import HeldKey
 from .keys import KeyTable
 from .timers import Timer
+from .tracked_keys import TrackedKey
 
 
 @define(eq=False)
@@ -27,7 +27,7 @@
 
 @define(eq=False)
 class Requests:
-    """All requests that have not ended."""
+    """Table of all requests that have not ended."""
 
     context: Context
     attempts: Attempts
@@ -41,48 +41,48 @@
         return request_id in self.entries or request_id in self._followers
 
     def add(self, entry: Entry) -> None:
-        """Take a request in."""
+        """Add an admitted request."""
         self.entries[entry.request.id] = entry
 
     def refuse_arrival(self, request: Request, failure: Failure) -> None:
-        """Refuse a request that was not taken in."""
+        """Refuse a request that was not added."""
         self.context.explain_failure(request.id, failure)
         self.context.emit(Refuse(request_id=request.id, failure=failure))
 
     def finish(self, entry: Entry) -> None:
-        """End a request whose answer is whole."""
-        held = entry.held
-        if held is not None:
-            self.keys.finish(held)
-            self._schedule_drop(held)
+        """End a request whose answer is complete."""
+        tracked = entry.tracked_key
+        if tracked is not None:
+            self.keys.finish(tracked)
+            self._schedule_drop(tracked)
         request_id = entry.request.id
         self.context.emit(
-            FinishRequest(request_id=request_id, keep_answer=held is not None)
+            FinishRequest(request_id=request_id, keep_answer=tracked is not None)
         )
         self._end(entry)
 
     def refuse(self, entry: Entry, failure: Failure) -> None:
-        """End a request with a failure; its verdict covers all its attempts."""
+        """End a request with a failure, whose verdict is merged over all attempts."""
         verdict = failure.verdict.merge(entry.verdict)
         if entry.attempt is not None:
             verdict = verdict.merge(Verdict.MAY_HAVE_RUN)
             self.attempts.abandon(entry.attempt)
             entry.attempt = None
-        whole = Failure(
+        merged = Failure(
             code=failure.code,
             verdict=verdict,
             detail=failure.detail,
             retry_after=failure.retry_after,
         )
-        if entry.held is not None:
-            self.keys.fail(entry.held, whole)
-            self._schedule_drop(entry.held)
-        self.context.explain_failure(entry.request.id, whole)
-        self.context.emit(Refuse(request_id=entry.request.id, failure=whole))
+        if entry.tracked_key is not None:
+            self.keys.fail(entry.tracked_key, merged)
+            self._schedule_drop(entry.tracked_key)
+        self.context.explain_failure(entry.request.id, merged)
+        self.context.emit(Refuse(request_id=entry.request.id, failure=merged))
         self._end(entry)
 
     def join(self, request: Request, leader: RequestId) -> None:
-        """Let a resubmission wait for a request in progress."""
+        """Add a resubmission that shares the answer of a request in progress."""
         self.context.emit(JoinRequest(request_id=request.id, leader_id=leader))
         timer = self.context.timers.schedule(
             request.deadline, lambda: self._expire_follower(request.id)
@@ -93,8 +93,8 @@
     def cancel(self, request_id: RequestId) -> None:
         """End a request whose caller hung up.
 
-        A request with a key goes on while it runs or others wait for it: its answer
-        is kept for a resubmission.
+        A request with a key that is running, or that others have joined, continues:
+        its answer is kept for resubmissions.
         """
         if request_id in self._followers:
             self._refuse_follower(request_id, ErrorCode.CANCELLED)
@@ -103,19 +103,19 @@
         if entry is None:
             return
         running = entry.attempt is not None or entry.verdict is not Verdict.NOT_RUN
-        if entry.held is not None and (running or self._joined.get(request_id)):
+        if entry.tracked_key is not None and (running or self._joined.get(request_id)):
             entry.detached = True
-            self.context.explain(request_id, REASON_CARRIED_ON)
+            self.context.explain(request_id, REASON_CONTINUED_DETACHED)
             return
-        detail = "the caller hung up"
+        detail = "the caller closed the connection"
         verdict = Verdict.NOT_RUN
         failure = Failure(code=ErrorCode.CANCELLED, verdict=verdict, detail=detail)
         self.refuse(entry, failure)
 
-    def schedule_drops(self, records: list[HeldKey]) -> None:
-        """Drop records in their time."""
-        for held in records:
-            self._schedule_drop(held)
+    def schedule_drops(self, records: list[TrackedKey]) -> None:
+        """Schedule the removal of key records."""
+        for tracked in records:
+            self._schedule_drop(tracked)
 
     def _end(self, entry: Entry) -> None:
         if entry.state is EntryState.QUEUED:
@@ -137,20 +137,20 @@
         failure = Failure(
             code=code,
             verdict=Verdict.MAY_HAVE_RUN,
-            detail="the request with the same key is still in progress",
+            detail="another request with the same key is still in progress",
         )
         self.refuse_arrival(follower.request, failure)
 
-    def _schedule_drop(self, held: HeldKey) -> None:
-        at = max(self.context.now, self.keys.find_drop_time(held))
-        self.context.timers.schedule(at, lambda: self._drop(held))
+    def _schedule_drop(self, tracked: TrackedKey) -> None:
+        at = max(self.context.now, self.keys.compute_drop_time(tracked))
+        self.context.timers.schedule(at, lambda: self._drop(tracked))
 
-    def _drop(self, held: HeldKey) -> None:
-        if held.leader is not None or not self.keys.holds(held):
+    def _drop(self, tracked: TrackedKey) -> None:
+        if tracked.leader is not None or not self.keys.contains(tracked):
             return
-        if self.keys.find_drop_time(held) > self.context.now:
-            self._schedule_drop(held)
+        if self.keys.compute_drop_time(tracked) > self.context.now:
+            self._schedule_drop(tracked)
             return
-        self.keys.drop(held)
-        if held.answer_id is not None:
-            self.context.emit(DeleteAnswer(answer_id=held.answer_id))
+        self.keys.drop(tracked)
+        if tracked.answer_id is not None:
+            self.context.emit(DeleteAnswer(answer_id=tracked.answer_id))
--- a/mangoway/policy/dispatch/retries.py
+++ b/mangoway/policy/dispatch/retries.py
@@ -1,4 +1,4 @@
-"""When a failed attempt is tried again."""
+"""Decisions about retries of failed attempts."""
 
 from attrs import define
 
@@ -9,8 +9,8 @@
     RETRY_BACKOFF_S,
     RETRY_MAX_ATTEMPTS,
     RETRY_MAX_TOKENS,
-    RETRY_PER_SECOND,
     RETRY_RATIO,
+    RETRY_TOKENS_PER_SECOND,
 )
 from .entries import Entry
 
@@ -22,23 +22,23 @@
         ErrorCode.CANCELLED,
     }
 )
-"""Failures that another upstream would answer in the same way."""
+"""Failures caused by the request, which would occur at every upstream."""
 
 
 @define(eq=False)
 class RetryBudget:
-    """Retries in proportion to first attempts, so that a brown-out isn't doubled."""
+    """Limit of retries relative to first attempts, to avoid retry storms."""
 
     updated_at: float = 0.0
     tokens: float = RETRY_MAX_TOKENS
 
-    def earn(self) -> None:
-        """Count a first attempt."""
+    def deposit(self) -> None:
+        """Add the retry share of a first attempt."""
         self.tokens = min(RETRY_MAX_TOKENS, self.tokens + RETRY_RATIO)
 
-    def take(self, now: float) -> bool:
-        """Take a retry; False if the budget is spent."""
-        earned = (now - self.updated_at) * RETRY_PER_SECOND
+    def try_acquire(self, now: float) -> bool:
+        """Withdraw one retry; return False if the budget is exhausted."""
+        earned = (now - self.updated_at) * RETRY_TOKENS_PER_SECOND
         self.tokens = min(RETRY_MAX_TOKENS, self.tokens + max(0.0, earned))
         self.updated_at = max(now, self.updated_at)
         if self.tokens < 1.0:
@@ -48,7 +48,7 @@
 
 
 def find_retry_obstacle(entry: Entry, verdict: Verdict, failure: Failure) -> str | None:
-    """Return why a failed attempt must not be repeated; None if it may be."""
+    """Return why a failed attempt must not be retried; None if it may be."""
     if verdict is not Verdict.NOT_RUN and not entry.request.idempotent:
         return "may_have_run"
     if failure.code in FAULTS_OF_REQUEST:
--- a/mangoway/policy/dispatch/scheduler.py
+++ b/mangoway/policy/dispatch/scheduler.py
@@ -1,4 +1,4 @@
-"""When and where requests start, wait and start again."""
+"""Starting, queueing and retrying of requests."""
 
 from attrs import define
 
@@ -10,7 +10,7 @@
 from .const import (
     CRITICAL_MIN_SLACK_S,
     CRITICAL_SLACK_SHARE,
-    DELAYED_MAX,
+    DELAYED_RETRIES_MAX,
     PREEMPTIONS_MAX,
     REASON_EVICTED,
     REASON_NOT_RETRIED_PREFIX,
@@ -28,7 +28,7 @@
 
 @define(eq=False)
 class Scheduler:
-    """Starts requests at once where there is room, else queues them."""
+    """Starts requests at upstreams with room and queues the others."""
 
     context: Context
     attempts: Attempts
@@ -39,15 +39,15 @@
     _delayed: int = 0
 
     def update_times(self, entry: Entry) -> None:
-        """Set the times that follow from an entry's deadlines."""
-        latest = self.context.estimates.find_latest_start(entry, self.context.now)
+        """Update the latest start and the critical time of an entry."""
+        latest = self.context.estimates.estimate_latest_start(entry, self.context.now)
         entry.latest_start = latest
         horizon = entry.request.deadline - entry.request.arrived_at
         slack = max(CRITICAL_MIN_SLACK_S, horizon * CRITICAL_SLACK_SHARE)
         entry.critical_at = latest - slack
 
     def submit(self, entry: Entry) -> None:
-        """Start a request, or queue it; a late one is refused."""
+        """Start, queue or refuse a request."""
         self.update_times(entry)
         if entry.latest_start < self.context.now:
             self._refuse_late(entry)
@@ -58,14 +58,14 @@
             return
         self._enqueue(entry)
 
-    def pump(self, upstream: Upstream) -> None:
-        """Start waiting requests at an upstream while it has room."""
-        while upstream.indexed_open:
+    def start_waiting(self, upstream: Upstream) -> None:
+        """Start waiting requests at an upstream until it has no room."""
+        while upstream.indexed_available:
             entry = self.context.queues.pop(upstream, self.context.now)
             if entry is None:
                 return
             entry.state = EntryState.DELAYED
-            # A process that was paused must not start what is too late by now.
+            # While the process was paused, the latest start may have passed.
             self.update_times(entry)
             if entry.latest_start < self.context.now:
                 self._refuse_late(entry)
@@ -73,13 +73,13 @@
             self._start(entry, upstream)
 
     def retry(self, entry: Entry, upstream: Upstream, failure: Failure) -> None:
-        """Try a request again after a failure, or end it with the failure."""
-        entry.tried.add(upstream.id)
+        """Retry a request after a failure, or refuse it with the failure."""
+        entry.tried_upstreams.add(upstream.id)
         obstacle = find_retry_obstacle(entry, failure.verdict, failure)
-        if obstacle is None and self._delayed >= DELAYED_MAX:
+        if obstacle is None and self._delayed >= DELAYED_RETRIES_MAX:
             obstacle = "too_many_retries"
-        delay = self._find_delay(entry, failure)
-        latest = self.context.estimates.find_latest_start(entry, self.context.now)
+        delay = self._compute_delay(entry, failure)
+        latest = self.context.estimates.estimate_latest_start(entry, self.context.now)
         if obstacle is None and self.context.now + delay > latest:
             obstacle = "deadline"
         if obstacle is not None:
@@ -91,50 +91,50 @@
         self.context.explain(entry.request.id, REASON_RETRIED, upstream.id, detail)
         self._delay(entry, delay)
 
-    def resume_later(self, entry: Entry) -> None:
-        """Queue a request that was cancelled for urgent work."""
+    def requeue_preempted(self, entry: Entry) -> None:
+        """Queue a request again that was preempted by an urgent one."""
         entry.verdict = entry.verdict.merge(Verdict.MAY_HAVE_RUN)
         self.update_times(entry)
         self._enqueue(entry)
 
     def expire(self, entry: Entry) -> None:
-        """End a request that can't be met any more."""
+        """Refuse a request that can no longer meet its deadline, or check it later."""
         now = self.context.now
         if entry.state is EntryState.RUNNING or now >= entry.request.deadline:
             self._refuse_late(entry)
             return
-        latest = self.context.estimates.find_latest_start(entry, self.context.now)
+        latest = self.context.estimates.estimate_latest_start(entry, self.context.now)
         if latest > now:
             self.set_timer(entry, latest)
             return
         self._refuse_late(entry)
 
-    def give_up(self, entry: Entry, code: ErrorCode, wait: float) -> None:
-        """End a waiting request that can't be met, before its time has run out."""
+    def refuse_early(self, entry: Entry, code: ErrorCode, wait: float) -> None:
+        """Refuse a waiting request before its latest start has passed."""
         failure = Failure(
             code=code,
             verdict=Verdict.NOT_RUN,
-            detail=f"the wait is about {wait:.1f} s",
+            detail=f"the estimated wait is {wait:.1f} s",
             retry_after=self.admission.compute_retry_after(wait),
         )
         self.context.demand.count_refusal(entry.request)
         self.requests.refuse(entry, failure)
 
     def set_timer(self, entry: Entry, at: float) -> None:
-        """Check an entry again at a time."""
+        """Schedule the next call of `expire` for an entry."""
         self.context.timers.cancel(entry.timer)
         entry.timer = self.context.timers.schedule(at, lambda: self.expire(entry))
 
     def _start(self, entry: Entry, upstream: Upstream) -> None:
         if not entry.attempts:
-            self.budget.earn()
+            self.budget.deposit()
         now = self.context.now
         self.context.estimates.get(entry.request.target).starts.add(now)
         self.set_timer(entry, entry.request.deadline)
         self.attempts.start(entry, upstream)
         if self.context.options.prefix_affinity and entry.request.prefix_hashes:
             hashes = entry.request.prefix_hashes
-            self.context.fleet.prefixes.expect(upstream.id, hashes)
+            self.context.fleet.prefixes.add_expected(upstream.id, hashes)
 
     def _enqueue(self, entry: Entry) -> None:
         queues = self.context.queues
@@ -156,14 +156,14 @@
         self.context.timers.cancel(entry.timer)
         self._delayed += 1
         at = self.context.now + delay
-        self.context.timers.schedule(at, lambda: self._return_delayed(entry))
+        self.context.timers.schedule(at, lambda: self._submit_delayed(entry))
 
-    def _return_delayed(self, entry: Entry) -> None:
+    def _submit_delayed(self, entry: Entry) -> None:
         self._delayed -= 1
         if entry.state is not EntryState.DELAYED:
             return
         if self.context.options.retry_budget and not entry.free_retry:
-            if not self.budget.take(self.context.now):
+            if not self.budget.try_acquire(self.context.now):
                 self._wait_for_budget(entry)
                 return
         entry.free_retry = False
@@ -176,7 +176,7 @@
             return
         self._delay(entry, delay)
 
-    def _find_delay(self, entry: Entry, failure: Failure) -> float:
+    def _compute_delay(self, entry: Entry, failure: Failure) -> float:
         entry.free_retry = failure.code is ErrorCode.LEAVING
         if entry.free_retry:
             return 0.0
@@ -200,11 +200,15 @@
         code = ErrorCode.DEADLINE_UNREACHABLE
         if exceeded:
             code = ErrorCode.DEADLINE_EXCEEDED
-        wait = 0.0 if running else self.admission.find_wait_s(entry, self.context.now)
+        wait = (
+            0.0 if running else self.admission.estimate_wait_s(entry, self.context.now)
+        )
         failure = Failure(
             code=code,
             verdict=Verdict.NOT_RUN,
-            detail="the deadline passed" if exceeded else "the deadline is too near",
+            detail=(
+                "the deadline passed" if exceeded else "the deadline cannot be met"
+            ),
             retry_after=self.admission.compute_retry_after(wait),
         )
         if not running:
@@ -212,10 +216,10 @@
         self.requests.refuse(entry, failure)
 
     def _refuse_overload(self, entry: Entry) -> None:
-        wait = self.admission.find_wait_s(entry, self.context.now)
+        wait = self.admission.estimate_wait_s(entry, self.context.now)
         if entry.state is EntryState.QUEUED:
             self.context.explain(entry.request.id, REASON_EVICTED)
-        self.give_up(entry, ErrorCode.OVERLOADED, wait)
+        self.refuse_early(entry, ErrorCode.OVERLOADED, wait)
 
     def _preempt_for(self, entry: Entry) -> None:
         queue = self.context.queues.find(entry.request.target)
@@ -224,7 +228,7 @@
         resource = find_resource(entry.request.target)
         count = self.context.options.candidates
         rng = self.context.rng
-        for upstream in self.context.fleet.draw_ready(resource, count, rng):
+        for upstream in self.context.fleet.sample_ready(resource, count, rng):
             running = list(upstream.attempts.values())
             pending = sum(attempt.preempting for attempt in running)
             if pending >= queue.urgent.length:
--- a/mangoway/policy/dispatch/status.py
+++ b/mangoway/policy/dispatch/status.py
@@ -1,4 +1,4 @@
-"""A snapshot of the dispatch core for operators."""
+"""Snapshot of the dispatch core for operators."""
 
 from attrs import frozen
 
@@ -19,7 +19,7 @@
 
 @frozen(kw_only=True)
 class UpstreamStatus:
-    """One upstream as this gateway sees it."""
+    """State of one upstream in this gateway."""
 
     upstream_id: UpstreamId
     in_flight: int
@@ -32,12 +32,12 @@
 
 @frozen(kw_only=True)
 class DispatchStatus:
-    """Queues, upstreams and keys at one moment."""
+    """Snapshot of the queues, upstreams and keys."""
 
     queues: tuple[QueueStatus, ...]
     upstreams: tuple[UpstreamStatus, ...]
     requests: int
-    """Requests in progress, waiting ones included."""
+    """Number of requests in progress, including waiting ones."""
 
     attempts: int
     key_records: int
@@ -45,7 +45,7 @@
 
 
 def describe_dispatch(core: DispatchCore) -> DispatchStatus:
-    """Return a snapshot; it costs as much as there are upstreams and queues."""
+    """Return a snapshot; its cost grows with the number of upstreams and queues."""
     fleet = core.context.fleet
     queues = tuple(
         QueueStatus(
@@ -59,7 +59,7 @@
         UpstreamStatus(
             upstream_id=upstream.id,
             in_flight=upstream.in_flight,
-            window=upstream.window.compute(fleet.gateways),
+            window=upstream.window.compute(fleet.gateway_count),
             breaker=upstream.breaker.state,
             leaving=upstream.leaving
             or (upstream.address is not None and upstream.address.leaving),
--- a/mangoway/policy/dispatch/timers.py
+++ b/mangoway/policy/dispatch/timers.py
@@ -1,4 +1,4 @@
-"""Timers in the time that the core is given."""
+"""Timers on the clock of the core."""
 
 import heapq
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 @define(eq=False)
 class Timer:
-    """A scheduled call; cancelled by `Timers.cancel`."""
+    """A scheduled callback; cancelled by `Timers.cancel`."""
 
     at: float
     callback: TimerCallback | None
@@ -18,21 +18,21 @@
 
 @define(eq=False)
 class Timers:
-    """A heap of timers that drops cancelled ones before they outnumber the rest."""
+    """A heap of timers that drops cancelled ones before they are the majority."""
 
     _heap: list[tuple[float, int, Timer]] = field(factory=list)
     _sequence: int = 0
     _cancelled: int = 0
 
     def schedule(self, at: float, callback: TimerCallback) -> Timer:
-        """Call back in the first `run_due` at or after `at`."""
+        """Schedule a callback for the first `run_due` at or after `at`."""
         timer = Timer(at, callback)
         self._sequence += 1
         heapq.heappush(self._heap, (at, self._sequence, timer))
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancel a timer; one that ran or was cancelled is left alone."""
+        """Cancel a timer, unless it ran or was cancelled before."""
         if timer is None or timer.callback is None:
             return
         timer.callback = None
@@ -41,7 +41,7 @@
             self._compact()
 
     def run_due(self, now: float) -> None:
-        """Run all timers that are due, in order."""
+        """Run all due timers in order."""
         while self._heap and self._heap[0][0] <= now:
             _, _, timer = heapq.heappop(self._heap)
             callback = timer.callback
@@ -52,7 +52,7 @@
             callback()
 
     def find_next(self) -> float | None:
-        """Return when the next timer is due; None if there is none."""
+        """Return the time of the next timer; None if there is none."""
         while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
             self._cancelled -= 1
--- a/mangoway/policy/dispatch/held_keys.py
+++ b/mangoway/policy/dispatch/tracked_keys.py
@@ -9,27 +9,27 @@
 
 
 class KeyState(Enum):
-    """What happened to a key so far."""
+    """State of an idempotency key."""
 
     OPEN = "open"
-    """A request with it is in progress, or its claim is on its way."""
+    """A request with the key is in progress, or its claim is."""
 
     FREE = "free"
-    """It was claimed, but certainly nothing ran; it may run again."""
+    """The key is claimed, but its request certainly did not run and may run again."""
 
     DONE = "done"
     FAILED = "failed"
 
 
 @define(eq=False)
-class HeldKey:
-    """The record of one key."""
+class TrackedKey:
+    """The record of one idempotency key in this process."""
 
     caller: CallerId
     key: IdempotencyKey
     fingerprint: int
     issued_at: float
-    """Time on the core's clock from which the retention counts."""
+    """Time on the core's clock at which the retention begins."""
 
     homed: bool
     state: KeyState = KeyState.OPEN
@@ -37,10 +37,10 @@
     """Whether this process holds the claim of a plain key."""
 
     claiming: int = 0
-    """Claims on their way."""
+    """Number of claims in progress."""
 
     leader: RequestId | None = None
-    """Request in progress with it."""
+    """Request with the key that is in progress."""
 
     answer_id: RequestId | None = None
     failure: Failure | None = None
--- a/mangoway/policy/dispatch/sickness.py
+++ b/mangoway/policy/dispatch/upstream_health.py
@@ -1,4 +1,4 @@
-"""What the outcomes of attempts say about upstreams."""
+"""Health of upstreams, derived from the outcomes of attempts."""
 
 from attrs import define
 
@@ -11,61 +11,62 @@
 from .scheduler import Scheduler
 from .upstreams import Upstream, find_resource
 
-SICK = frozenset(
+UNHEALTHY_CODES = frozenset(
     {ErrorCode.UPSTREAM_FAILED, ErrorCode.UPSTREAM_SILENT, ErrorCode.INTERNAL}
 )
-"""Failures that count against an upstream's health."""
+"""Error codes that count as failures of the upstream."""
 
-ABSENT = frozenset(
+MISSING_ARTIFACT_CODES = frozenset(
     {ErrorCode.MODEL_LOADING, ErrorCode.NOT_FOUND, ErrorCode.UNKNOWN_MODEL}
 )
-"""Failures by which an engine says that it doesn't have an artifact."""
+"""Error codes with which an engine reports that it does not have an artifact."""
 
 
 @define(eq=False)
-class Sickness:
-    """Drives windows and breakers of upstreams."""
+class UpstreamHealth:
+    """Updates the windows and circuit breakers of upstreams."""
 
     context: Context
     scheduler: Scheduler
 
     def record_success(self, upstream: Upstream) -> None:
-        """Take a whole answer."""
+        """Record a complete answer."""
         upstream.window.increase()
-        self._note_answer(upstream)
+        self._record_response(upstream)
 
-    def _note_answer(self, upstream: Upstream) -> None:
+    def _record_response(self, upstream: Upstream) -> None:
         was_closed = upstream.breaker.state is BreakerState.CLOSED
         upstream.breaker.record_success()
         if was_closed:
             self.context.fleet.refresh(upstream)
         else:
-            self.context.fleet.note_breaker(upstream)
+            self.context.fleet.update_breaker(upstream)
             self.context.emit(LogBreakerChange(upstream_id=upstream.id, failures=0))
 
     def record_failure(
         self, upstream: Upstream, attempt: Attempt, failure: Failure
     ) -> None:
-        """Take a failure."""
+        """Record a failure."""
         if failure.code is ErrorCode.UPSTREAM_BUSY:
             upstream.window.decrease()
-            self._note_refusal(upstream, attempt)
+            self._record_refusal(upstream, attempt)
         elif failure.code is ErrorCode.LEAVING:
             self.context.fleet.mark_leaving(upstream.id)
-        elif failure.code in ABSENT and attempt.entry is not None:
+        elif failure.code in MISSING_ARTIFACT_CODES and attempt.entry is not None:
             resource = find_resource(attempt.entry.request.target)
-            self.context.fleet.deny(upstream, resource, self.context.now)
-        elif failure.code in SICK and self.context.options.breakers:
+            self.context.fleet.mark_missing(upstream, resource, self.context.now)
+        elif failure.code in UNHEALTHY_CODES and self.context.options.breakers:
             self._count_failure(upstream, attempt)
 
-    def _note_refusal(self, upstream: Upstream, attempt: Attempt) -> None:
-        """Take it that an upstream was busy.
+    def _record_refusal(self, upstream: Upstream, attempt: Attempt) -> None:
+        """Record that an upstream refused an attempt as busy.
 
-        An engine's reports say how busy it is, and whether it leaves. A host of a
-        service that refuses everything looks idle, so it would be chosen the most.
+        An engine reports its load and whether it is leaving, so its breaker closes.
+        A host of a plain service sends no reports: if it refuses everything, it
+        looks idle and would be chosen most often, so a refusal counts as a failure.
         """
-        if upstream.kind is None:
-            self._note_answer(upstream)
+        if upstream.service is None:
+            self._record_response(upstream)
         elif self.context.options.breakers:
             self._count_failure(upstream, attempt)
 
@@ -76,7 +77,7 @@
         if not probing and not self.context.fleet.may_trip(upstream):
             return
         open_s = upstream.breaker.trip()
-        self.context.fleet.note_breaker(upstream)
+        self.context.fleet.update_breaker(upstream)
         self.context.explain(attempt.request_id, REASON_BREAKER_TRIPPED, upstream.id)
         failures = upstream.breaker.failures
         self.context.emit(LogBreakerChange(upstream_id=upstream.id, failures=failures))
@@ -88,5 +89,5 @@
         if upstream.breaker is not breaker:
             return
         upstream.breaker.probe()
-        self.context.fleet.note_breaker(upstream)
-        self.scheduler.pump(upstream)
+        self.context.fleet.update_breaker(upstream)
+        self.scheduler.start_waiting(upstream)
--- a/mangoway/policy/dispatch/upstreams.py
+++ b/mangoway/policy/dispatch/upstreams.py
@@ -1,4 +1,4 @@
-"""What is known of one upstream."""
+"""State of one upstream."""
 
 import math
 
@@ -10,57 +10,57 @@
 from ...models.upstream import EngineDescription, UpstreamAddress
 from .breakers import Breaker, BreakerState
 from .const import (
-    PATIENT_MAX_LOAD,
+    PATIENT_LOAD_MAX,
+    RECENT_WORK_HALF_LIFE_S,
+    RECENT_WORK_TARGETS_MAX,
     REPORT_STALE_S,
     SERVICE_MAX_RUNNING,
-    USE_HALF_TIME_S,
-    USES_MAX,
 )
 from .entries import Attempt
 from .windows import Window
 
 Resource = Artifact | ServiceName
-"""What upstreams are looked up by: an artifact, or a plain service."""
+"""Lookup key of upstreams: an artifact or a plain service."""
 
 
 def find_resource(target: Target) -> Resource:
-    """Return what an upstream must have to serve a target."""
+    """Return the resource that an upstream must have to serve a target."""
     if isinstance(target, Artifact):
         return target
     return target.service
 
 
 @define(eq=False)
-class Use:
-    """Work done, older work counting less."""
+class RecentWork:
+    """Work of one target, with exponential decay."""
 
     value: float
     updated_at: float
 
     def get(self, now: float) -> float:
-        """Return the work as it counts now."""
+        """Return the decayed work."""
         age = max(0.0, now - self.updated_at)
-        return self.value * math.exp2(-age / USE_HALF_TIME_S)
+        return self.value * math.exp2(-age / RECENT_WORK_HALF_LIFE_S)
 
 
 @define(eq=False)
 class Upstream:
-    """An engine or one host of a plain service, as this gateway sees it."""
+    """State of an engine or of one host of a plain service in this gateway."""
 
     id: UpstreamId
     address: UpstreamAddress | None = None
-    """None while no list has named it; it gets no work then."""
+    """None while the upstream is not listed; it gets no work then."""
 
     incarnation: IncarnationId | None = None
     description: EngineDescription | None = None
-    retired: list[IncarnationId] = field(factory=list)
-    """Earlier incarnations; what still arrives of them is dropped."""
+    earlier_incarnations: list[IncarnationId] = field(factory=list)
+    """Earlier incarnations, whose late messages are ignored."""
 
     leaving: bool = False
     ready: dict[Resource, None] = field(factory=dict)
     loading: dict[Artifact, None] = field(factory=dict)
-    denied: dict[Resource, float] = field(factory=dict)
-    """Artifacts that it said not to have, against its last report, and when."""
+    missing: dict[Resource, float] = field(factory=dict)
+    """Artifacts that it refused as missing since its last report, with the time."""
 
     reported_at: float | None = None
     others_load: int = 0
@@ -70,60 +70,64 @@
     window: Window = field(factory=lambda: Window(size=SERVICE_MAX_RUNNING))
     breaker: Breaker = field(factory=Breaker)
     indexed_ready: bool = False
-    indexed_open: bool = False
-    """Whether the fleet's indexes show it as ready, and as having room."""
+    indexed_available: bool = False
+    """Whether the indexes of the fleet list it as ready, and as having room."""
 
-    reserve_credit: float = 0.0
-    """Starts that critical patient work has earned here."""
+    reserved_starts: float = 0.0
+    """Accumulated starts reserved for critical patient requests."""
 
-    uses: dict[Target, "Use"] = field(factory=dict)
-    """Recent work of targets that had to share the upstream."""
+    recent_work: dict[Target, "RecentWork"] = field(factory=dict)
+    """Recent work of targets that shared the upstream."""
 
     @property
-    def kind(self) -> ServiceName | None:
-        """Return the plain service that it serves; None for an engine."""
+    def service(self) -> ServiceName | None:
+        """Return the plain service of the upstream; None for an engine."""
         return None if self.address is None else self.address.service
 
     @property
-    def takes_work(self) -> bool:
-        """Return whether it is listed and doesn't leave."""
+    def accepts_work(self) -> bool:
+        """Return whether the upstream is listed and not leaving."""
         return not (self.address is None or self.leaving or self.address.leaving)
 
     @property
     def in_flight(self) -> int:
-        """Return the own attempts that have not ended."""
+        """Return the number of this gateway's attempts that have not ended."""
         return len(self.attempts)
 
-    def find_load(self, now: float) -> float:
-        """Return the estimated share of its running slots that are taken."""
+    def estimate_load(self, now: float) -> float:
+        """Return the estimated load as a share of the upstream's running slots."""
         others = float(self.others_load)
         if self.reported_at is not None:
             age = now - self.reported_at
             others *= max(0.0, 1.0 - age / REPORT_STALE_S)
         return (self.in_flight + others) / self.window.size
 
-    def takes_patient(self, now: float) -> bool:
-        """Return whether patient work that has slack may be started."""
-        return self.find_load(now) < PATIENT_MAX_LOAD
+    def has_patient_headroom(self, now: float) -> bool:
+        """Return whether a patient request with slack may be started."""
+        return self.estimate_load(now) < PATIENT_LOAD_MAX
 
-    def has_room(self, gateways: int, windows: bool) -> bool:
+    def has_room(self, gateway_count: int, windows: bool) -> bool:
         """Return whether one more attempt may be started."""
-        if not self.takes_work:
+        if not self.accepts_work:
             return False
         if self.breaker.state is BreakerState.OPEN:
             return False
         if self.breaker.state is BreakerState.HALF_OPEN:
             return not self.breaker.probing
-        return not windows or self.in_flight < self.window.compute(gateways)
+        return not windows or self.in_flight < self.window.compute(gateway_count)
 
-    def find_use(self, target: Target, now: float) -> float:
-        """Return the recent work of a target while others waited here."""
-        use = self.uses.get(target)
-        return 0.0 if use is None else use.get(now)
+    def get_recent_work(self, target: Target, now: float) -> float:
+        """Return the recent work of a target on this upstream."""
+        work = self.recent_work.get(target)
+        return 0.0 if work is None else work.get(now)
 
     def charge(self, target: Target, cost: float, now: float) -> None:
-        """Count work of a target while others wait here."""
-        self.uses[target] = Use(self.find_use(target, now) + cost, now)
-        if len(self.uses) > USES_MAX:
-            oldest = min(self.uses, key=lambda item: self.uses[item].updated_at)
-            del self.uses[oldest]
+        """Count work of a target while other targets wait for this upstream."""
+        self.recent_work[target] = RecentWork(
+            self.get_recent_work(target, now) + cost, now
+        )
+        if len(self.recent_work) > RECENT_WORK_TARGETS_MAX:
+            oldest = min(
+                self.recent_work, key=lambda item: self.recent_work[item].updated_at
+            )
+            del self.recent_work[oldest]
--- a/mangoway/policy/dispatch/windows.py
+++ b/mangoway/policy/dispatch/windows.py
@@ -1,4 +1,4 @@
-"""How many requests one gateway may have at an upstream at once."""
+"""Limits of the requests that one gateway has at an upstream at once."""
 
 from attrs import define
 
@@ -9,51 +9,51 @@
 class Window:
     """The window of one gateway on one upstream.
 
-    Every gateway has an even share of what the upstream runs at once. What others
-    left free at the last report may be borrowed, each gateway an even part of it,
-    so that all of them acting on the same old report can't overfill the upstream.
-    A busy upstream shrinks the window; each success lets it grow a little.
+    Every gateway has an even share of the upstream's running slots. It may also
+    borrow an even part of the slots that were free at the last report, so that
+    gateways that act on the same old report can't overload the upstream together.
+    A refusal as busy shrinks the window; each success lets it grow a little.
     """
 
     size: int
-    """Requests that the upstream runs at once."""
+    """Number of requests that the upstream runs at once."""
 
     shared: bool = True
-    """Whether gateways share it; services say nothing of what they can take, so
-    there each gateway finds its own limit."""
+    """Whether gateways share the size; hosts of plain services report no capacity,
+    so each gateway finds its own limit there."""
 
     scale: float = 1.0
     dither: float = 0.0
-    """Drawn in [0, 1) and added before rounding down.
+    """Random value in [0, 1) that is added before rounding down.
 
-    Without it the gateways together would leave up to one slot each unused."""
+    Without it each gateway would leave up to one slot unused."""
 
     reported_own: int = 0
     reported_free: int = 0
-    """Own requests and free slots at the last report."""
+    """Requests of this gateway and free slots at the last report."""
 
-    def compute(self, gateways: int) -> int:
-        """Return the window, at least one request."""
-        share = self.size / gateways if self.shared else float(self.size)
-        borrowed = self.reported_own + self.reported_free / gateways
+    def compute(self, gateway_count: int) -> int:
+        """Return the size of the window, at least 1."""
+        share = self.size / gateway_count if self.shared else float(self.size)
+        borrowed = self.reported_own + self.reported_free / gateway_count
         window = min(float(self.size), max(share, borrowed)) * self.scale
         return max(1, int(window + self.dither))
 
-    def follow_report(self, load: int, own: int) -> None:
-        """Take a load report, `own` requests of which are this gateway's."""
+    def apply_report(self, load: int, own: int) -> None:
+        """Apply a load report, which includes `own` requests of this gateway."""
         self.reported_own = own
         self.reported_free = max(0, self.size - load)
 
-    def forget_report(self) -> None:
-        """Fall back to the even share."""
+    def clear_report(self) -> None:
+        """Discard the last report and fall back to the even share."""
         self.reported_own = 0
         self.reported_free = 0
 
     def decrease(self) -> None:
-        """React to a refusal as busy."""
+        """Shrink the window after a refusal as busy."""
         self.scale = max(WINDOW_MIN_SCALE, self.scale * WINDOW_DECREASE)
 
     def increase(self) -> None:
-        """React to a success."""
+        """Grow the window after a success."""
         if self.scale < 1.0:
             self.scale = min(1.0, self.scale + WINDOW_INCREASE)
--- a/tests/policy/dispatch/builders.py
+++ b/tests/policy/dispatch/builders.py
@@ -1,4 +1,4 @@
-"""Builders of configurations, upstreams and requests for the tests."""
+"""Builders of configurations, upstreams, requests and cores."""
 
 from random import Random
 from typing import Any
@@ -124,7 +124,7 @@
     return EngineReported(report=report)
 
 
-def make_met(
+def make_engine_described(
     name: str, max_running: int = 2, incarnation: str = "1"
 ) -> EngineDescribed:
     description = EngineDescription(
@@ -164,7 +164,7 @@
     configuration: Configuration | None = None,
     artifacts: tuple[Artifact, ...] = (CHAT, DRAFT),
 ) -> DispatchCore:
-    """Return a core at time 0 whose engines hold all artifacts ready."""
+    """Return a core at time 0 whose engines have all artifacts ready."""
     core = DispatchCore(IncarnationId("home"), Random(1), options)
     changed = ConfigurationChanged(configuration=configuration or make_configuration())
     core.handle(changed, 0.0)
@@ -172,7 +172,7 @@
     addresses += [make_host(f"host{number}") for number in range(hosts)]
     core.handle(UpstreamListChanged(upstreams=tuple(addresses)), 0.0)
     for number in range(engines):
-        core.handle(make_met(f"engine{number}", max_running), 0.0)
+        core.handle(make_engine_described(f"engine{number}", max_running), 0.0)
         core.handle(make_report(f"engine{number}", 0.0, artifacts), 0.0)
     return core
 
@@ -181,12 +181,12 @@
     return core.handle(RequestArrived(request=request), at)
 
 
-def pick(actions: list[DispatchAction], kind: type[Any]) -> list[Any]:
+def select(actions: list[DispatchAction], kind: type[Any]) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
 
 
 def start(core: DispatchCore, request: Request, at: float) -> StartAttempt:
-    """Let a request arrive and return its attempt, which must start at once."""
-    (action,) = pick(arrive(core, request, at), StartAttempt)
+    """Submit a request and return its attempt, which must start at once."""
+    (action,) = select(arrive(core, request, at), StartAttempt)
     assert isinstance(action, StartAttempt)
     return action
--- a/tests/policy/dispatch/test_core.py
+++ b/tests/policy/dispatch/test_core.py
@@ -1,4 +1,4 @@
-"""Admission, time and the life of the process."""
+"""Tests of admission, deadlines, the planned stop and the status."""
 
 import pytest
 
@@ -40,20 +40,20 @@
     make_engine,
     make_report,
     make_request,
-    pick,
+    select,
     start,
 )
 
 
 def find_code(actions: list[DispatchAction]) -> ErrorCode:
-    (refusal,) = pick(actions, Refuse)
+    (refusal,) = select(actions, Refuse)
     assert refusal.failure.verdict is Verdict.NOT_RUN
     code: ErrorCode = refusal.failure.code
     return code
 
 
 class TestAdmission:
-    """Refusals before anything runs."""
+    """Requests that are admitted or refused before they run."""
 
     @pytest.mark.parametrize(
         ("target", "code"),
@@ -65,35 +65,35 @@
             ),
         ],
     )
-    def test_unknown_target(self, target: Target, code: ErrorCode) -> None:
+    def test_unknown_target_is_refused(self, target: Target, code: ErrorCode) -> None:
         request = make_request("a", 1.0, target=target)
         assert find_code(arrive(make_core(), request, 1.0)) is code
 
-    def test_caller_over_its_rate_is_told_when_to_come_back(self) -> None:
+    def test_caller_over_its_rate_limit_gets_retry_after(self) -> None:
         offer = CallerOffer(requests_per_second=2.0, burst=1)
         core = make_core(configuration=make_configuration({"office": offer}))
         start(core, make_request("a", 1.0), 1.0)
         actions = arrive(core, make_request("b", 1.1), 1.1)
         assert find_code(actions) is ErrorCode.CALLER_LIMIT
-        assert pick(actions, Refuse)[0].failure.retry_after == pytest.approx(0.4)
+        assert select(actions, Refuse)[0].failure.retry_after == pytest.approx(0.4)
         start(core, make_request("c", 1.6), 1.6)
         stranger = make_request("d", 1.6, caller="stranger")
         assert find_code(arrive(core, stranger, 1.6)) is ErrorCode.UNKNOWN_CALLER
 
-    def test_hopeless_wait_is_refused_at_once(self) -> None:
+    def test_unreachable_deadline_is_refused_at_once(self) -> None:
         core = make_core(engines=1, max_running=1)
         attempt = start(core, make_request("warm", 1.0), 1.0).attempt_id
         core.handle(AttemptSucceeded(attempt_id=attempt), 3.0)
         start(core, make_request("runs", 3.0), 3.0)
-        assert not pick(arrive(core, make_request("b", 3.0), 3.0), Refuse)
+        assert not select(arrive(core, make_request("b", 3.0), 3.0), Refuse)
         for number in range(2):
             arrive(core, make_request(f"w{number}", 3.0), 3.0)
         short = make_request("short", 3.0, within=5.0)
         actions = arrive(core, short, 3.0)
         assert find_code(actions) is ErrorCode.DEADLINE_UNREACHABLE
-        assert pick(actions, Refuse)[0].failure.retry_after >= 0.5
+        assert select(actions, Refuse)[0].failure.retry_after >= 0.5
 
-    def test_urgent_pressure_refuses_no_patient_work_that_capacity_could_do(
+    def test_urgent_load_does_not_refuse_feasible_patient_requests(
         self,
     ) -> None:
         core = make_core(engines=1, max_running=1)
@@ -103,37 +103,39 @@
         for number in range(16):
             at = 3.0 + number
             patient = make_request(f"patient{number}", at, 60.0, urgent=False)
-            assert not pick(arrive(core, patient, at), Refuse)
+            assert not select(arrive(core, patient, at), Refuse)
             arrive(core, make_request(f"urgent{number}", at, 5.0, DRAFT), at)
             actions = core.handle(AttemptSucceeded(attempt_id=attempt), at)
-            assert not pick(actions, Refuse)
-            (started,) = pick(actions, StartAttempt)
+            assert not select(actions, Refuse)
+            (started,) = select(actions, StartAttempt)
             assert started.request_id == f"urgent{number}"
             attempt = started.attempt_id
 
-    def test_no_copy_waits_only_where_a_load_may_finish(self) -> None:
+    def test_request_without_copy_waits_only_if_a_load_may_finish(self) -> None:
         core = make_core(engines=1, artifacts=())
         actions = arrive(core, make_request("a", 1.0), 1.0)
         assert find_code(actions) is ErrorCode.MODEL_LOADING
-        assert pick(actions, Refuse)[0].failure.retry_after >= 20.0
+        assert select(actions, Refuse)[0].failure.retry_after >= 20.0
         arrive(core, make_request("b", 1.0, within=40.0), 1.0)
         core.handle(make_report("engine0", 2.0, state=Residency.LOADING), 2.0)
-        (started,) = pick(core.handle(make_report("engine0", 12.0), 12.0), StartAttempt)
+        (started,) = select(
+            core.handle(make_report("engine0", 12.0), 12.0), StartAttempt
+        )
         assert started.request_id == "b"
 
-    def test_wait_for_a_load_that_begins_nowhere_ends_early(self) -> None:
+    def test_wait_for_a_load_that_never_begins_ends_early(self) -> None:
         core = make_core(engines=1, artifacts=())
         arrive(core, make_request("a", 1.0, within=40.0), 1.0)
-        assert not pick(core.handle(Ticked(), 20.0), Refuse)
+        assert not select(core.handle(Ticked(), 20.0), Refuse)
         actions = core.handle(Ticked(), 28.0)
         assert find_code(actions) is ErrorCode.MODEL_LOADING
 
-    def test_service_without_hosts(self) -> None:
+    def test_service_without_hosts_is_refused(self) -> None:
         core = make_core(hosts=0)
         actions = arrive(core, make_request("a", 1.0, target=CALL), 1.0)
         assert find_code(actions) is ErrorCode.NO_UPSTREAM
 
-    def test_bad_average_does_not_last(self) -> None:
+    def test_too_high_average_decays(self) -> None:
         core = make_core(engines=1)
         attempt = start(core, make_request("a", 1.0, 100.0), 1.0).attempt_id
         core.handle(AttemptSucceeded(attempt_id=attempt), 91.0)
@@ -149,52 +151,52 @@
         core = make_core(engines=1, max_running=1)
         start(core, make_request("a", 1.0, 100.0), 1.0)
         arrive(core, make_request("b", 1.0, 4.0), 1.0)
-        assert not pick(core.handle(Ticked(), 4.9), Refuse)
-        assert pick(core.handle(Ticked(), 5.0), Refuse)[0].request_id == "b"
+        assert not select(core.handle(Ticked(), 4.9), Refuse)
+        assert select(core.handle(Ticked(), 5.0), Refuse)[0].request_id == "b"
 
-    def test_paused_process_starts_nothing_late(self) -> None:
+    def test_paused_process_starts_no_expired_request(self) -> None:
         core = make_core(engines=1, max_running=1)
         attempt = start(core, make_request("a", 1.0, 100.0), 1.0).attempt_id
         arrive(core, make_request("b", 1.0, 4.0), 1.0)
         actions = core.handle(AttemptSucceeded(attempt_id=attempt), 50.0)
-        assert not pick(actions, StartAttempt)
-        assert pick(actions, Refuse)[0].request_id == "b"
+        assert not select(actions, StartAttempt)
+        assert select(actions, Refuse)[0].request_id == "b"
 
-    def test_deadline_is_judged_again_before_a_start(self) -> None:
+    def test_deadline_is_checked_again_before_a_start(self) -> None:
         core = make_core(engines=1, max_running=1)
         attempt = start(core, make_request("a", 1.0, 100.0), 1.0).attempt_id
         arrive(core, make_request("b", 1.0, 100.0), 1.0)
         actions = core.handle(AttemptSucceeded(attempt_id=attempt), 91.0)
-        assert not pick(actions, StartAttempt)
+        assert not select(actions, StartAttempt)
         assert find_code(actions) is ErrorCode.DEADLINE_UNREACHABLE
 
     def test_running_request_ends_at_its_deadline(self) -> None:
         core = make_core()
         attempt = start(core, make_request("a", 1.0, 4.0), 1.0).attempt_id
         actions = core.handle(Ticked(), 5.0)
-        assert pick(actions, CancelAttempt)[0].attempt_id == attempt
-        (refusal,) = pick(actions, Refuse)
+        assert select(actions, CancelAttempt)[0].attempt_id == attempt
+        (refusal,) = select(actions, Refuse)
         assert refusal.failure.code is ErrorCode.DEADLINE_EXCEEDED
         assert refusal.failure.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_hang_up_cancels_and_the_slot_is_written_off_in_time(self) -> None:
+    def test_hang_up_cancels_and_frees_the_slot_after_a_timeout(self) -> None:
         core = make_core(engines=1, max_running=1)
         start(core, make_request("a", 1.0, 100.0), 1.0)
         actions = core.handle(RequestCancelled(request_id="a"), 2.0)
-        assert pick(actions, CancelAttempt)
-        assert pick(actions, Refuse)[0].failure.code is ErrorCode.CANCELLED
+        assert select(actions, CancelAttempt)
+        assert select(actions, Refuse)[0].failure.code is ErrorCode.CANCELLED
         arrive(core, make_request("b", 2.0, 100.0), 2.0)
-        (started,) = pick(core.handle(Ticked(), 12.1), StartAttempt)
+        (started,) = select(core.handle(Ticked(), 12.1), StartAttempt)
         assert started.request_id == "b"
 
-    def test_wake_is_asked_for_the_next_timer(self) -> None:
+    def test_wakeup_is_requested_for_the_next_timer(self) -> None:
         core = make_core()
-        (wake,) = pick(core.handle(Ticked(), 0.5), WakeAt)
+        (wake,) = select(core.handle(Ticked(), 0.5), WakeAt)
         assert wake.time == 1.0
-        (wake,) = pick(core.handle(Ticked(), 1.0), WakeAt)
+        (wake,) = select(core.handle(Ticked(), 1.0), WakeAt)
         assert wake.time == 2.0
 
-    def test_cancelled_timers_take_no_room(self) -> None:
+    def test_cancelled_timers_are_dropped(self) -> None:
         timers = Timers()
         kept = [timers.schedule(1000.0, lambda: None) for _ in range(10)]
         for _ in range(1000):
@@ -206,27 +208,27 @@
         core = make_core(engines=1, max_running=1)
         for number in range(3):
             arrive(core, make_request(str(number), 0.5, 99.0, max_tokens=7), 0.5)
-        (report,) = pick(core.handle(Ticked(), 1.0), ReportDemand)
+        (report,) = select(core.handle(Ticked(), 1.0), ReportDemand)
         (demand,) = report.demands
         assert demand.artifact == CHAT
         assert (demand.arrived, demand.queued, demand.tokens) == (3, 2, 21)
-        (report,) = pick(core.handle(Ticked(), 2.0), ReportDemand)
+        (report,) = select(core.handle(Ticked(), 2.0), ReportDemand)
         assert (report.demands[0].arrived, report.demands[0].queued) == (0, 2)
 
 
 class TestStop:
-    """The planned stop."""
+    """Planned stop of the gateway."""
 
-    def test_arrivals_go_to_peers_then_are_refused(self) -> None:
+    def test_new_requests_are_forwarded_then_refused(self) -> None:
         core = make_core(engines=1, max_running=1)
         running = start(core, make_request("a", 1.0, 100.0), 1.0)
         arrive(core, make_request("queued", 1.0, 100.0), 1.0)
         core.handle(StopRequested(), 2.0)
-        assert pick(arrive(core, make_request("b", 6.0), 6.0), ForwardToPeer)
+        assert select(arrive(core, make_request("b", 6.0), 6.0), ForwardToPeer)
         late = arrive(core, make_request("c", 7.5), 7.5)
         assert find_code(late) is ErrorCode.LEAVING
         ended = AttemptSucceeded(attempt_id=running.attempt_id)
-        (started,) = pick(core.handle(ended, 8.0), StartAttempt)
+        (started,) = select(core.handle(ended, 8.0), StartAttempt)
         assert started.request_id == "queued"
         assert not core.idle
         core.handle(AttemptSucceeded(attempt_id=started.attempt_id), 9.0)
--- a/tests/policy/dispatch/test_estimates.py
+++ b/tests/policy/dispatch/test_estimates.py
@@ -7,8 +7,8 @@
 from .builders import CALL, CHAT, DRAFT, make_configuration, make_core
 
 
-class TestForgetting:
-    """Only what is offered is remembered."""
+class TestRetention:
+    """Estimates are kept for offered targets only."""
 
     def test_estimates_of_withdrawn_targets_are_dropped(self) -> None:
         core = make_core()
--- a/tests/policy/dispatch/test_keys.py
+++ b/tests/policy/dispatch/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys at one gateway."""
+"""Tests of idempotency keys at one gateway."""
 
 from typing import Any
 
@@ -33,7 +33,7 @@
     Ticked,
 )
 
-from .builders import CALL, arrive, make_configuration, make_core, make_request, pick
+from .builders import CALL, arrive, make_configuration, make_core, make_request, select
 
 OTHER = IncarnationId("other")
 
@@ -58,69 +58,69 @@
     return make_request(name, at, target=CALL, idempotent=False, key=key)
 
 
-def make_named(successor: str) -> HomesChanged:
-    """Return the news that a successor answers for `OTHER`, which has left."""
-    heir = IncarnationId(successor)
-    named = Successor(home=OTHER, successor=heir)
+def make_successor_named(successor: str) -> HomesChanged:
+    """Return the event that names the successor of `OTHER`, which has left."""
+    successor_id = IncarnationId(successor)
+    named = Successor(home=OTHER, successor=successor_id)
     return HomesChanged(live=frozenset(), successors=(named,))
 
 
 def find_refusal(actions: list[DispatchAction]) -> tuple[ErrorCode, Verdict]:
-    (refusal,) = pick(actions, Refuse)
+    (refusal,) = select(actions, Refuse)
     return refusal.failure.code, refusal.failure.verdict
 
 
 def finish(core: DispatchCore, actions: list[DispatchAction], at: float) -> None:
-    (started,) = pick(actions, StartAttempt)
+    (started,) = select(actions, StartAttempt)
     ended = core.handle(AttemptSucceeded(attempt_id=started.attempt_id), at)
-    (finished,) = pick(ended, FinishRequest)
+    (finished,) = select(ended, FinishRequest)
     assert finished.keep_answer
 
 
 class TestHomedKey:
     """Keys whose home is this gateway."""
 
-    def test_in_progress_is_joined_and_done_is_replayed(self) -> None:
+    def test_request_in_progress_is_joined_and_finished_one_replayed(self) -> None:
         core = make_core()
         first = arrive(core, make_keyed("a", 1.0), 1.0)
         second = arrive(core, make_keyed("b", 1.0), 2.0)
-        assert pick(second, JoinRequest)[0].leader_id == "a"
-        assert not pick(second, StartAttempt)
+        assert select(second, JoinRequest)[0].leader_id == "a"
+        assert not select(second, StartAttempt)
         finish(core, first, 3.0)
         third = arrive(core, make_keyed("c", 1.0), 4.0)
-        assert pick(third, ReplayAnswer)[0].answer_id == "a"
+        assert select(third, ReplayAnswer)[0].answer_id == "a"
 
-    def test_running_request_is_carried_on_after_a_hang_up(self) -> None:
+    def test_running_request_continues_after_a_hang_up(self) -> None:
         core = make_core()
         first = arrive(core, make_keyed("a", 1.0), 1.0)
-        assert not pick(core.handle(RequestCancelled(request_id="a"), 2.0), Refuse)
+        assert not select(core.handle(RequestCancelled(request_id="a"), 2.0), Refuse)
         finish(core, first, 3.0)
         again = arrive(core, make_keyed("b", 1.0), 4.0)
-        assert pick(again, ReplayAnswer)
+        assert select(again, ReplayAnswer)
 
-    def test_other_body_is_refused(self) -> None:
+    def test_key_with_a_different_body_is_refused(self) -> None:
         core = make_core()
         arrive(core, make_keyed("a", 1.0, fingerprint=1), 1.0)
         other = arrive(core, make_keyed("b", 1.0, fingerprint=2), 1.0)
         assert find_refusal(other) == (ErrorCode.KEY_REUSED, Verdict.NOT_RUN)
 
-    def test_callers_keys_never_meet(self) -> None:
+    def test_callers_have_separate_key_spaces(self) -> None:
         core = make_core()
         arrive(core, make_keyed("a", 1.0, caller="one"), 1.0)
         other = arrive(core, make_keyed("b", 1.0, caller="two"), 1.0)
-        assert pick(other, StartAttempt)
+        assert select(other, StartAttempt)
 
-    def test_old_key_is_expired_when_its_record_is_dropped(self) -> None:
+    def test_key_is_expired_once_its_record_is_dropped(self) -> None:
         core = make_core()
         finish(core, arrive(core, make_keyed("a", 1.0), 1.0), 2.0)
         kept = arrive(core, make_keyed("b", 1.0, within=900.0), 620.0)
-        assert pick(kept, ReplayAnswer)
-        assert pick(core.handle(Ticked(), 640.0), DeleteAnswer)
+        assert select(kept, ReplayAnswer)
+        assert select(core.handle(Ticked(), 640.0), DeleteAnswer)
         late = make_keyed("c", 641.0, issued_at=1)
         expired = (ErrorCode.KEY_EXPIRED, Verdict.MAY_HAVE_RUN)
         assert find_refusal(arrive(core, late, 641.0)) == expired
 
-    def test_longer_retention_revives_no_dropped_key(self) -> None:
+    def test_longer_retention_does_not_revive_a_dropped_key(self) -> None:
         core = make_core()
         finish(core, arrive(core, make_keyed("a", 1.0), 1.0), 2.0)
         core.handle(Ticked(), 640.0)
@@ -130,7 +130,7 @@
         assert find_refusal(arrive(core, late, 642.0))[0] is ErrorCode.KEY_EXPIRED
 
     @pytest.mark.parametrize("issued_at", ["400", "x", ""])
-    def test_impossible_issue_time_is_refused(self, issued_at: str) -> None:
+    def test_invalid_issue_time_is_refused(self, issued_at: str) -> None:
         request = make_keyed("a", 1.0, issued_at=issued_at)
         refusal = find_refusal(arrive(make_core(), request, 1.0))
         assert refusal == (ErrorCode.MALFORMED_REQUEST, Verdict.NOT_RUN)
@@ -140,8 +140,8 @@
         finish(core, arrive(core, make_keyed("a", 1.0), 1.0), 2.0)
         new = arrive(core, make_keyed("b", 3.0, own_id="b"), 3.0)
         assert find_refusal(new) == (ErrorCode.OVERLOADED, Verdict.NOT_RUN)
-        assert pick(new, Refuse)[0].failure.retry_after > 600.0
-        assert pick(arrive(core, make_keyed("c", 1.0), 4.0), ReplayAnswer)
+        assert select(new, Refuse)[0].failure.retry_after > 600.0
+        assert select(arrive(core, make_keyed("c", 1.0), 4.0), ReplayAnswer)
 
 
 class TestHomes:
@@ -151,25 +151,25 @@
         core = make_core()
         core.handle(HomesChanged(live=frozenset({OTHER})), 1.0)
         actions = arrive(core, make_keyed("a", 1.0, home="other"), 1.0)
-        assert pick(actions, ForwardToHome)[0].home == OTHER
+        assert select(actions, ForwardToHome)[0].home == OTHER
 
-    def test_gone_home_may_have_run_it(self) -> None:
+    def test_key_of_a_gone_home_may_have_run(self) -> None:
         actions = arrive(make_core(), make_keyed("a", 1.0, home="other"), 1.0)
         gone = (ErrorCode.KEY_HOME_GONE, Verdict.MAY_HAVE_RUN)
         assert find_refusal(actions) == gone
 
     def test_successors_are_followed(self) -> None:
         core = make_core()
-        heir = IncarnationId("heir")
+        successor_id = IncarnationId("heir")
         middle = IncarnationId("middle")
         successors = (
             Successor(home=OTHER, successor=middle),
-            Successor(home=middle, successor=heir),
+            Successor(home=middle, successor=successor_id),
         )
-        event = HomesChanged(live=frozenset({heir}), successors=successors)
+        event = HomesChanged(live=frozenset({successor_id}), successors=successors)
         core.handle(event, 1.0)
         actions = arrive(core, make_keyed("a", 1.0, home="other"), 1.0)
-        assert pick(actions, ForwardToHome)[0].home == heir
+        assert select(actions, ForwardToHome)[0].home == successor_id
 
     def make_record(self, own_id: str, verdict: Verdict | None) -> KeyRecord:
         return KeyRecord(
@@ -191,24 +191,25 @@
         unnamed = make_keyed("unnamed", 1000.0, "x", "other", issued_at=995)
         gone = (ErrorCode.KEY_HOME_GONE, Verdict.MAY_HAVE_RUN)
         assert find_refusal(arrive(core, unnamed, 1000.0)) == gone
-        core.handle(make_named("home"), 1000.0)
+        core.handle(make_successor_named("home"), 1000.0)
 
         def submit(own_id: str, issued_at: int) -> list[DispatchAction]:
             name = f"{own_id}-{issued_at}"
             request = make_keyed(name, 1000.0, own_id, "other", issued_at=issued_at)
             return arrive(core, request, 1001.0)
 
-        assert pick(submit("done", 900), ReplayAnswer)[0].answer_id == "answer"
+        assert select(submit("done", 900), ReplayAnswer)[0].answer_id == "answer"
         assert find_refusal(submit("failed", 900))[1] is Verdict.MAY_HAVE_RUN
-        assert pick(submit("new", 990), StartAttempt)
-        # The home may have kept records for less time than this process does.
+        assert select(submit("new", 990), StartAttempt)
+        # The home may have a shorter retention than this process, so its record of
+        # an older key may be dropped already.
         assert find_refusal(submit("old", 930)) == gone
 
-    def test_records_that_do_not_fit_make_the_home_unknown(self) -> None:
+    def test_records_that_do_not_fit_make_the_home_gone(self) -> None:
         core = make_core(configuration=make_configuration(key_capacity=1))
         keys = tuple(self.make_record(name, None) for name in "abc")
         core.handle(PeerKeysReceived(home=OTHER, keys=keys), 1000.0)
-        core.handle(make_named("home"), 1000.0)
+        core.handle(make_successor_named("home"), 1000.0)
         request = make_keyed("c", 1000.0, "c", "other", issued_at=990)
         refusal = find_refusal(arrive(core, request, 1001.0))
         assert refusal == (ErrorCode.KEY_HOME_GONE, Verdict.MAY_HAVE_RUN)
@@ -219,13 +220,13 @@
         (record,) = core.export_keys()
         assert record.verdict is Verdict.MAY_HAVE_RUN
         actions = arrive(core, make_keyed("b", 2.0, own_id="b"), 2.0)
-        # The successor may have run it, so this must not say "not run".
+        # The successor may have run it, so the verdict must not be "not run".
         gone = (ErrorCode.KEY_HOME_GONE, Verdict.MAY_HAVE_RUN)
         assert find_refusal(actions) == gone
 
 
 class TestPlainKey:
-    """Keys that are claimed."""
+    """Plain keys, which are claimed in the key-value service."""
 
     @pytest.mark.parametrize(
         ("outcome", "code", "verdict"),
@@ -251,25 +252,25 @@
         self, outcome: str, code: ErrorCode, verdict: Verdict
     ) -> None:
         core = make_core()
-        assert pick(arrive(core, make_plain("a", 1.0), 1.0), ClaimKey)
+        assert select(arrive(core, make_plain("a", 1.0), 1.0), ClaimKey)
         actions = core.handle(KeyClaimed(request_id="a", outcome=outcome), 2.0)
         assert find_refusal(actions) == (code, verdict)
         assert not len(core.keys)
 
-    def test_claim_that_comes_too_late_starts_nothing_but_is_kept(self) -> None:
+    def test_late_claim_starts_nothing_but_is_kept(self) -> None:
         core = make_core()
         arrive(core, make_plain("a", 1.0), 1.0)
         claimed = KeyClaimed(request_id="a", outcome=ClaimOutcome.CLAIMED)
         late = core.handle(claimed, 20.0)
         assert find_refusal(late)[1] is Verdict.NOT_RUN
         again = arrive(core, make_plain("b", 21.0), 21.0)
-        assert pick(again, StartAttempt)
-        assert not pick(again, ClaimKey)
+        assert select(again, StartAttempt)
+        assert not select(again, ClaimKey)
 
-    def test_claims_stay_in_their_write_budget(self) -> None:
+    def test_claims_are_rate_limited(self) -> None:
         site = make_configuration(claim_writes_per_second=1.0)
         core = make_core(configuration=site)
-        assert pick(arrive(core, make_plain("a", 1.0), 1.0), ClaimKey)
+        assert select(arrive(core, make_plain("a", 1.0), 1.0), ClaimKey)
         key = IdempotencyKey("other")
         request = make_request("b", 1.0, target=CALL, idempotent=False, key=key)
         refusal = find_refusal(arrive(core, request, 1.1))
--- a/tests/policy/dispatch/test_machine.py
+++ b/tests/policy/dispatch/test_machine.py
@@ -1,4 +1,4 @@
-"""Random faults against the oracle of `world`."""
+"""Random faults and events, checked by the invariants of `world`."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -20,16 +20,16 @@
 
 
 class DispatchMachine(RuleBasedStateMachine):
-    """Gateways, callers and upstreams under faults."""
+    """Random operations of gateways, callers and upstreams with faults."""
 
     @initialize(preemption=st.booleans())
     def begin(self, preemption: bool) -> None:
         self.world = World(DispatchOptions(preemption=preemption))
         self.world.start_gateway()
         self.world.start_gateway()
-        self.spread()
+        self.spread_all_homes()
 
-    def spread(self) -> None:
+    def spread_all_homes(self) -> None:
         for identity in list(self.world.gateways):
             self.world.spread_homes(identity)
 
@@ -62,7 +62,7 @@
         home=PLACE,
         places=st.lists(PLACE, min_size=2, max_size=4),
     )
-    def submit_often(self, kind: str, home: int, places: list[int]) -> None:
+    def submit_repeatedly(self, kind: str, home: int, places: list[int]) -> None:
         operation = self.world.plan(False, kind, self.find(home), 0.0)
         for place in places:
             self.world.submit(operation, self.find(place), 60.0)
@@ -109,7 +109,7 @@
 
     @rule(place=PLACE)
     def run_late(self, place: int) -> None:
-        """Let an upstream run an attempt that was given up as possibly run."""
+        """Run an attempt at its upstream, even if the gateway has abandoned it."""
         sent_attempts = [
             item for item in self.world.sent_attempts.values() if not item.ran
         ]
@@ -138,7 +138,7 @@
         self.world.start_gateway()
 
     @rule(place=PLACE)
-    def freeze_or_thaw(self, place: int) -> None:
+    def pause_or_resume(self, place: int) -> None:
         identity = self.find(place)
         if self.world.gateways[identity].paused:
             self.world.resume(identity)
@@ -156,22 +156,22 @@
         rare=RARE,
         lost=st.booleans(),
         known=st.booleans(),
-        lingers=st.booleans(),
+        keeps_running=st.booleans(),
     )
     def retire(
-        self, place: int, rare: int, lost: bool, known: bool, lingers: bool
+        self, place: int, rare: int, lost: bool, known: bool, keeps_running: bool
     ) -> None:
-        """Stop a gateway, hand its keys over and resubmit what it may have run."""
+        """Stop a gateway, hand over its keys and resubmit recent operations."""
         identity = self.find(place)
         if rare or self.world.gateways[identity].paused:
             return
         self.world.stop(identity)
         self.world.retire(identity, self.find(place + 1), lost)
-        if not lingers:
+        if not keeps_running:
             self.world.kill(identity)
             self.world.start_gateway()
         if known:
-            self.spread()
+            self.spread_all_homes()
         self.resubmit(0, place)
         self.resubmit(1, place + 1)
 
@@ -189,7 +189,7 @@
         self.world.send(self.find(place), report)
 
     @invariant()
-    def hold(self) -> None:
+    def check_world(self) -> None:
         if hasattr(self, "world"):
             self.world.check()
 
--- a/tests/policy/dispatch/test_prefixes.py
+++ b/tests/policy/dispatch/test_prefixes.py
@@ -8,9 +8,9 @@
 
 
 class TestBounds:
-    """The index stays bounded however many upstreams there are."""
+    """Limit of the index over all upstreams."""
 
-    def test_upstreams_share_the_blocks_and_the_oldest_go_first(
+    def test_upstreams_share_the_limit_and_drop_the_oldest_blocks(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(prefixes, "PREFIX_MAX_TOTAL", 200)
@@ -18,7 +18,9 @@
         names = [UpstreamId(f"runner-{number}") for number in range(4)]
         for block in range(300):
             for name in names:
-                index.expect(name, (block,))
+                index.add_expected(name, (block,))
         for name in names:
-            held = [block for block in range(300) if name in index.list_holders(block)]
-            assert held == list(range(250, 300))
+            cached = [
+                block for block in range(300) if name in index.list_holders(block)
+            ]
+            assert cached == list(range(250, 300))
--- a/tests/policy/dispatch/test_queues.py
+++ b/tests/policy/dispatch/test_queues.py
@@ -1,4 +1,4 @@
-"""Order of waiting requests, and who is refused first."""
+"""Tests of the order of waiting requests and of refusals by full queues."""
 
 from collections import Counter
 
@@ -18,15 +18,15 @@
     make_configuration,
     make_core,
     make_request,
-    pick,
+    select,
     start,
 )
 
 CALLERS = {"small": CallerOffer(weight=1.0), "large": CallerOffer(weight=3.0)}
 
 
-def make_busy(**kwargs: object) -> tuple[DispatchCore, str]:
-    """Return a core whose only slot is taken, and the attempt that took it."""
+def make_full_core(**kwargs: object) -> tuple[DispatchCore, str]:
+    """Return a core whose only slot is in use, and the attempt that uses it."""
     core = make_core(
         engines=1,
         max_running=1,
@@ -37,21 +37,21 @@
 
 
 def serve(core: DispatchCore, attempt: str, count: int, at: float) -> list[str]:
-    """Let the only slot serve requests one by one; return their ids in order."""
+    """Serve requests one by one on the only slot; return their ids in order."""
     served = []
     for step in range(count):
         ended = AttemptSucceeded(attempt_id=attempt)
-        (started,) = pick(core.handle(ended, at + step / 100), StartAttempt)
+        (started,) = select(core.handle(ended, at + step / 100), StartAttempt)
         served.append(started.request_id)
         attempt = started.attempt_id
     return served
 
 
 class TestOrder:
-    """Who is served next."""
+    """Order in which waiting requests are served."""
 
     def test_callers_share_by_weight(self) -> None:
-        core, attempt = make_busy()
+        core, attempt = make_full_core()
         for number in range(20):
             for caller in CALLERS:
                 name = f"{caller}{number}"
@@ -61,8 +61,8 @@
         counts = Counter(name.rstrip("0123456789") for name in served)
         assert counts == {"large": 12, "small": 4}
 
-    def test_hot_model_does_not_starve_another_on_its_runner(self) -> None:
-        core, attempt = make_busy()
+    def test_popular_model_does_not_starve_another_on_its_runner(self) -> None:
+        core, attempt = make_full_core()
         for number in range(30):
             request = make_request(f"hot{number}", 1.0, caller="large", within=900.0)
             arrive(core, request, 1.0)
@@ -74,14 +74,14 @@
         assert sum(name.startswith("cold") for name in served) == 4
 
     def test_earliest_deadline_of_a_caller_goes_first(self) -> None:
-        core, attempt = make_busy()
+        core, attempt = make_full_core()
         for number, within in enumerate((300.0, 100.0, 200.0)):
             request = make_request(str(number), 1.0, within, caller="small")
             arrive(core, request, 1.0)
         assert serve(core, attempt, 3, 2.0) == ["1", "2", "0"]
 
-    def test_critical_patient_work_gets_a_reserve(self) -> None:
-        core, attempt = make_busy()
+    def test_critical_patient_request_uses_the_reserve(self) -> None:
+        core, attempt = make_full_core()
         for number in range(20):
             request = make_request(f"urgent{number}", 1.0, 900.0, caller="large")
             arrive(core, request, 1.0)
@@ -95,39 +95,39 @@
 
 
 class TestFullQueue:
-    """Who is refused first."""
+    """Order in which requests are refused by a full queue."""
 
     @pytest.fixture(autouse=True)
     def bound(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(queues, "QUEUE_MAX_PER_TARGET", 3)
 
     def fill(self, core: DispatchCore, *names: str) -> list[str]:
-        """Queue `<caller>-<class>-<deadline>`; return who was refused."""
+        """Queue `<caller>-<class>-<deadline>` requests; return the refused ones."""
         refused = []
         for name in names:
             caller, work, within, *_ = name.split("-")
             request = make_request(
                 name, 1.0, float(within), CHAT, caller, work == "urgent"
             )
-            refusals = pick(arrive(core, request, 1.0), Refuse)
+            refusals = select(arrive(core, request, 1.0), Refuse)
             assert all(item.failure.code is ErrorCode.OVERLOADED for item in refusals)
             refused += [item.request_id for item in refusals]
         return refused
 
-    def test_patient_work_goes_before_urgent(self) -> None:
-        core, _ = make_busy()
+    def test_patient_request_is_refused_before_urgent(self) -> None:
+        core, _ = make_full_core()
         waiting = ("small-urgent-90", "small-patient-90", "small-patient-95")
         assert self.fill(core, *waiting) == []
         assert self.fill(core, "large-urgent-99") == ["small-patient-95"]
 
-    def test_caller_over_its_share_goes_first(self) -> None:
-        core, _ = make_busy()
+    def test_caller_over_its_share_is_refused_first(self) -> None:
+        core, _ = make_full_core()
         waiting = ("small-urgent-90", "small-urgent-91", "large-urgent-99")
         assert self.fill(core, *waiting) == []
         assert self.fill(core, "large-urgent-98") == ["small-urgent-91"]
 
-    def test_own_latest_deadline_goes_first(self) -> None:
-        core, _ = make_busy()
+    def test_latest_deadline_of_a_caller_is_refused_first(self) -> None:
+        core, _ = make_full_core()
         waiting = ("small-urgent-90", "small-urgent-99", "small-urgent-91")
         assert self.fill(core, *waiting) == []
         assert self.fill(core, "small-urgent-80") == ["small-urgent-99"]
@@ -135,30 +135,30 @@
 
 
 class TestHeadroom:
-    """Patient work leaves room for urgent work while it has slack."""
+    """Patient requests with slack leave room for urgent ones."""
 
     def fill(self, core: DispatchCore) -> int:
-        """Let patient requests arrive until one waits; return how many started."""
+        """Submit patient requests until one waits; return how many started."""
         for number in range(10):
             request = make_request(f"p{number}", 1.0, within=900.0, urgent=False)
-            if not pick(arrive(core, request, 1.0), StartAttempt):
+            if not select(arrive(core, request, 1.0), StartAttempt):
                 return number
         return 10
 
-    def test_patient_work_leaves_slots_that_urgent_work_takes_at_once(self) -> None:
+    def test_patient_requests_leave_slots_for_urgent_ones(self) -> None:
         core = make_core(engines=1, max_running=10)
         assert self.fill(core) == 6
         for number in range(4):
             start(core, make_request(f"u{number}", 1.0), 1.0)
 
-    def test_critical_patient_work_takes_any_slot(self) -> None:
+    def test_critical_patient_request_uses_any_slot(self) -> None:
         core = make_core(engines=1, max_running=10)
         self.fill(core)
         start(core, make_request("due", 1.0, within=12.0, urgent=False), 1.0)
 
-    def test_end_of_an_answer_starts_waiting_patient_work(self) -> None:
+    def test_end_of_an_answer_starts_a_waiting_patient_request(self) -> None:
         core = make_core(engines=1, max_running=10)
         attempt = start(core, make_request("p", 0.5, within=900.0, urgent=False), 0.5)
         self.fill(core)
         ended = AttemptSucceeded(attempt_id=attempt.attempt_id)
-        assert pick(core.handle(ended, 2.0), StartAttempt)
+        assert select(core.handle(ended, 2.0), StartAttempt)
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -1,4 +1,4 @@
-"""A small world of gateway cores, upstreams that count runs, and a claim store."""
+"""Simulation of gateway cores, upstreams that count runs, and a claim store."""
 
 from collections import Counter
 from random import Random
@@ -56,8 +56,8 @@
     CHAT,
     make_configuration,
     make_engine,
+    make_engine_described,
     make_host,
-    make_met,
     make_report,
     make_request,
 )
@@ -69,7 +69,7 @@
 
 @define(eq=False)
 class Operation:
-    """What a caller wants done, however often it submits it."""
+    """An operation of a caller, which may submit it several times."""
 
     number: int
     idempotent: bool
@@ -100,7 +100,7 @@
     ran: bool = False
     answered: bool = False
     refused: bool = False
-    """Whether the upstream said that it did not run and won't."""
+    """Whether the upstream refused it as busy, so it must never run."""
 
 
 @define(eq=False)
@@ -116,7 +116,7 @@
 
 @define(eq=False)
 class World:
-    """Drives the cores and holds the truth that the oracle compares with."""
+    """Drives the cores and records the actual runs, to check their decisions."""
 
     options: DispatchOptions
     now: float = 0.0
@@ -126,7 +126,7 @@
     submissions: dict[RequestId, Submission] = field(factory=dict)
     sent_attempts: dict[AttemptId, SentAttempt] = field(factory=dict)
     forwards: list[tuple[Operation, IncarnationId]] = field(factory=list)
-    named: set[IncarnationId] = field(factory=set)
+    homes_with_successor: set[IncarnationId] = field(factory=set)
     claims: dict[tuple[CallerId, IdempotencyKey], RequestId] = field(factory=dict)
     claiming: list[tuple[IncarnationId, ClaimKey]] = field(factory=list)
     runs: Counter[int] = field(factory=Counter)
@@ -148,7 +148,7 @@
         addresses += [make_host(name) for name in HOSTS]
         self.send(identity, UpstreamListChanged(upstreams=tuple(addresses)))
         for name in ENGINES:
-            self.send(identity, make_met(name))
+            self.send(identity, make_engine_described(name))
             self.send(identity, make_report(name, self.now))
         for upstream in self.leaving:
             self.notify_leaving(identity, upstream)
@@ -178,14 +178,16 @@
         self.gateways[identity].stopping = True
         self.send(identity, StopRequested())
 
-    def retire(self, identity: IncarnationId, heir: IncarnationId, lost: bool) -> None:
-        """Hand the keys over; name one successor, even if several got them."""
+    def retire(
+        self, identity: IncarnationId, successor_id: IncarnationId, lost: bool
+    ) -> None:
+        """Hand over the keys; name one successor, even if several received them."""
         keys = self.gateways[identity].core.export_keys()
         if not lost:
-            self.send(heir, PeerKeysReceived(home=identity, keys=keys))
-        if identity not in self.named:
-            self.named.add(identity)
-            self.successors.append(Successor(home=identity, successor=heir))
+            self.send(successor_id, PeerKeysReceived(home=identity, keys=keys))
+        if identity not in self.homes_with_successor:
+            self.homes_with_successor.add(identity)
+            self.successors.append(Successor(home=identity, successor=successor_id))
 
     def spread_homes(self, identity: IncarnationId) -> None:
         live = frozenset(self.gateways)
@@ -252,7 +254,7 @@
     # Upstreams.
 
     def run(self, flight: SentAttempt) -> None:
-        """Run an attempt at its upstream, which counts it."""
+        """Run an attempt at its upstream and count the run."""
         if flight.ran or flight.refused:
             return
         flight.ran = True
@@ -261,7 +263,7 @@
         self.runs[submission.operation.number] += 1
 
     def answer(self, flight: SentAttempt, outcome: str) -> None:
-        """End an attempt as `outcome` says."""
+        """Apply an outcome to an attempt and report it to the gateway."""
         attempt_id = flight.action.attempt_id
         first = not flight.answered
         flight.answered = True
@@ -302,12 +304,12 @@
         event = KeyClaimed(request_id=action.request_id, outcome=result)
         self.send(identity, event)
 
-    # What the cores decided.
+    # Actions of the cores.
 
     def perform(self, identity: IncarnationId, action: DispatchAction) -> None:
         match action:
             case StartAttempt():
-                self._take_start(identity, action)
+                self._perform_start(identity, action)
             case CancelAttempt(attempt_id=attempt_id):
                 assert self.sent_attempts[attempt_id].gateway == identity
             case ClaimKey():
@@ -333,15 +335,15 @@
                 assert self.gateways[identity].stopping
                 self._end(request_id)
 
-    def _take_start(self, identity: IncarnationId, action: StartAttempt) -> None:
+    def _perform_start(self, identity: IncarnationId, action: StartAttempt) -> None:
         assert action.attempt_id not in self.sent_attempts, "attempt id used twice"
         gateway = self.gateways[identity]
         assert action.upstream_id not in gateway.notified_leaving, (
-            "sent to one that leaves"
+            "sent to a leaving upstream"
         )
         submission = self.submissions[action.request_id]
         assert submission.gateway == identity
-        assert not submission.endings, "started after its end"
+        assert not submission.endings, "started after the request ended"
         assert self.now <= submission.request.deadline, "started too late"
         self.sent_attempts[action.attempt_id] = SentAttempt(action, identity)
 
@@ -356,13 +358,17 @@
         submission.not_run = True
         operation = submission.operation
         if operation.home is not None and not operation.idempotent:
-            assert not self.runs[operation.number], "not run, but its key ran"
+            assert not self.runs[operation.number], (
+                "refused as not run, but its key ran"
+            )
 
     def _check_same(self, request_id: RequestId, other_id: RequestId) -> None:
         mine = self.submissions[request_id].operation
-        assert mine is self.submissions[other_id].operation, "somebody else's answer"
+        assert mine is self.submissions[other_id].operation, (
+            "answer of a different operation"
+        )
 
-    # The oracle.
+    # Invariants.
 
     def check(self) -> None:
         for submission in self.submissions.values():
@@ -375,7 +381,7 @@
                 assert self.runs[operation.number] <= 1, "the key ran twice"
 
     def drain(self) -> None:
-        """End all faults; then every request at a live gateway has to end."""
+        """End all faults and check that every request at a live gateway ends."""
         for identity in list(self.gateways):
             self.resume(identity)
         while self.forwards:
