--- a/mangoway/policy/dispatch/const.py
+++ b/mangoway/policy/dispatch/const.py
@@ -41,7 +41,7 @@
 could correct it."""
 RATE_HALF_LIFE_S: Final = 4.0
 BACKLOG_SETTLING_S: Final = 4.0
-"""Age of a backlog from which on its measured drain rate is used."""
+"""Minimum age of a backlog for its measured drain rate to be used."""
 MIN_DURATION_SHARE: Final = 0.7
 """Share of the mean duration that is used as a request's minimum duration."""
 LOAD_ESTIMATE_S: Final = 20.0
