--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -51,7 +51,7 @@
         ),
     )
     for controller in world.controllers:
-        world.give(controller, event)
+        world.send_event(controller, event)
 
 
 def limit_loads(limit: int, rate: float = 10.0, **models: int) -> Configuration:
@@ -73,9 +73,9 @@
         world = World(configuration=offer_models(a=40, b=40, c=30, floor=2))
         world.start(150, 150, checks=checks)
         world.run(30.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
         assert world.count_moves() == 6
-        world.check()
+        world.check_invariants()
 
     def test_copies_are_spread_over_data_centres(self) -> None:
         world = World(configuration=offer_models(a=40, floor=2, data_centres=2))
@@ -121,7 +121,7 @@
         loads = list_orders(world, OrderKind.LOAD)
         assert loads[0] == "z@1"
         assert len(set(loads)) > 1
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
 
     def test_version_without_room_waits_before_it_replaces_the_old_one(self) -> None:
         world = World(configuration=offer_models(a=60))
@@ -132,7 +132,7 @@
         assert world.list_ready("a@1")
         world.run(20.0)
         assert "break_before_make" in world.list_reasons()
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
 
     def test_copy_is_relocated_so_that_another_fits(self) -> None:
         world = World(configuration=offer_models(a=40))
@@ -143,7 +143,7 @@
             world.run(0.2)
             assert world.list_ready("a@1")
         assert "relocate_for_room" in world.list_reasons()
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
 
     def test_lost_withdrawn_versions_make_way(self) -> None:
         world = World(configuration=offer_models(a=50))
@@ -155,7 +155,7 @@
         next(iter(world.engines.values())).restart(world.now)
         world.configure(offer_models(3, ("3",), a=50))
         world.run(BREAK_AFTER_S)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
 
     def test_floors_are_not_evicted_for_floors(self) -> None:
         world = World(configuration=offer_models(a=80, b=80, c=80))
@@ -170,9 +170,9 @@
         world.run(20.0)
         world.engines[next(iter(world.engines))].restart(world.now)
         world.run(20.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
         assert "unload_abandoned_last_copy" not in world.list_reasons()
-        world.check()
+        world.check_invariants()
 
 
 class TestMemory:
@@ -194,8 +194,8 @@
     @pytest.mark.parametrize("seed", range(4))
     def test_swap_under_order_faults(self, checks: bool, fault: str, seed: int) -> None:
         world = self.swap(checks, [fault, fault], seed)
-        world.check()
-        assert world.list_missing() == []
+        world.check_invariants()
+        assert world.list_unmet_floors() == []
 
     def test_engine_that_ignores_fences_is_waited_for(self) -> None:
         world = self.swap(False, ["double"], 1)
@@ -215,8 +215,8 @@
         world.engines[next(iter(world.engines))].memory[stranger] = 50
         world.start()
         world.run(20.0)
-        world.check()
-        assert world.list_missing() == []
+        world.check_invariants()
+        assert world.list_unmet_floors() == []
 
     def test_order_planned_before_a_restart_is_not_sent_after_it(self) -> None:
         world = World(configuration=offer_models(a=40))
@@ -227,12 +227,12 @@
         engine.restart(world.now)
         engine.memory[Artifact.parse("x@1")] = 60
         met = events.EngineDescribed(description=engine.describe())
-        world.give(world.controllers[0], met)
+        world.send_event(world.controllers[0], met)
         reported = events.EngineReported(report=engine.report(world.now))
-        world.give(world.controllers[0], reported)
+        world.send_event(world.controllers[0], reported)
         world.run(20.0)
-        world.check()
-        assert world.list_missing() == []
+        world.check_invariants()
+        assert world.list_unmet_floors() == []
 
     def test_no_load_without_the_store(self) -> None:
         world = World(configuration=offer_models(a=40))
@@ -242,7 +242,7 @@
         assert world.sent == []
         world.store_up = True
         world.run(20.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
 
     def test_deleted_ledger_still_speaks_for_its_orders(self) -> None:
         world = World(configuration=offer_models(a=60))
@@ -255,15 +255,15 @@
         world.configure(offer_models(2, b=60))
         for _ in range(10):
             world.run(BOUND_S / 2)
-            world.check()
-        assert world.list_missing() == []
+            world.check_invariants()
+        assert world.list_unmet_floors() == []
 
     def test_lost_write_answer_sends_no_order_unseen(self) -> None:
         world = World(configuration=offer_models(a=40))
         world.lose_answers = 2
         world.start(100, checks=False)
         world.run(60.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
         assert world.ledgers[next(iter(world.ledgers))].committed_mb == 50
 
 
@@ -290,8 +290,8 @@
         loads = [o.upstream for o in orders if o.kind is OrderKind.LOAD]
         assert len(loads) == len(set(loads)) == engines
         world.run(3 * BOUND_S)
-        world.check()
-        assert world.list_missing() == []
+        world.check_invariants()
+        assert world.list_unmet_floors() == []
 
     def test_unload_is_not_sent_again_while_the_copy_is_the_last(self) -> None:
         world = self.offer_again("lose")
@@ -330,7 +330,7 @@
         # Only the confirmation of the write is handled, late, by the first one.
         mailbox, first.mailbox = first.mailbox, []
         first.paused = False
-        world.give(first, mailbox[0])
+        world.send_event(first, mailbox[0])
         assert any(one.reason == "order_dropped" for one in world.reasons)
         assert world.sent == []
 
@@ -354,7 +354,7 @@
             world.mark(controller, name, "a@1")
         world.run(20.0)
         assert world.list_ready("a@1")
-        world.check()
+        world.check_invariants()
 
     @pytest.mark.parametrize("checks", [True, False])
     def test_mark_stays_while_the_guards_ledger_is_read(self, checks: bool) -> None:
@@ -377,7 +377,7 @@
             world.run(0.01)
         assert 3 <= world.writes <= 8
         world.run(30.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
 
     def test_takeover_waits_for_foreign_orders(self) -> None:
         world = World(configuration=offer_models(a=60))
@@ -389,8 +389,8 @@
         world.add_controller()
         for _ in range(20):
             world.run(BOUND_S / 2)
-            world.check()
-        assert world.list_missing() == []
+            world.check_invariants()
+        assert world.list_unmet_floors() == []
 
     def test_ledgers_are_read_only_once_the_lateness_bound_is_known(self) -> None:
         world = World(configuration=offer_models(a=40))
@@ -444,15 +444,15 @@
         for second in range(240):
             send_demand(world, "a@1" if second // 10 % 2 else "b@1", 40)
             world.run(1.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
         assert world.count_moves() <= 3 + 4
 
     def test_floor_evicts_surplus_copies(self) -> None:
         world = self.burst(price=1.0)
         world.configure(offer_models(2, a=40, b=40, c=80))
         world.run(40.0)
-        assert world.list_missing() == []
-        world.check()
+        assert world.list_unmet_floors() == []
+        world.check_invariants()
 
 
 class TestCost:
@@ -478,7 +478,7 @@
         world = World(configuration=limit_loads(limit, rate, **models_mb))
         world.start(*[200] * 12)
         world.run(2.0 + len(models_mb) * max(LOAD_S * 1.5 / limit, 1.0 / rate) + 5.0)
-        assert world.list_missing() == []
+        assert world.list_unmet_floors() == []
         starts = [at for at, _ in world.sent]
         for position, at in enumerate(starts):
             assert sum(at <= one < at + LOAD_S for one in starts) <= limit
@@ -505,8 +505,8 @@
     def test_adapters_get_ready_beside_their_base(self) -> None:
         world = self.make(90, 90)
         world.run(40.0)
-        assert world.list_missing() == []
-        world.check()
+        assert world.list_unmet_floors() == []
+        world.check_invariants()
 
     def test_withdrawn_model_goes_adapters_first(self) -> None:
         world = self.make(90, 90)
@@ -520,8 +520,8 @@
     def test_further_base_is_loaded_where_adapters_have_room(self) -> None:
         world = self.make(65, 65, 65, 65)
         world.run(90.0)
-        assert world.list_missing() == []
-        world.check()
+        assert world.list_unmet_floors() == []
+        world.check_invariants()
 
 
 class TestStatus:
--- a/tests/policy/placement/test_machine.py
+++ b/tests/policy/placement/test_machine.py
@@ -98,7 +98,7 @@
             rates=(rate,),
         )
         for controller in self.world.controllers:
-            self.world.give(controller, event)
+            self.world.send_event(controller, event)
         self.world.run(seconds)
 
     @rule(number=st.integers(0, ENGINES - 1))
@@ -132,7 +132,7 @@
     @invariant()
     def hold(self) -> None:
         if hasattr(self, "world"):
-            self.world.check()
+            self.world.check_invariants()
 
     def teardown(self) -> None:
         """End all faults; then every floor has to get ready."""
@@ -150,8 +150,8 @@
         for controller in world.controllers:
             world.resume(controller)
         world.run(10 * BOUND_S)
-        world.check()
-        assert world.list_missing() == []
+        world.check_invariants()
+        assert world.list_unmet_floors() == []
 
 
 TestPlacementMachine = PlacementMachine.TestCase
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -228,11 +228,11 @@
         name = IncarnationId(f"c{len(self.controllers)}")
         controller = Controller(PlacementCore(name, options))
         self.controllers.append(controller)
-        self.give(
+        self.send_event(
             controller, events.ConfigurationChanged(configuration=self.configuration)
         )
         self.list_runners()
-        self.give(controller, events.LeaseGained())
+        self.send_event(controller, events.LeaseGained())
         return controller
 
     def start(
@@ -249,14 +249,14 @@
                 checks=checks,
                 data_centre=DataCentreId(f"dc{number % 2 + 1}"),
             )
-        self.later(0.0, self._poll)
+        self.call_later(0.0, self._poll)
         return self.add_controller(options)
 
     def configure(self, configuration: Configuration) -> None:
         self.configuration = configuration
         event = events.ConfigurationChanged(configuration=configuration)
         for controller in self.controllers:
-            self.give(controller, event)
+            self.send_event(controller, event)
 
     def list_runners(self) -> None:
         runners = tuple(
@@ -270,11 +270,11 @@
             for engine in self.engines.values()
         )
         for controller in self.controllers:
-            self.give(controller, events.RunnersListed(runners=runners))
+            self.send_event(controller, events.RunnersListed(runners=runners))
 
     # Time.
 
-    def later(self, delay_s: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay_s: float, call: Callable[[], None]) -> None:
         heappush(self._heap, (self.now + delay_s, next(self._numbers), call))
 
     def run(self, seconds: float) -> None:
@@ -289,23 +289,25 @@
         for engine in self.engines.values():
             if not engine.up:
                 for controller in self.controllers:
-                    self.give(controller, events.EngineSilent(upstream_id=engine.id))
+                    self.send_event(
+                        controller, events.EngineSilent(upstream_id=engine.id)
+                    )
                 continue
             met = events.EngineDescribed(description=engine.describe())
             reported = events.EngineReported(report=engine.report(self.now))
             for controller in self.controllers:
                 self._deliver(controller, met, self.report_lag_s)
                 self._deliver(controller, reported, self.report_lag_s)
-        self.later(1.0, self._poll)
+        self.call_later(1.0, self._poll)
 
     # Controllers.
 
     def _deliver(
         self, controller: Controller, event: events.PlacementEvent, delay_s: float
     ) -> None:
-        self.later(delay_s, lambda: self.give(controller, event))
+        self.call_later(delay_s, lambda: self.send_event(controller, event))
 
-    def give(self, controller: Controller, event: events.PlacementEvent) -> None:
+    def send_event(self, controller: Controller, event: events.PlacementEvent) -> None:
         if not controller.alive:
             return
         if controller.paused:
@@ -318,30 +320,32 @@
         controller.paused = False
         mailbox, controller.mailbox = controller.mailbox, []
         for event in mailbox:
-            self.give(controller, event)
+            self.send_event(controller, event)
 
     def _act(self, controller: Controller, action: actions.PlacementAction) -> None:
         match action:
             case actions.ReadLedger(upstream_id=upstream_id):
-                self.later(self.read_s, lambda: self._read(controller, upstream_id))
+                self.call_later(
+                    self.read_s, lambda: self._read(controller, upstream_id)
+                )
             case actions.WriteLedger():
-                self.later(0.01, lambda: self._write(controller, action))
+                self.call_later(0.01, lambda: self._write(controller, action))
             case actions.SendOrder(order=order):
                 self.sent.append((self.now, order))
                 self._note_basis(controller, order)
-                self.later(0.01, lambda: self._carry(controller, order))
+                self.call_later(0.01, lambda: self._carry(controller, order))
             case actions.Explain():
                 self.reasons.append(action)
             case actions.WakeAt(time=time):
                 controller.wake += 1
                 wake = controller.wake
-                self.later(
+                self.call_later(
                     max(time - self.now, 0.0), lambda: self._tick(controller, wake)
                 )
 
     def _tick(self, controller: Controller, wake: int) -> None:
         if controller.wake == wake:
-            self.give(controller, events.Ticked())
+            self.send_event(controller, events.Ticked())
 
     def mark(self, controller: Controller, name: UpstreamId, artifact: str) -> None:
         """Let a controller begin an unload that it did not plan."""
@@ -409,11 +413,11 @@
             self._deliver(controller, failed, 1.0)
             # The connection closes after one second; the bound runs from there.
             delay_s = self.rng.uniform(0.0, BOUND_S)
-            self.later(1.0 + delay_s, lambda: self._reach(order))
+            self.call_later(1.0 + delay_s, lambda: self._reach(order))
             return
         outcome = self._reach(order)
         if fault == "double":
-            self.later(self.rng.uniform(0.0, BOUND_S), lambda: self._reach(order))
+            self.call_later(self.rng.uniform(0.0, BOUND_S), lambda: self._reach(order))
         answer: events.PlacementEvent = events.OrderAnswered(
             order_id=order.id,
             upstream_id=order.upstream,
@@ -433,7 +437,7 @@
             self._check_last_copy(engine, artifact, order)
         life = engine.life
         if order.kind is OrderKind.LOAD and outcome is OrderOutcome.ACCEPTED:
-            self.later(LOAD_S, lambda: self._get_ready(engine, artifact, life))
+            self.call_later(LOAD_S, lambda: self._get_ready(engine, artifact, life))
         return outcome
 
     def _get_ready(self, engine: Engine, artifact: Artifact, life: int) -> None:
@@ -497,7 +501,7 @@
         """Return the codes of all explanations so far."""
         return {one.reason for one in self.reasons}
 
-    def list_missing(self) -> list[str]:
+    def list_unmet_floors(self) -> list[str]:
         """Return the offered artifacts whose floors are not met."""
         missing = []
         for artifact in self.configuration.list_artifacts():
@@ -513,7 +517,7 @@
                 missing.append(str(artifact))
         return missing
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """Assert what must hold at any time."""
         for engine in self.engines.values():
             assert not engine.overruns, engine.overruns
--- a/tests/scenarios/test_placement.py
+++ b/tests/scenarios/test_placement.py
@@ -50,8 +50,8 @@
                 period_s=DEMAND_PERIOD_S,
                 rates=(rate,),
             )
-            self.world.give(controller, event)
-        self.world.later(DEMAND_PERIOD_S, self.report)
+            self.world.send_event(controller, event)
+        self.world.call_later(DEMAND_PERIOD_S, self.report)
 
 
 @define
@@ -66,7 +66,7 @@
         ready = {artifact.model for engine in engines for artifact in engine.ready}
         for model in sorted(set(self.world.configuration.models) - ready):
             self.gaps.append(f"{model} at {self.world.now:.1f} s")
-        self.world.later(WATCH_PERIOD_S, self.look)
+        self.world.call_later(WATCH_PERIOD_S, self.look)
 
 
 def find_artifact(world: World, model: str) -> Artifact:
@@ -105,7 +105,7 @@
 def start(world: World) -> Watch:
     world.start()
     world.run(SETTLE_S)
-    assert world.list_missing() == []
+    assert world.list_unmet_floors() == []
     watch = Watch(world)
     watch.look()
     return watch
@@ -191,13 +191,13 @@
 
 @then("every model has its floor")
 def check_floors(world: World) -> None:
-    assert world.list_missing() == []
+    assert world.list_unmet_floors() == []
 
 
 @then(parsers.parse("every model has its floor without runner {number:d}"))
 def check_floors_without(world: World, number: int) -> None:
     assert find_runner(world, number).leaving
-    assert world.list_missing() == []
+    assert world.list_unmet_floors() == []
 
 
 @then(parsers.parse("model {model} has {count:d} ready copies"))
