--- a/mangoway/policy/placement/__init__.py
+++ b/mangoway/policy/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about memory: ledgers, copies, load orders."""
+"""Placement of models on runners: memory ledgers, copies and load orders."""
--- a/mangoway/policy/placement/actions.py
+++ b/mangoway/policy/placement/actions.py
@@ -11,15 +11,19 @@
 
 @frozen(kw_only=True)
 class ReadLedger:
-    """Read a runner's ledger; `LedgerRead` or `LedgerUnavailable` follows."""
+    """Request to read a runner's ledger.
+
+    `LedgerRead` or `LedgerUnavailable` follows.
+    """
 
     upstream_id: UpstreamId
 
 
 @frozen(kw_only=True)
 class WriteLedger:
-    """Write a ledger if its key still has this revision (0: if it is absent).
+    """Request to write a ledger if its key still has the expected revision.
 
+    An expected revision of 0 means that the key must not exist.
     `LedgerWritten`, `LedgerConflicted` or `LedgerUnavailable` follows.
     """
 
@@ -29,11 +33,11 @@
 
 @frozen(kw_only=True)
 class SendOrder:
-    """Send an order; `OrderAnswered` or `OrderFailed` follows.
+    """Request to send an order; `OrderAnswered` or `OrderFailed` follows.
 
-    The shell closes the connection of an order that has no answer after
-    `ORDER_TIMEOUT_S`. An order that it does not get to send before `send_before`
-    must not be sent; `OrderFailed` with NOT_RUN follows then.
+    The caller of the core closes the connection of an order that has no answer
+    after `ORDER_TIMEOUT_S`. An order that could not be sent before `send_before`
+    must be discarded; `OrderFailed` with NOT_RUN follows then.
     """
 
     order: Order
@@ -42,7 +46,10 @@
 
 @frozen(kw_only=True)
 class Explain:
-    """Why an artifact was moved, or could not be; kept in bounded memory."""
+    """Explanation of why an artifact was moved or could not be moved.
+
+    Only a limited number of explanations is kept.
+    """
 
     artifact: Artifact | None
     upstream_id: UpstreamId | None
@@ -54,7 +61,7 @@
 
 @frozen(kw_only=True)
 class WakeAt:
-    """Send `Ticked` at this time (replaces any earlier one)."""
+    """Request to send `Ticked` at a time; replaces any earlier request."""
 
     time: float
 
--- a/mangoway/policy/placement/const.py
+++ b/mangoway/policy/placement/const.py
@@ -3,118 +3,124 @@
 from typing import Final
 
 ORDER_SEND_WINDOW_S: Final = 5.0
-"""Longest time from asking for a ledger write to sending its order.
+"""Maximum time between requesting a ledger write and sending its order.
 
-A controller that was paused for longer between the two drops the order, so that
-others can bound when an order they find in a ledger may have been sent.
+A controller that was paused for longer discards the order. Other controllers can
+therefore bound the time at which an order in a ledger may have been sent.
 """
 
 ORDER_TIMEOUT_S: Final = 30.0
-"""Time after which the shell closes the connection of an unanswered order."""
+"""Time after which the connection of an unanswered order is closed."""
 
 REPORT_LAG_S: Final = 2.0
-"""Time by which a report may be older than its `reported_at` says."""
+"""Time by which the data of a report may be older than its `reported_at`."""
 
-REPORT_FRESH_S: Final = 15.0
-"""Age up to which a report proves that a copy is still ready."""
+MAX_REPORT_AGE_S: Final = 15.0
+"""Maximum age of a report that counts as proof that a copy is ready."""
 
-LOAD_APPEAR_S: Final = 10.0
-"""Time an accepted or unknown load has to show in a report before it is lost."""
+LOAD_REPORT_TIMEOUT_S: Final = 10.0
+"""Time for an accepted load, or one of unknown outcome, to appear in a report.
 
-MAX_RETRY_S: Final = 30.0
-"""Longest wait before an order that failed is tried again."""
+After it the load counts as lost.
+"""
+
+MAX_ORDER_RETRY_DELAY_S: Final = 30.0
+"""Maximum delay before a failed order is retried."""
 
-LEDGER_RETRY_S: Final = 1.0
-"""Wait before a ledger is read again after the service was unavailable."""
+LEDGER_RETRY_DELAY_S: Final = 1.0
+"""Delay before a ledger is read again after the store was unavailable."""
 
-CONFLICT_WAIT_S: Final = 1.0
-"""Wait after the second conflict in a row on a ledger, doubled each time."""
+CONFLICT_RETRY_DELAY_S: Final = 1.0
+"""Delay after the second consecutive conflict on a ledger; doubles each time."""
 
-MAX_CONFLICT_WAIT_S: Final = 8.0
+MAX_CONFLICT_RETRY_DELAY_S: Final = 8.0
 
-PLAN_PERIOD_S: Final = 0.5
-"""Shortest time between two plans."""
+MIN_PLAN_PERIOD_S: Final = 0.5
+"""Minimum time between two plans."""
 
-IDLE_PERIOD_S: Final = 1.0
-"""Longest time between two plans; evidence by time is looked at this often."""
+MAX_PLAN_PERIOD_S: Final = 1.0
+"""Maximum time between two plans; bounds the delay of time-based decisions."""
 
-BLOCKED_RETRY_S: Final = 1.0
-"""Wait before a need that found no runner is tried again, doubled each time."""
+BLOCKED_RETRY_DELAY_S: Final = 1.0
+"""Delay before a need without a runner is retried; doubles each time."""
 
-MAX_BLOCKED_RETRY_S: Final = 8.0
+MAX_BLOCKED_RETRY_DELAY_S: Final = 8.0
 
-NEEDS_PER_PLAN: Final = 16
-"""Needs looked at in one plan; bounds its cost."""
+MAX_NEEDS_PER_PLAN: Final = 16
+"""Maximum number of needs handled by one plan; bounds its cost."""
 
-ROOM_CLAIM_S: Final = 30.0
-"""Time for which room that was made on a runner is kept for its artifact."""
+MEMORY_CLAIM_TIMEOUT_S: Final = 30.0
+"""Time for which freed memory on a runner stays claimed for an artifact."""
 
-BREAK_AFTER_S: Final = 30.0
-"""Time a new version may find no room before the withdrawn one is unloaded first."""
+UNLOAD_FIRST_AFTER_S: Final = 30.0
+"""Time without room for a new version after which the old one is unloaded first."""
 
-DEMAND_PERIOD_S: Final = 1.0
-"""Time between two looks at copies above the floors."""
+DEMAND_EVALUATION_PERIOD_S: Final = 1.0
+"""Time between two evaluations of copies above the floors."""
 
-DEMAND_LOOKS: Final = 400
-"""Artifacts with demand up to which each is looked at every time."""
+MAX_ARTIFACTS_PER_EVALUATION: Final = 400
+"""Number of artifacts with demand up to which each evaluation covers all.
+
+With more artifacts, each evaluation covers about this many of them in turn.
+"""
 
 SURGE_FACTOR: Final = 1.5
-"""Factor by which demand has risen when an artifact does not wait for its turn."""
+"""Growth factor of demand from which an artifact is evaluated out of turn."""
 
-SURGE_RPS: Final = 0.2
-"""Requests per second that it has risen by besides, so that chance is no surge."""
+MIN_SURGE_RPS: Final = 0.2
+"""Additional increase that a surge requires, so that chance does not count."""
 
-DEMAND_REST_S: Final = 4.0
-"""Time between two updates of an estimate while no digest names its artifact."""
+IDLE_DEMAND_UPDATE_PERIOD_S: Final = 4.0
+"""Time between two updates of an estimate that no digest contributes to."""
 
-DEMAND_RISE_S: Final = 3.0
-"""Time constant with which the demand estimate rises."""
+DEMAND_RISE_TIME_CONSTANT_S: Final = 3.0
+"""Time constant of the recent rate, from which the demand estimate rises."""
 
-DEMAND_DEVIATIONS: Final = 2.0
-"""Standard deviations by which the recent rate must be more than chance."""
+MIN_DEMAND_DEVIATIONS: Final = 2.0
+"""Standard deviations subtracted from the recent rate to exclude chance."""
 
-DEMAND_MEAN_S: Final = 60.0
-"""Time constant of the mean that trickles are judged by."""
+DEMAND_MEAN_TIME_CONSTANT_S: Final = 60.0
+"""Time constant of the mean rate, which determines low demand."""
 
-DEMAND_FALL_S: Final = 60.0
-"""Time constant with which the demand estimate falls after a peak."""
+DEMAND_DECAY_TIME_CONSTANT_S: Final = 60.0
+"""Time constant with which the demand estimate decays after a peak."""
 
-DEMAND_EXPIRY_PERIODS: Final = 3.0
-"""Periods after which a gateway's digest no longer counts."""
+DIGEST_EXPIRY_PERIODS: Final = 3.0
+"""Number of its periods after which a gateway's digest expires."""
 
 BACKLOG_DRAIN_S: Final = 10.0
-"""Time in which queued requests should be worked off by added copies."""
+"""Time in which added copies should drain the queued requests."""
 
-DEMAND_FORGET_RPS: Final = 1e-4
-"""Estimated requests per second below which an artifact is forgotten."""
+MIN_DEMAND_RPS: Final = 1e-4
+"""Estimated requests per second below which an artifact's demand is removed."""
 
 DEFAULT_TOKENS_PER_REQUEST: Final = 200.0
 DEFAULT_TOKENS_PER_SECOND: Final = 1000.0
 DEFAULT_MAX_RUNNING: Final = 8
 
 GAIN_HORIZON_S: Final = 300.0
-"""Time over which a copy's gain is summed up."""
+"""Time horizon over which the gain of a copy is calculated."""
 
 KNEE_UTILISATION: Final = 0.9
-"""Utilisation above which waiting is taken from the growth of the backlog."""
+"""Utilisation above which waiting time is derived from the backlog's growth."""
 
-MIN_SHARE: Final = 0.25
-"""Smallest share of a runner that a copy is credited with.
+MIN_RUNNER_SHARE: Final = 0.25
+"""Minimum share of a runner's throughput that a copy is assumed to get.
 
-Gateways share a runner fairly among targets, so a hot model beside it takes less
-from a copy with little demand than the runner's whole load says.
+Gateways share a runner fairly among its artifacts, so a model with high demand
+takes less from a copy with low demand than the runner's total load suggests.
 """
 
-HYSTERESIS: Final = 1.5
-"""Factor by which the gain of a copy must exceed the loss of those it evicts."""
+HYSTERESIS_FACTOR: Final = 1.5
+"""Factor by which the gain of a copy must exceed the loss from its evictions."""
 
 MIN_RESIDENCE_S: Final = 60.0
-"""Time for which a copy is not evicted for demand after it got ready."""
+"""Time after becoming ready for which a copy is not evicted for demand."""
 
-DEMAND_LOADS_IN_PLAN: Final = 4
-"""Copies above the floors that may be proposed in one look."""
+MAX_DEMAND_LOADS_PER_EVALUATION: Final = 4
+"""Maximum number of copies above the floors proposed by one evaluation."""
 
 MB_PER_GB: Final = 1024.0
 
-REASONS_KEPT: Final = 1000
-"""Explanations kept for operators."""
+MAX_REASONS: Final = 1000
+"""Maximum number of explanations kept for operators."""
--- a/mangoway/policy/placement/copies.py
+++ b/mangoway/policy/placement/copies.py
@@ -1,4 +1,4 @@
-"""Index of the copies of each artifact over all runners."""
+"""Index of the copies of all artifacts on all runners."""
 
 from attrs import define, field
 
@@ -8,26 +8,26 @@
 
 Copies = dict[UpstreamId, CopyState]
 
-_NONE: Copies = {}
+_NO_COPIES: Copies = {}
 
 
 @define
 class CopyIndex:
-    """Copies by artifact and by runner, updated one runner at a time."""
+    """Index of copies by artifact and by runner, updated runner by runner."""
 
     by_runner: dict[UpstreamId, dict[Artifact, CopyState]] = field(factory=dict)
     by_artifact: dict[Artifact, Copies] = field(factory=dict)
-    loading: int = 0
-    """Loads in flight on all runners."""
+    loading_count: int = 0
+    """Number of loads in progress on all runners."""
 
     _ready: dict[Artifact, list[UpstreamId]] = field(factory=dict)
-    _held: dict[Artifact, list[UpstreamId]] = field(factory=dict)
-    """Answers of the last questions, until something about the artifact changes."""
+    _ready_or_loading: dict[Artifact, list[UpstreamId]] = field(factory=dict)
+    """Cached results by artifact, removed when its copies change."""
 
     _leaving: set[UpstreamId] = field(factory=set)
 
     def update(self, runner: Runner, now: float) -> set[Artifact]:
-        """Take over a runner's copies; return the artifacts that changed."""
+        """Update the copies on a runner; return the artifacts that changed."""
         old = self.by_runner.get(runner.id, {})
         new = runner.list_copies(now)
         if old == new:
@@ -50,8 +50,8 @@
         new: CopyState | None,
         now: float,
     ) -> None:
-        self.loading += (new is CopyState.LOADING) - (old is CopyState.LOADING)
-        self._forget(artifact)
+        self.loading_count += (new is CopyState.LOADING) - (old is CopyState.LOADING)
+        self._invalidate(artifact)
         if new is None:
             copies = self.by_artifact[artifact]
             del copies[runner.id]
@@ -60,17 +60,17 @@
             return
         self.by_artifact.setdefault(artifact, {})[runner.id] = new
         if new is CopyState.READY:
-            runner.ready_at.setdefault(artifact, now)
+            runner.ready_since.setdefault(artifact, now)
         else:
-            runner.ready_at.pop(artifact, None)
+            runner.ready_since.pop(artifact, None)
 
     def remove(self, upstream_id: UpstreamId) -> set[Artifact]:
-        """Forget a runner; return the artifacts that it had copies of."""
+        """Remove a runner; return the artifacts that it had copies of."""
         old = self.by_runner.pop(upstream_id, {})
         self._leaving.discard(upstream_id)
         for artifact, state in old.items():
-            self.loading -= state is CopyState.LOADING
-            self._forget(artifact)
+            self.loading_count -= state is CopyState.LOADING
+            self._invalidate(artifact)
             copies = self.by_artifact[artifact]
             del copies[upstream_id]
             if not copies:
@@ -79,42 +79,50 @@
 
     def find(self, artifact: Artifact) -> Copies:
         """Return the copies of an artifact."""
-        return self.by_artifact.get(artifact, _NONE)
+        return self.by_artifact.get(artifact, _NO_COPIES)
 
     def set_leaving(self, upstream_id: UpstreamId, leaving: bool) -> None:
-        """Say whether the copies on a runner leave with it."""
+        """Set whether a runner is leaving; its copies then no longer count."""
         if leaving:
             self._leaving.add(upstream_id)
         else:
             self._leaving.discard(upstream_id)
-        for artifact in self.list_on(upstream_id):
-            self._forget(artifact)
+        for artifact in self.list_on_runner(upstream_id):
+            self._invalidate(artifact)
 
     def is_leaving(self, upstream_id: UpstreamId) -> bool:
-        """Return whether the copies on a runner are said to leave with it."""
+        """Return whether a runner is marked as leaving."""
         return upstream_id in self._leaving
 
-    def _forget(self, artifact: Artifact) -> None:
+    def _invalidate(self, artifact: Artifact) -> None:
         self._ready.pop(artifact, None)
-        self._held.pop(artifact, None)
+        self._ready_or_loading.pop(artifact, None)
 
     def list_ready(self, artifact: Artifact) -> list[UpstreamId]:
-        """Return the runners that stay with a ready copy, in order; don't change it."""
-        found = self._ready.get(artifact)
-        if found is None:
-            found = self._list_in(artifact, (CopyState.READY,))
-            self._ready[artifact] = found
-        return found
-
-    def list_held(self, artifact: Artifact) -> list[UpstreamId]:
-        """Return the runners that stay with a ready or loading copy, in order."""
-        found = self._held.get(artifact)
-        if found is None:
-            found = self._list_in(artifact, (CopyState.READY, CopyState.LOADING))
-            self._held[artifact] = found
-        return found
-
-    def _list_in(
+        """Return the sorted runners with a ready copy that are not leaving.
+
+        The list is cached and must not be changed.
+        """
+        holders = self._ready.get(artifact)
+        if holders is None:
+            holders = self._list_in_states(artifact, (CopyState.READY,))
+            self._ready[artifact] = holders
+        return holders
+
+    def list_ready_or_loading(self, artifact: Artifact) -> list[UpstreamId]:
+        """Return the sorted runners with a ready or loading copy that are not leaving.
+
+        The list is cached and must not be changed.
+        """
+        holders = self._ready_or_loading.get(artifact)
+        if holders is None:
+            holders = self._list_in_states(
+                artifact, (CopyState.READY, CopyState.LOADING)
+            )
+            self._ready_or_loading[artifact] = holders
+        return holders
+
+    def _list_in_states(
         self, artifact: Artifact, states: tuple[CopyState, ...]
     ) -> list[UpstreamId]:
         return sorted(
@@ -123,6 +131,6 @@
             if state in states and upstream_id not in self._leaving
         )
 
-    def list_on(self, upstream_id: UpstreamId) -> dict[Artifact, CopyState]:
+    def list_on_runner(self, upstream_id: UpstreamId) -> dict[Artifact, CopyState]:
         """Return the copies on a runner."""
         return self.by_runner.get(upstream_id, {})
--- a/mangoway/policy/placement/core.py
+++ b/mangoway/policy/placement/core.py
@@ -1,4 +1,4 @@
-"""The placement core: takes events, keeps the state, returns the next steps."""
+"""Placement core: handles events, keeps the state and returns actions."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from ...models.upstream import UpstreamAddress, UpstreamKind
 from . import events
 from .actions import Explain, PlacementAction, WakeAt
-from .const import IDLE_PERIOD_S, PLAN_PERIOD_S, REASONS_KEPT
+from .const import MAX_PLAN_PERIOD_S, MAX_REASONS, MIN_PLAN_PERIOD_S
 from .options import PlacementOptions
 from .planner import Planner
 from .registry import register_placement
@@ -20,10 +20,10 @@
 
 
 class PlacementCore:
-    """Decides what is loaded where in one cell, for one controller.
+    """Decides for one controller which artifacts are loaded on which runners of a cell.
 
-    It may run in several controllers at once: safety rests on the ledgers and their
-    compare-and-swap, the lease only says who should plan.
+    Several controllers may be active at once: safety relies on compare-and-swap
+    writes of the ledgers. The lease only determines which controller should plan.
     """
 
     def __init__(
@@ -35,41 +35,41 @@
         """Create the core of one controller incarnation.
 
         Args:
-            incarnation: Unique start of this controller's order identifiers.
-            options: Mechanisms to take out; all are on by default.
-            rng: Random source; this policy decides without one.
+            incarnation: Unique prefix of this controller's order identifiers.
+            options: Mechanisms to disable; all are enabled by default.
+            rng: Random source; unused by this policy.
         """
         self.state = PlacementState(options or PlacementOptions())
         self.reservations = Reservations(self.state, incarnation)
         self._planner = Planner(self.state, self.reservations)
-        self._reasons: deque[Reason] = deque(maxlen=REASONS_KEPT)
-        self._plan_at = 0.0
-        self._wake_at: float | None = None
+        self._reasons: deque[Reason] = deque(maxlen=MAX_REASONS)
+        self._next_plan_at = 0.0
+        self._wakeup_at: float | None = None
         self._handlers: dict[type, Callable[[Any, float], None]] = {
-            events.LeaseGained: self._take_lease,
-            events.LeaseLost: self._lose_lease,
-            events.LedgerRead: self.reservations.take_read,
-            events.LedgerWritten: self.reservations.take_written,
-            events.LedgerConflicted: self.reservations.take_conflict,
-            events.LedgerUnavailable: self.reservations.take_unavailable,
-            events.OrderAnswered: self.reservations.orders.take_answer,
-            events.OrderFailed: self.reservations.orders.take_failure,
-            events.RunnersListed: self._take_runners,
-            events.EngineDescribed: self._meet_engine,
-            events.EngineReported: self._take_report,
-            events.EngineSilent: self._take_silence,
-            events.DemandReported: self._take_demand,
-            events.ConfigurationChanged: self._take_configuration,
-            events.Ticked: self._take_tick,
+            events.LeaseGained: self._handle_lease_gained,
+            events.LeaseLost: self._handle_lease_lost,
+            events.LedgerRead: self.reservations.handle_read,
+            events.LedgerWritten: self.reservations.handle_written,
+            events.LedgerConflicted: self.reservations.handle_conflict,
+            events.LedgerUnavailable: self.reservations.handle_unavailable,
+            events.OrderAnswered: self.reservations.order_sender.handle_answer,
+            events.OrderFailed: self.reservations.order_sender.handle_failure,
+            events.RunnersListed: self._handle_runners,
+            events.EngineDescribed: self._handle_description,
+            events.EngineReported: self._handle_report,
+            events.EngineSilent: self._handle_silence,
+            events.DemandReported: self._handle_demand,
+            events.ConfigurationChanged: self._handle_configuration,
+            events.Ticked: self._handle_tick,
         }
 
     def handle(self, event: events.PlacementEvent, now: float) -> list[PlacementAction]:
-        """Take one event at time `now` and return the next steps."""
+        """Handle an event at time `now` and return the resulting actions."""
         self._handlers[type(event)](event, now)
-        if now >= self._plan_at:
-            self._plan_at = now + PLAN_PERIOD_S
+        if now >= self._next_plan_at:
+            self._next_plan_at = now + MIN_PLAN_PERIOD_S
             self._planner.plan(now)
-        self._set_alarm(now)
+        self._schedule_wakeup(now)
         actions = list(self.reservations.outbox.actions)
         self.reservations.outbox.actions.clear()
         self._reasons.extend(
@@ -80,74 +80,83 @@
         return actions
 
     def build_status(self, now: float) -> PlacementStatus:
-        """Return a snapshot for operators; it changes nothing."""
-        is_active = self.reservations.access.is_active
+        """Return a snapshot for operators without changing any state."""
+        is_active = self.reservations.ledger_access.is_active
         return build_status(self.state, is_active, self._reasons, now)
 
-    def _set_alarm(self, now: float) -> None:
+    def _schedule_wakeup(self, now: float) -> None:
         is_due = bool(
-            self.reservations.outbox.dirty or self.reservations.outbox.changed
+            self.reservations.outbox.dirty_runners
+            or self.reservations.outbox.changed_artifacts
         )
-        wake_at = self._plan_at if is_due else now + IDLE_PERIOD_S
+        wakeup_at = self._next_plan_at if is_due else now + MAX_PLAN_PERIOD_S
         if self.state.claims or len(self.state.queue):
-            wake_at = self._plan_at
-        current = self._wake_at
-        if current is None or current <= now or wake_at < current:
-            self._wake_at = wake_at
-            self.reservations.outbox.actions.append(WakeAt(time=wake_at))
+            wakeup_at = self._next_plan_at
+        current = self._wakeup_at
+        if current is None or current <= now or wakeup_at < current:
+            self._wakeup_at = wakeup_at
+            self.reservations.outbox.actions.append(WakeAt(time=wakeup_at))
 
-    def _take_tick(self, event: events.Ticked, now: float) -> None:
-        self._wake_at = None
+    def _handle_tick(self, event: events.Ticked, now: float) -> None:
+        self._wakeup_at = None
 
-    def _take_lease(self, event: events.LeaseGained, now: float) -> None:
-        if not self.reservations.access.is_active:
+    def _handle_lease_gained(self, event: events.LeaseGained, now: float) -> None:
+        if not self.reservations.ledger_access.is_active:
             self.reservations.activate(now)
 
-    def _lose_lease(self, event: events.LeaseLost, now: float) -> None:
+    def _handle_lease_lost(self, event: events.LeaseLost, now: float) -> None:
         self.reservations.deactivate()
         self.state.claims.clear()
 
-    def _take_runners(self, event: events.RunnersListed, now: float) -> None:
+    def _handle_runners(self, event: events.RunnersListed, now: float) -> None:
         listed = {
             address.id: address
             for address in event.runners
             if address.kind is UpstreamKind.ENGINE
         }
         for upstream_id, address in listed.items():
-            self._list_runner(upstream_id, address)
+            self._add_runner(upstream_id, address)
         for runner in list(self.state.runners.values()):
             if runner.id not in listed:
-                self._unlist_runner(runner)
-        self.reservations.access.read_ledgers(now)
+                self._remove_runner(runner)
+        self.reservations.ledger_access.request_unknown_ledgers(now)
 
-    def _list_runner(self, upstream_id: UpstreamId, address: UpstreamAddress) -> None:
+    def _add_runner(self, upstream_id: UpstreamId, address: UpstreamAddress) -> None:
         runner = self.state.runners.get(upstream_id)
         if runner is None:
             runner = Runner(id=upstream_id, data_centre=address.data_centre)
             self.state.runners[upstream_id] = runner
         runner.listed = True
         runner.leaving = address.leaving
-        self._note_leaving(runner)
+        self._update_leaving(runner)
         runner.data_centre = address.data_centre
-        self.reservations.outbox.dirty.add(upstream_id)
+        self.reservations.outbox.dirty_runners.add(upstream_id)
 
-    def _unlist_runner(self, runner: Runner) -> None:
-        """Stop using a runner; keep what is known of orders until they are over."""
+    def _remove_runner(self, runner: Runner) -> None:
+        """Stop using a runner; keep its record until all orders have ended."""
         runner.listed = False
-        self.reservations.outbox.changed |= self.state.copies.remove(runner.id)
+        self.reservations.outbox.changed_artifacts |= self.state.copies.remove(
+            runner.id
+        )
         self.state.claims.pop(runner.id, None)
-        if runner.sent or runner.write is not None or runner.reads:
+        if (
+            runner.sent_orders
+            or runner.pending_write is not None
+            or runner.pending_reads
+        ):
             return
         del self.state.runners[runner.id]
 
-    def _note_leaving(self, runner: Runner) -> None:
+    def _update_leaving(self, runner: Runner) -> None:
         if self.state.copies.is_leaving(runner.id) == runner.is_leaving:
             return
         self.state.copies.set_leaving(runner.id, runner.is_leaving)
-        self.reservations.outbox.changed |= set(self.state.copies.list_on(runner.id))
-        self.reservations.outbox.dirty.add(runner.id)
+        self.reservations.outbox.changed_artifacts |= set(
+            self.state.copies.list_on_runner(runner.id)
+        )
+        self.reservations.outbox.dirty_runners.add(runner.id)
 
-    def _meet_engine(self, event: events.EngineDescribed, now: float) -> None:
+    def _handle_description(self, event: events.EngineDescribed, now: float) -> None:
         description = event.description
         runner = self.state.runners.get(description.upstream)
         if runner is None:
@@ -155,16 +164,16 @@
         old = runner.description
         if old is not None and old.incarnation != description.incarnation:
             runner.report = None
-            runner.appear_by.clear()
+            runner.load_deadlines.clear()
             runner.retries.clear()
             self.reservations.outbox.explain(None, runner, "engine_restarted")
         if old != description or runner.silent:
-            self.reservations.outbox.dirty.add(runner.id)
+            self.reservations.outbox.dirty_runners.add(runner.id)
         runner.description = description
         runner.silent = False
-        self._note_leaving(runner)
+        self._update_leaving(runner)
 
-    def _take_report(self, event: events.EngineReported, now: float) -> None:
+    def _handle_report(self, event: events.EngineReported, now: float) -> None:
         report = event.report
         runner = self.state.runners.get(report.upstream)
         if runner is None or runner.description is None:
@@ -174,27 +183,27 @@
         old = runner.report
         if old is not None and report.reported_at < old.reported_at:
             return
-        is_same = runner.is_settled and not runner.silent and old is not None
+        is_same = runner.is_steady and not runner.silent and old is not None
         if is_same and old is not None:
             is_same = old.residents == report.residents and old.fence == report.fence
         runner.report = report
         runner.silent = False
-        self._note_leaving(runner)
+        self._update_leaving(runner)
         if not is_same:
-            self.reservations.outbox.dirty.add(runner.id)
+            self.reservations.outbox.dirty_runners.add(runner.id)
 
-    def _take_silence(self, event: events.EngineSilent, now: float) -> None:
+    def _handle_silence(self, event: events.EngineSilent, now: float) -> None:
         runner = self.state.runners.get(event.upstream_id)
         if runner is None or runner.silent:
             return
         runner.silent = True
-        self.reservations.outbox.dirty.add(runner.id)
+        self.reservations.outbox.dirty_runners.add(runner.id)
         self.reservations.outbox.explain(None, runner, "engine_silent")
 
-    def _take_demand(self, event: events.DemandReported, now: float) -> None:
-        self.state.demand.take(event, now)
+    def _handle_demand(self, event: events.DemandReported, now: float) -> None:
+        self.state.demand.apply_digest(event, now)
 
-    def _take_configuration(
+    def _handle_configuration(
         self, event: events.ConfigurationChanged, now: float
     ) -> None:
         current = self.state.configuration
@@ -207,13 +216,13 @@
         }
         for need in self.state.queue.list_all():
             self.state.queue.drop(need.artifact)
-        self.reservations.outbox.dirty.update(self.state.runners)
-        self._planner.restart_floors()
+        self.reservations.outbox.dirty_runners.update(self.state.runners)
+        self._planner.refresh_all_floors()
 
 
 @register_placement("marginal_gain")
 def create_placement(
     incarnation: IncarnationId, options: PlacementOptions, rng: Random
 ) -> PlacementCore:
-    """Create the policy that weighs copies by their marginal gain."""
+    """Create the policy that ranks copies by their marginal gain."""
     return PlacementCore(incarnation, options, rng)
--- a/mangoway/policy/placement/demand.py
+++ b/mangoway/policy/placement/demand.py
@@ -1,4 +1,4 @@
-"""Estimate of the demand for each artifact from the gateways' digests."""
+"""Estimation of the demand for each artifact from the gateways' digests."""
 
 from math import exp, sqrt
 
@@ -9,21 +9,21 @@
 from .const import (
     BACKLOG_DRAIN_S,
     DEFAULT_TOKENS_PER_REQUEST,
-    DEMAND_DEVIATIONS,
-    DEMAND_EXPIRY_PERIODS,
-    DEMAND_FALL_S,
-    DEMAND_FORGET_RPS,
-    DEMAND_LOOKS,
-    DEMAND_MEAN_S,
-    DEMAND_REST_S,
-    DEMAND_RISE_S,
+    DEMAND_DECAY_TIME_CONSTANT_S,
+    DEMAND_MEAN_TIME_CONSTANT_S,
+    DEMAND_RISE_TIME_CONSTANT_S,
+    DIGEST_EXPIRY_PERIODS,
+    IDLE_DEMAND_UPDATE_PERIOD_S,
+    MAX_ARTIFACTS_PER_EVALUATION,
+    MIN_DEMAND_DEVIATIONS,
+    MIN_DEMAND_RPS,
 )
 from .events import DemandReported
 
 
 @frozen(kw_only=True)
 class Demand:
-    """Demand for one artifact."""
+    """Demand for an artifact."""
 
     requests_per_second: float = 0.0
     tokens_per_second: float = 0.0
@@ -39,136 +39,144 @@
 
 
 @frozen
-class _Steps:
-    """Parts of the way that the moving averages go in some seconds."""
+class _Weights:
+    """Weights of a new value in the moving averages after some elapsed time."""
 
     rise: float
     mean: float
     fall: float
 
 
-def _find_steps(elapsed_s: float) -> _Steps:
-    return _Steps(
-        rise=1.0 - exp(-elapsed_s / DEMAND_RISE_S),
-        mean=1.0 - exp(-elapsed_s / DEMAND_MEAN_S),
-        fall=1.0 - exp(-elapsed_s / DEMAND_FALL_S),
+def _find_weights(elapsed_s: float) -> _Weights:
+    return _Weights(
+        rise=1.0 - exp(-elapsed_s / DEMAND_RISE_TIME_CONSTANT_S),
+        mean=1.0 - exp(-elapsed_s / DEMAND_MEAN_TIME_CONSTANT_S),
+        fall=1.0 - exp(-elapsed_s / DEMAND_DECAY_TIME_CONSTANT_S),
     )
 
 
 @define
-class _Estimate:
-    """What is known of the demand for one artifact; rates are requests per second."""
+class _Averages:
+    """Moving averages of the demand for an artifact, in requests per second."""
 
     recent: float = 0.0
     mean: float = 0.0
-    held: float = 0.0
-    tokens_each: float = DEFAULT_TOKENS_PER_REQUEST
-    moved_at: float = 0.0
-
-    def move(self, requests: float, tokens: float, steps: _Steps) -> None:
-        """Move towards the total of the digests by some steps."""
-        self.recent += steps.rise * (requests - self.recent)
-        self.mean += steps.mean * (requests - self.mean)
-        self.held *= 1.0 - steps.fall
-        self.held = max(self.held, self._find_certain())
+    peak: float = 0.0
+    tokens_per_request: float = DEFAULT_TOKENS_PER_REQUEST
+    updated_at: float = 0.0
+
+    def update(self, requests: float, tokens: float, weights: _Weights) -> None:
+        """Update the averages with the total of all digests."""
+        self.recent += weights.rise * (requests - self.recent)
+        self.mean += weights.mean * (requests - self.mean)
+        self.peak *= 1.0 - weights.fall
+        self.peak = max(self.peak, self._find_significant_rate())
         if requests > 0.0:
-            self.tokens_each += steps.rise * (tokens / requests - self.tokens_each)
+            self.tokens_per_request += weights.rise * (
+                tokens / requests - self.tokens_per_request
+            )
 
-    def _find_certain(self) -> float:
-        """Return the recent rate less what chance may have added to it.
+    def _find_significant_rate(self) -> float:
+        """Return the recent rate less its probable random excess.
 
-        Arrivals by chance give a moving average of this rate and time constant a
-        standard deviation of sqrt(rate / (2 * time constant)). Without this a few
-        requests in one period would look like a surge of an artifact that has a
-        trickle only.
+        With random arrivals, a moving average of this rate and time constant has a
+        standard deviation of sqrt(rate / (2 * time constant)). Without the
+        subtraction, a few requests in one period would look like a surge of an
+        artifact with low demand.
         """
-        deviation = sqrt(self.recent / (2.0 * DEMAND_RISE_S))
-        return max(0.0, self.recent - DEMAND_DEVIATIONS * deviation)
+        deviation = sqrt(self.recent / (2.0 * DEMAND_RISE_TIME_CONSTANT_S))
+        return max(0.0, self.recent - MIN_DEMAND_DEVIATIONS * deviation)
 
-    def as_demand(self) -> Demand:
-        """Return the estimate: the mean, or the higher peak that is still held."""
-        requests = max(self.mean, self.held)
+    def to_demand(self) -> Demand:
+        """Return the estimate: the mean rate, or the decaying peak if it is higher."""
+        requests = max(self.mean, self.peak)
         return Demand(
-            requests_per_second=requests, tokens_per_second=requests * self.tokens_each
+            requests_per_second=requests,
+            tokens_per_second=requests * self.tokens_per_request,
         )
 
 
 @define
 class DemandEstimator:
-    """Sums the gateways' digests; rises fast on clear evidence and falls slowly."""
+    """Estimates demand from the gateways' digests; rises fast and decays slowly."""
 
     _digests: dict[HostId, _Digest] = field(factory=dict)
-    _states: dict[Artifact, _Estimate] = field(factory=dict)
+    _averages: dict[Artifact, _Averages] = field(factory=dict)
     _estimates: dict[Artifact, Demand] = field(factory=dict)
     _updated_at: float = 0.0
 
-    def take(self, event: DemandReported, now: float) -> None:
-        """Take a gateway's digest in place of its last one."""
+    def apply_digest(self, event: DemandReported, now: float) -> None:
+        """Replace a gateway's previous digest."""
         period_s = max(event.period_s, 1e-3)
         rates: dict[Artifact, Demand] = {}
         for rate in event.rates:
             requests = rate.arrived / period_s + rate.queued / BACKLOG_DRAIN_S
             if rate.arrived > 0 and rate.tokens > 0:
-                tokens_each = rate.tokens / rate.arrived
+                tokens_per_request = rate.tokens / rate.arrived
             else:
-                tokens_each = self._find_tokens_each(rate.artifact)
+                tokens_per_request = self._find_tokens_per_request(rate.artifact)
             rates[rate.artifact] = Demand(
-                requests_per_second=requests, tokens_per_second=requests * tokens_each
+                requests_per_second=requests,
+                tokens_per_second=requests * tokens_per_request,
             )
-        expires_at = now + max(period_s * DEMAND_EXPIRY_PERIODS, 3.0)
+        expires_at = now + max(period_s * DIGEST_EXPIRY_PERIODS, 3.0)
         self._digests[event.gateway] = _Digest(expires_at, rates)
 
-    def _find_tokens_each(self, artifact: Artifact) -> float:
+    def _find_tokens_per_request(self, artifact: Artifact) -> float:
         estimate = self._estimates.get(artifact)
         if estimate is None or estimate.requests_per_second <= 0.0:
             return DEFAULT_TOKENS_PER_REQUEST
         return estimate.tokens_per_second / estimate.requests_per_second
 
     def update(self, now: float) -> list[Artifact]:
-        """Move the estimates towards the digests that still count.
+        """Update the estimates from the digests that have not expired.
 
         Returns:
-            Artifacts that the digests name, whose estimates may have risen.
+            Artifacts in the digests, whose estimates may have risen.
         """
         self._drop_expired(now)
         totals = self._sum_digests()
-        steps: dict[float, _Steps] = {}
+        weights: dict[float, _Weights] = {}
         for artifact, (requests, tokens) in totals.items():
-            state = self._states.get(artifact)
-            if state is None:
-                state = _Estimate(moved_at=self._updated_at)
-                self._states[artifact] = state
-            self._move(artifact, state, requests, tokens, now, steps)
-        rest_s = DEMAND_REST_S if len(self._states) > DEMAND_LOOKS else 0.0
-        for artifact, state in list(self._states.items()):
-            if 0.0 < now - state.moved_at >= rest_s:
-                self._move(artifact, state, 0.0, 0.0, now, steps)
+            averages = self._averages.get(artifact)
+            if averages is None:
+                averages = _Averages(updated_at=self._updated_at)
+                self._averages[artifact] = averages
+            self._update_averages(artifact, averages, requests, tokens, now, weights)
+        update_period_s = (
+            IDLE_DEMAND_UPDATE_PERIOD_S
+            if len(self._averages) > MAX_ARTIFACTS_PER_EVALUATION
+            else 0.0
+        )
+        for artifact, averages in list(self._averages.items()):
+            if 0.0 < now - averages.updated_at >= update_period_s:
+                self._update_averages(artifact, averages, 0.0, 0.0, now, weights)
         self._updated_at = now
         return list(totals)
 
-    def _move(
+    def _update_averages(
         self,
         artifact: Artifact,
-        state: _Estimate,
+        averages: _Averages,
         requests: float,
         tokens: float,
         now: float,
-        steps: dict[float, _Steps],
+        weights: dict[float, _Weights],
     ) -> None:
-        elapsed_s = now - state.moved_at
-        if elapsed_s not in steps:
-            steps[elapsed_s] = _find_steps(elapsed_s)
-        state.move(requests, tokens, steps[elapsed_s])
-        state.moved_at = now
-        self._publish(artifact, state)
+        elapsed_s = now - averages.updated_at
+        if elapsed_s not in weights:
+            weights[elapsed_s] = _find_weights(elapsed_s)
+        averages.update(requests, tokens, weights[elapsed_s])
+        averages.updated_at = now
+        self._publish(artifact, averages)
 
     def _drop_expired(self, now: float) -> None:
         digests = self._digests
-        for gateway in [one for one in digests if digests[one].expires_at < now]:
+        for gateway in [each for each in digests if digests[each].expires_at < now]:
             del digests[gateway]
 
     def _sum_digests(self) -> dict[Artifact, tuple[float, float]]:
-        """Return the requests and tokens per second of each artifact."""
+        """Return the total requests and tokens per second of each artifact."""
         totals: dict[Artifact, tuple[float, float]] = {}
         for digest in self._digests.values():
             for artifact, rate in digest.rates.items():
@@ -177,18 +185,18 @@
                 totals[artifact] = (requests, tokens + rate.tokens_per_second)
         return totals
 
-    def _publish(self, artifact: Artifact, state: _Estimate) -> None:
-        estimate = state.as_demand()
-        if estimate.requests_per_second < DEMAND_FORGET_RPS:
-            del self._states[artifact]
+    def _publish(self, artifact: Artifact, averages: _Averages) -> None:
+        estimate = averages.to_demand()
+        if estimate.requests_per_second < MIN_DEMAND_RPS:
+            del self._averages[artifact]
             self._estimates.pop(artifact, None)
             return
         self._estimates[artifact] = estimate
 
     def find(self, artifact: Artifact) -> Demand:
-        """Return the estimate of an artifact."""
+        """Return the estimated demand for an artifact."""
         return self._estimates.get(artifact, NO_DEMAND)
 
     def list_all(self) -> dict[Artifact, Demand]:
-        """Return the estimates of all artifacts with demand."""
+        """Return the estimated demand for all artifacts that have any."""
         return self._estimates
--- a/mangoway/policy/placement/demand_needs.py
+++ b/mangoway/policy/placement/demand_planner.py
@@ -1,35 +1,35 @@
-"""Needs for copies above the floors."""
+"""Proposals of copies above the floors."""
 
 from attrs import define
 
 from ...models.artifact import Artifact
-from .choice import RunnerChoice
 from .const import (
-    DEMAND_LOADS_IN_PLAN,
+    MAX_DEMAND_LOADS_PER_EVALUATION,
     MB_PER_GB,
 )
-from .demand_rounds import DemandRounds
+from .demand_rotation import DemandRotation
 from .gains import GainModel
 from .load_queue import Need, NeedRank
+from .runner_selector import RunnerSelector
 from .runners import Runner
 from .state import PlacementState
 
 
 @define
-class DemandNeeds:
-    """Proposes the copies that are worth most per GB."""
+class DemandPlanner:
+    """Proposes the copies with the highest gain per GB."""
 
     _state: PlacementState
     _gains: GainModel
-    _choice: RunnerChoice
-    _rounds: DemandRounds
+    _selector: RunnerSelector
+    _rotation: DemandRotation
 
-    def look(self, now: float, is_active: bool) -> None:
-        """Take over the demand, and propose copies if this controller plans."""
-        named = self._state.demand.update(now)
+    def evaluate(self, now: float, is_active: bool) -> None:
+        """Update the demand, and propose copies if this controller is active."""
+        reported = self._state.demand.update(now)
         if not is_active:
             return
-        due = self._rounds.start(named)
+        due = self._rotation.select_due(reported)
         self._state.queue.drop_rank(NeedRank.DEMAND)
         if not self._state.options.demand_copies:
             return
@@ -38,25 +38,25 @@
             for artifact in due
             if (need := self._propose(artifact, now)) is not None
         ]
-        self._rounds.hurry(need.artifact for need in proposals)
+        self._rotation.prioritise(need.artifact for need in proposals)
         proposals.sort(key=lambda need: need.order_key)
-        for need in proposals[:DEMAND_LOADS_IN_PLAN]:
+        for need in proposals[:MAX_DEMAND_LOADS_PER_EVALUATION]:
             self._state.queue.put(need)
 
     def _propose(self, artifact: Artifact, now: float) -> Need | None:
-        """Return the need for one more copy if a fresh runner would be worth it."""
+        """Return the need for one more copy if its gain exceeds the price of a move."""
         if artifact not in self._state.offered:
             return None
         if self._state.queue.find(artifact) is not None:
             return None
-        bound = self._gains.find_most(artifact)
-        if bound <= self.find_price():
+        max_gain = self._gains.find_max_gain(artifact)
+        if max_gain <= self.find_move_price():
             return None
         memory_mb = self._state.find_memory_mb(artifact)
         need = Need(artifact=artifact, rank=NeedRank.DEMAND, memory_mb=memory_mb)
-        runner = self._choice.find_runner(need, now)
-        gain = bound if runner is None else self._gains.find_gain(artifact, runner)
-        if gain <= self.find_price():
+        runner = self._selector.find_runner(need, now)
+        gain = max_gain if runner is None else self._gains.find_gain(artifact, runner)
+        if gain <= self.find_move_price():
             return None
         gain_per_gb = gain * MB_PER_GB / max(memory_mb, 1)
         return Need(
@@ -66,12 +66,12 @@
             memory_mb=memory_mb,
         )
 
-    def find_price(self) -> float:
-        """Return the gain in request-seconds that a move has to exceed."""
+    def find_move_price(self) -> float:
+        """Return the gain in request-seconds that a move must exceed."""
         if self._state.configuration is None or not self._state.options.move_price:
             return 0.0
         return self._state.configuration.site.move_price
 
-    def pays_alone(self, need: Need, runner: Runner) -> bool:
-        """Return whether a copy that evicts nothing is worth a move."""
-        return self._gains.find_gain(need.artifact, runner) > self.find_price()
+    def is_load_worthwhile(self, need: Need, runner: Runner) -> bool:
+        """Return whether a load without evictions is worth the price of a move."""
+        return self._gains.find_gain(need.artifact, runner) > self.find_move_price()
--- a/mangoway/policy/placement/events.py
+++ b/mangoway/policy/placement/events.py
@@ -1,4 +1,4 @@
-"""Events that the placement core takes."""
+"""Events that the placement core handles."""
 
 from attrs import frozen
 
@@ -19,7 +19,10 @@
 
 @frozen(kw_only=True)
 class LeaseGained:
-    """This controller holds the lease of its cell; a hint only."""
+    """This controller acquired the lease of its cell.
+
+    Another controller may still act as if it held the lease.
+    """
 
 
 @frozen(kw_only=True)
@@ -29,7 +32,7 @@
 
 @frozen(kw_only=True)
 class LedgerRead:
-    """A ledger was read; None with revision 0 if the key is absent."""
+    """A ledger was read; it is None with revision 0 if the key is absent."""
 
     upstream_id: UpstreamId
     ledger: Ledger | None
@@ -38,7 +41,7 @@
 
 @frozen(kw_only=True)
 class LedgerWritten:
-    """A ledger write took effect (ambiguous writes are settled by read-back)."""
+    """A ledger write took effect; ambiguous writes are verified by reading back."""
 
     upstream_id: UpstreamId
     ledger: Ledger
@@ -47,7 +50,7 @@
 
 @frozen(kw_only=True)
 class LedgerConflicted:
-    """A ledger write certainly did not take effect: the revision had moved on."""
+    """A ledger write did not take effect because the revision had changed."""
 
     upstream_id: UpstreamId
     ledger: Ledger | None
@@ -56,7 +59,7 @@
 
 @frozen(kw_only=True)
 class LedgerUnavailable:
-    """A read or write got no settled result; a write may have taken effect."""
+    """A read or write has no definite result; a write may have taken effect."""
 
     upstream_id: UpstreamId
 
@@ -75,7 +78,7 @@
 class OrderFailed:
     """An order got no answer, and its connection is closed.
 
-    NOT_RUN: it certainly never reached the engine.
+    The verdict NOT_RUN means that the order never reached the engine.
     """
 
     order_id: OrderId
@@ -85,14 +88,14 @@
 
 @frozen(kw_only=True)
 class RunnersListed:
-    """The whole list of runners of the cell that are known now."""
+    """Complete list of the currently known runners of the cell."""
 
     runners: tuple[UpstreamAddress, ...]
 
 
 @frozen(kw_only=True)
 class EngineDescribed:
-    """An engine described itself."""
+    """An engine sent its description."""
 
     description: EngineDescription
 
@@ -106,14 +109,14 @@
 
 @frozen(kw_only=True)
 class EngineSilent:
-    """An engine did not answer its probes for the stated time."""
+    """An engine has not answered its probes for the configured time."""
 
     upstream_id: UpstreamId
 
 
 @frozen(kw_only=True)
 class ArtifactRate:
-    """Demand for one artifact as one gateway saw it in a period."""
+    """Demand for an artifact at one gateway in one period."""
 
     artifact: Artifact
     arrived: int
@@ -124,7 +127,7 @@
 
 @frozen(kw_only=True)
 class DemandReported:
-    """A gateway's demand digest."""
+    """A gateway's demand digest arrived."""
 
     gateway: HostId
     incarnation: IncarnationId
@@ -134,14 +137,14 @@
 
 @frozen(kw_only=True)
 class ConfigurationChanged:
-    """A newer configuration is in force."""
+    """A newer configuration took effect."""
 
     configuration: Configuration
 
 
 @frozen(kw_only=True)
 class Ticked:
-    """Time passed; sent at the time of the last `WakeAt`, or later."""
+    """The time of the last `WakeAt` was reached."""
 
 
 PlacementEvent = (
--- a/mangoway/policy/placement/floors.py
+++ b/mangoway/policy/placement/floors.py
@@ -1,4 +1,4 @@
-"""Floors: what is lacking now, and whether all floors fit the declared runners."""
+"""Floors: missing copies, and a check that all floors fit the declared runners."""
 
 from attrs import define, field, frozen
 
@@ -10,18 +10,18 @@
 
 
 def find_floor_need(state: PlacementState, artifact: Artifact) -> Need | None:
-    """Return what the floor of an artifact lacks; None if nothing."""
+    """Return the need for the next missing floor copy of an artifact, or None."""
     floor = state.offered.get(artifact)
     if floor is None:
         return None
     floor = max(floor, 1)
     ready = state.copies.list_ready(artifact)
-    coming = state.copies.list_held(artifact)
-    if len(coming) < floor:
+    ready_or_loading = state.copies.list_ready_or_loading(artifact)
+    if len(ready_or_loading) < floor:
         rank = NeedRank.FLOOR if ready else NeedRank.LAST_COPY
-        if not ready and coming:
+        if not ready and ready_or_loading:
             rank = NeedRank.FLOOR
-    elif len(state.list_data_centres(coming)) < state.find_spread(artifact):
+    elif len(state.list_data_centres(ready_or_loading)) < state.find_spread(artifact):
         rank = NeedRank.SPREAD
     else:
         return None
@@ -39,7 +39,7 @@
 
     artifact: Artifact
     memory_mb: int
-    """Memory of one copy with the adapters that go beside it."""
+    """Memory of one copy including the adapters placed beside it."""
 
     reason: str
     """Stable reason code, lower case with underscores."""
@@ -51,7 +51,7 @@
 class _Bin:
     data_centre: DataCentreId
     free_mb: int
-    held: set[Artifact] = field(factory=set)
+    bases: set[Artifact] = field(factory=set)
 
 
 @frozen(kw_only=True)
@@ -66,30 +66,31 @@
 def check_floors_fit(configuration: Configuration) -> list[Shortage]:
     """Return the floor copies that do not fit the declared runners; empty if all do.
 
-    Copies are packed largest first, each into the runner with the least room that
-    holds it, with the KV cache floor taken off every runner. One runner keeps room
-    for another copy of the largest artifact, so that versions and copies can be
-    replaced by loading first. Nothing is checked if no runners are declared.
+    Copies are packed largest first, each into the runner with the least free memory
+    that is sufficient, after subtracting the KV cache floor from every runner. One
+    runner keeps memory free for another copy of the largest artifact, so that
+    versions and copies can be replaced by loading first. Nothing is checked if no
+    runners are declared.
     """
     if not configuration.runner_groups:
         return []
-    # Either order may fail where the other fits; one that fits is enough.
-    swing_last = _pack(configuration, swing_first=False)
-    if not swing_last:
+    # Each of the two orders may fail where the other succeeds; one is enough.
+    reserved_last = _pack(configuration, reserve_first=False)
+    if not reserved_last:
         return []
-    swing_first = _pack(configuration, swing_first=True)
-    return min(swing_last, swing_first, key=len)
+    reserve_first = _pack(configuration, reserve_first=True)
+    return min(reserved_last, reserve_first, key=len)
 
 
-def _pack(configuration: Configuration, swing_first: bool) -> list[Shortage]:
+def _pack(configuration: Configuration, reserve_first: bool) -> list[Shortage]:
     bins = _list_bins(configuration)
-    shortages = _reserve_swing(configuration, bins) if swing_first else []
+    shortages = _reserve_replacement(configuration, bins) if reserve_first else []
     for item in _list_items(configuration):
-        shortage = _place(configuration, bins, item)
+        shortage = _pack_item(configuration, bins, item)
         if shortage is not None:
             shortages.append(shortage)
-    if not swing_first:
-        shortages.extend(_reserve_swing(configuration, bins))
+    if not reserve_first:
+        shortages.extend(_reserve_replacement(configuration, bins))
     return shortages
 
 
@@ -102,27 +103,29 @@
             for _ in range(group.count)
         ]
 
-    return [one for group in configuration.runner_groups for one in list_group(group)]
+    return [each for group in configuration.runner_groups for each in list_group(group)]
 
 
-def _reserve_swing(configuration: Configuration, bins: list[_Bin]) -> list[Shortage]:
-    """Take the room for replacing the largest artifact off the roomiest runner."""
+def _reserve_replacement(
+    configuration: Configuration, bins: list[_Bin]
+) -> list[Shortage]:
+    """Reserve memory for a further copy of the largest artifact on one runner."""
     artifacts = configuration.list_artifacts()
     if not artifacts:
         return []
     largest = max(artifacts, key=configuration.find_memory_mb)
     memory_mb = configuration.find_memory_mb(largest)
-    roomiest = max(bins, key=lambda one: one.free_mb, default=None)
-    if roomiest is None or roomiest.free_mb < memory_mb:
+    emptiest = max(bins, key=lambda each: each.free_mb, default=None)
+    if emptiest is None or emptiest.free_mb < memory_mb:
         return [
             Shortage(
                 artifact=largest,
                 memory_mb=memory_mb,
                 reason="no_room_to_replace",
-                detail="no runner has room to load the largest artifact",
+                detail="no runner has room for another copy of the largest artifact",
             )
         ]
-    roomiest.free_mb -= memory_mb
+    emptiest.free_mb -= memory_mb
     return []
 
 
@@ -137,53 +140,53 @@
             floors = [max(1, version_offer.floor)]
             floors.extend(max(1, adapter.floor) for _, adapter in adapters)
             for number in range(max(floors)):
-                beside = [
+                copy_adapters = [
                     (Artifact(name, version, adapter), adapter_offer.memory_mb)
                     for adapter, adapter_offer in adapters
                     if number < max(1, adapter_offer.floor)
                 ]
-                memory_mb = version_offer.memory_mb + sum(mb for _, mb in beside)
+                memory_mb = version_offer.memory_mb + sum(mb for _, mb in copy_adapters)
                 items.append(
                     _Item(
                         base=base,
                         memory_mb=memory_mb,
-                        adapters=tuple(artifact for artifact, _ in beside),
+                        adapters=tuple(artifact for artifact, _ in copy_adapters),
                     )
                 )
     return sorted(items, key=lambda item: (-item.memory_mb, item.base))
 
 
-def _place(
+def _pack_item(
     configuration: Configuration, bins: list[_Bin], item: _Item
 ) -> Shortage | None:
-    """Put a copy into the fullest runner that holds it and not yet its artifact."""
+    """Place a copy in the fullest runner that has room and no copy of the artifact."""
     offer = configuration.models[item.base.model]
-    held_in = {one.data_centre for one in bins if item.base in one.held}
+    occupied = {each.data_centre for each in bins if item.base in each.bases}
     spread = 1
     if item.base.version == offer.default_version:
         spread = min(offer.floor_data_centres, configuration.find_floor(item.base))
     fitting = [
-        one
-        for one in bins
-        if one.free_mb >= item.memory_mb and item.base not in one.held
+        each
+        for each in bins
+        if each.free_mb >= item.memory_mb and item.base not in each.bases
     ]
-    spreading = [one for one in fitting if one.data_centre not in held_in]
-    if len(held_in) < spread:
+    spreading = [each for each in fitting if each.data_centre not in occupied]
+    if len(occupied) < spread:
         candidates = spreading
         reason = "no_room_in_another_data_centre" if fitting else "no_room"
     else:
         candidates = fitting
         reason = "no_room"
     if not candidates:
-        largest_mb = max((one.free_mb for one in bins), default=0)
+        largest_mb = max((each.free_mb for each in bins), default=0)
         return Shortage(
             artifact=item.base,
             memory_mb=item.memory_mb,
             reason=reason,
             detail=f"needs {item.memory_mb} MB with {len(item.adapters)} adapters; "
-            f"the largest room left is {largest_mb} MB",
+            f"the most memory free on a runner is {largest_mb} MB",
         )
-    chosen = min(candidates, key=lambda one: one.free_mb)
+    chosen = min(candidates, key=lambda each: each.free_mb)
     chosen.free_mb -= item.memory_mb
-    chosen.held.add(item.base)
+    chosen.bases.add(item.base)
     return None
--- a/mangoway/policy/placement/ledger_access.py
+++ b/mangoway/policy/placement/ledger_access.py
@@ -1,4 +1,4 @@
-"""Reads and writes of the ledgers in the key-value service."""
+"""Reads and writes of the ledgers in the key-value store."""
 
 from math import inf
 
@@ -23,65 +23,78 @@
 
 @define
 class LedgerAccess:
-    """Asks for reads and writes, and takes over what was read."""
+    """Requests reads and writes of ledgers and adopts what was read."""
 
     state: PlacementState
     outbox: Outbox
     incarnation: IncarnationId
     is_active: bool = False
 
-    def forget(self) -> None:
-        """Believe no ledger until it was read again."""
+    def invalidate_ledgers(self) -> None:
+        """Mark all ledgers as unknown until they are read again."""
         for runner in self.state.runners.values():
             runner.is_ledger_known = False
-            runner.read_after = 0.0
-            self.outbox.dirty.add(runner.id)
+            runner.read_retry_at = 0.0
+            self.outbox.dirty_runners.add(runner.id)
 
-    def read_ledgers(self, now: float) -> None:
-        """Read the ledgers that are not known.
+    def request_unknown_ledgers(self, now: float) -> None:
+        """Request reads of the ledgers that are unknown.
 
-        Without a configuration the bound on order lateness is not known, and so
-        neither how long orders found in a ledger have to be waited for.
+        Without a configuration the bound on order lateness is unknown, and therefore
+        also how long orders found in a ledger may still take effect.
         """
         if not self.is_active or self.state.configuration is None:
             return
         for runner in self.state.runners.values():
-            if runner.is_ledger_known or runner.reads or runner.write is not None:
+            if (
+                runner.is_ledger_known
+                or runner.pending_reads
+                or runner.pending_write is not None
+            ):
                 continue
-            if runner.listed and runner.read_after <= now:
-                self.read(runner)
+            if runner.listed and runner.read_retry_at <= now:
+                self.request_read(runner)
 
-    def read(self, runner: Runner) -> None:
-        """Ask for one read of a ledger."""
-        runner.reads += 1
+    def request_read(self, runner: Runner) -> None:
+        """Request a read of a ledger."""
+        runner.pending_reads += 1
         self.outbox.actions.append(ReadLedger(upstream_id=runner.id))
 
-    def take(
+    def adopt(
         self,
         runner: Runner,
         ledger: Ledger | None,
         event: LedgerRead | LedgerConflicted,
         now: float,
     ) -> None:
-        """Take over a ledger and its revision as the store has them."""
-        # A key that was deleted is written again as it was last known here: orders
-        # that it speaks of may still be on their way.
+        """Adopt a ledger and its revision from the store."""
+        # A deleted key is written again with its last known content, because the
+        # orders in it may still take effect.
         runner.ledger = ledger or runner.ledger
         runner.revision = event.revision
         runner.is_ledger_known = True
-        self.outbox.dirty.add(runner.id)
+        self.outbox.dirty_runners.add(runner.id)
         if ledger is not None:
-            quiet_at = now + ORDER_SEND_WINDOW_S + ORDER_TIMEOUT_S + self.find_bound_s()
-            runner.evidence.note_read(ledger, f"{self.incarnation}-", quiet_at)
+            latest_arrival = (
+                now
+                + ORDER_SEND_WINDOW_S
+                + ORDER_TIMEOUT_S
+                + self.find_lateness_bound_s()
+            )
+            runner.order_tracker.record_read(
+                ledger, f"{self.incarnation}-", latest_arrival
+            )
 
-    def find_bound_s(self) -> float:
-        """Return how long copies of an order may arrive after its connection closed."""
+    def find_lateness_bound_s(self) -> float:
+        """Return for how long an order may arrive after its connection closed."""
         if self.state.configuration is None:
             return inf
         return self.state.configuration.site.order_lateness_bound_s + REPORT_LAG_S
 
-    def write(self, runner: Runner, ledger: Ledger, order: PendingOrder | None) -> None:
-        """Ask for a ledger write, after which an order goes out."""
+    def request_write(
+        self, runner: Runner, ledger: Ledger, order: PendingOrder | None
+    ) -> None:
+        """Request a ledger write, followed by sending an order if one is given."""
         ledger = evolve(ledger, writer=self.incarnation)
-        runner.write = PendingWrite(ledger=ledger, order=order)
+        runner.pending_write = PendingWrite(ledger=ledger, order=order)
         self.outbox.actions.append(WriteLedger(ledger=ledger, expected=runner.revision))
--- a/mangoway/policy/placement/ledgers.py
+++ b/mangoway/policy/placement/ledgers.py
@@ -1,4 +1,4 @@
-"""Changes of a runner's memory ledger; each returns the ledger to write."""
+"""Changes to a runner's memory ledger; each returns the ledger to write."""
 
 from attrs import evolve
 
@@ -11,11 +11,11 @@
     Residency,
     ResidentArtifact,
 )
-from .evidence import Evidence
+from .order_tracker import OrderTracker
 
 
 def create_ledger(description: EngineDescription, kv_cache_floor_mb: int) -> Ledger:
-    """Return the empty ledger of a runner that has none."""
+    """Return an empty ledger for a runner that has none."""
     return Ledger(
         upstream=description.upstream,
         incarnation=description.incarnation,
@@ -26,7 +26,7 @@
 
 
 def find_entry(ledger: Ledger, artifact: Artifact) -> LedgerEntry | None:
-    """Return the entry of an artifact."""
+    """Return the entry of an artifact, or None."""
     for entry in (*ledger.resident, *ledger.reserved):
         if entry.artifact == artifact:
             return entry
@@ -51,13 +51,14 @@
 ) -> Ledger | None:
     """Return the ledger with a load reserved; None if it does not fit.
 
-    Memory of an entry that is there already is not taken twice, but may be lent to
-    residents that nobody entered: a runner that is over takes no load at all.
+    Memory of an existing entry is not counted twice. It may already be used by
+    residents that were not in the ledger, so a runner whose ledger exceeds its size
+    gets no load at all.
     """
     old = find_entry(ledger, artifact)
-    held_mb = 0 if old is None else old.memory_mb
-    needed_mb = max(memory_mb, held_mb)
-    if needed_mb - held_mb > ledger.free_mb:
+    reserved_mb = 0 if old is None else old.memory_mb
+    needed_mb = max(memory_mb, reserved_mb)
+    if needed_mb - reserved_mb > ledger.free_mb:
         return None
     fence = FenceNumber(ledger.fence + 1)
     entry = LedgerEntry(
@@ -72,9 +73,9 @@
 
 
 def mark_unload(ledger: Ledger, artifact: Artifact, order: OrderId) -> Ledger | None:
-    """Return the ledger with an unload marked; None if the artifact is not there.
+    """Return the ledger with an unload marked; None if the artifact has no entry.
 
-    The memory stays taken until the engine is known to have let it go.
+    The memory stays reserved until the engine has provably freed it.
     """
     old = find_entry(ledger, artifact)
     if old is None:
@@ -89,53 +90,59 @@
     )
 
 
-def is_load_confirmed(entry: LedgerEntry, report: EngineReport, checks: bool) -> bool:
-    """Return whether a report that shows a reserved artifact speaks of its load.
+def is_load_confirmed(
+    entry: LedgerEntry, report: EngineReport, checks_fences: bool
+) -> bool:
+    """Return whether a report that contains a reserved artifact confirms its load.
 
-    An engine that checks fences may show the artifact from before, with an older
-    unload still on its way; only the new fence makes that unload harmless.
+    An engine that checks fences may report the artifact from an earlier load while an
+    older unload is still in flight; only the new fence makes that unload harmless.
     """
-    return not checks or report.fence >= entry.reserved_fence
+    return not checks_fences or report.fence >= entry.reserved_fence
 
 
-def settle_ledger(
+def reconcile_ledger(
     ledger: Ledger,
     description: EngineDescription,
     report: EngineReport,
-    evidence: Evidence,
+    order_tracker: OrderTracker,
 ) -> Ledger:
-    """Return the ledger with all changes that the evidence allows.
+    """Return the ledger with all changes that a report and the tracker prove safe.
 
-    Loads that a report shows become resident, residents nobody entered are adopted,
-    and entries are dropped once they are gone and no load of them can follow.
+    Reported loads become resident, reported artifacts without an entry are added, and
+    entries are removed once they are not reported and no load of them can follow.
     """
-    checks = description.checks_fences
-    shown = {resident.artifact: resident for resident in report.residents}
+    checks_fences = description.checks_fences
+    reported = {resident.artifact: resident for resident in report.residents}
     resident: list[LedgerEntry] = []
     reserved: list[LedgerEntry] = []
     for entry in ledger.resident:
-        kept = _settle_resident(
-            entry, shown.get(entry.artifact), report, evidence, checks
+        kept = _reconcile_resident(
+            entry, reported.get(entry.artifact), report, order_tracker, checks_fences
         )
         if kept is not None:
             resident.append(kept)
     for entry in ledger.reserved:
-        present = shown.get(entry.artifact)
-        if present is None:
-            if not evidence.is_load_over(entry, False, report, checks):
+        reported_artifact = reported.get(entry.artifact)
+        if reported_artifact is None:
+            if not order_tracker.is_load_over(entry, False, report, checks_fences):
                 reserved.append(entry)
             continue
-        grown = evolve(entry, memory_mb=max(entry.memory_mb, present.memory_mb))
-        is_open = evidence.loads.is_open(entry.artifact)
-        if is_open or not is_load_confirmed(entry, report, checks):
-            reserved.append(grown)
+        updated = evolve(
+            entry, memory_mb=max(entry.memory_mb, reported_artifact.memory_mb)
+        )
+        is_open = order_tracker.loads.is_open(entry.artifact)
+        if is_open or not is_load_confirmed(entry, report, checks_fences):
+            reserved.append(updated)
         else:
-            resident.append(evolve(grown, order=None))
+            resident.append(evolve(updated, order=None))
     fence = FenceNumber(max(ledger.fence, report.fence))
     entered = {entry.artifact for entry in list_entries(ledger)}
     resident.extend(
-        LedgerEntry(artifact=artifact, memory_mb=found.memory_mb, reserved_fence=fence)
-        for artifact, found in shown.items()
+        LedgerEntry(
+            artifact=artifact, memory_mb=present.memory_mb, reserved_fence=fence
+        )
+        for artifact, present in reported.items()
         if artifact not in entered
     )
     return evolve(
@@ -148,24 +155,28 @@
     )
 
 
-def _settle_resident(
+def _reconcile_resident(
     entry: LedgerEntry,
-    present: ResidentArtifact | None,
+    reported_artifact: ResidentArtifact | None,
     report: EngineReport,
-    evidence: Evidence,
-    checks: bool,
+    order_tracker: OrderTracker,
+    checks_fences: bool,
 ) -> LedgerEntry | None:
-    marked = entry.order is not None
-    over = marked and evidence.is_unload_over(entry, report, checks)
-    if present is not None:
-        memory_mb = max(entry.memory_mb, present.memory_mb)
-        cleared = over and present.state is not Residency.UNLOADING
-        order = None if cleared else entry.order
+    is_unload_marked = entry.order is not None
+    is_unload_over = is_unload_marked and order_tracker.is_unload_over(
+        entry, report, checks_fences
+    )
+    if reported_artifact is not None:
+        memory_mb = max(entry.memory_mb, reported_artifact.memory_mb)
+        is_cleared = (
+            is_unload_over and reported_artifact.state is not Residency.UNLOADING
+        )
+        order = None if is_cleared else entry.order
         return evolve(entry, memory_mb=memory_mb, order=order)
-    if not evidence.is_load_over(entry, marked, report, checks):
+    if not order_tracker.is_load_over(entry, is_unload_marked, report, checks_fences):
         return entry
-    if marked and not checks and not over:
-        # The memory is free, but a late copy of the unload would hit a new load.
+    if is_unload_marked and not checks_fences and not is_unload_over:
+        # The memory is free, but a late unload would remove a newly loaded copy.
         return evolve(entry, memory_mb=0)
     return None
 
--- a/mangoway/policy/placement/options.py
+++ b/mangoway/policy/placement/options.py
@@ -1,20 +1,20 @@
-"""Mechanisms of placement that can be taken out."""
+"""Mechanisms of placement that can be disabled."""
 
 from attrs import frozen
 
 
 @frozen(kw_only=True)
 class PlacementOptions:
-    """Switches for measurements; every mechanism is on by default."""
+    """Switches for comparisons; every mechanism is enabled by default."""
 
     hysteresis: bool = True
-    """Ask for a larger gain, and a minimum residence, before an eviction."""
+    """Require a larger gain and a minimum residence time before an eviction."""
 
     demand_copies: bool = True
-    """Load copies above the floors where demand pays for them."""
+    """Load copies above the floors where demand justifies them."""
 
     make_room: bool = True
-    """Evict copies above the floors to make room."""
+    """Evict copies above the floors to make room for copies for demand."""
 
     move_price: bool = True
-    """Charge each move with the price of the site."""
+    """Subtract the site's price of a move from the gain of each move."""
--- a/mangoway/policy/placement/outbox.py
+++ b/mangoway/policy/placement/outbox.py
@@ -1,4 +1,4 @@
-"""What a step leaves behind: actions, and what has to be looked at again."""
+"""Results of handling an event: actions, and state that must be re-evaluated."""
 
 from attrs import define, field
 
@@ -10,14 +10,14 @@
 
 @define
 class Outbox:
-    """Actions to return, and changes that the planner has not looked at."""
+    """Actions to return, and changes that the planner has not handled yet."""
 
     actions: list[PlacementAction] = field(factory=list)
-    dirty: set[UpstreamId] = field(factory=set)
-    """Runners whose copies have to be looked at again."""
+    dirty_runners: set[UpstreamId] = field(factory=set)
+    """Runners whose copies and ledgers must be re-evaluated."""
 
-    changed: set[Artifact] = field(factory=set)
-    """Artifacts whose copies changed since the planner looked."""
+    changed_artifacts: set[Artifact] = field(factory=set)
+    """Artifacts whose copies changed since the last plan."""
 
     def explain(
         self,
@@ -26,7 +26,7 @@
         reason: str,
         detail: str = "",
     ) -> None:
-        """Say why something was or was not done."""
+        """Add an explanation of why something was or was not done."""
         upstream_id = None if runner is None else runner.id
         action = Explain(
             artifact=artifact, upstream_id=upstream_id, reason=reason, detail=detail
--- a/mangoway/policy/placement/planner.py
+++ b/mangoway/policy/placement/planner.py
@@ -1,80 +1,88 @@
-"""Plans: which copies to load, which to unload, and in which order."""
+"""Planning of loads and unloads and of their order."""
 
 from attrs import define, field
 
 from ...models.artifact import Artifact
-from .choice import RunnerChoice
 from .const import (
-    DEMAND_PERIOD_S,
+    DEMAND_EVALUATION_PERIOD_S,
 )
-from .demand_needs import DemandNeeds
-from .demand_rounds import DemandRounds
+from .demand_planner import DemandPlanner
+from .demand_rotation import DemandRotation
+from .evictions import EvictionManager
 from .floors import find_floor_need
 from .gains import GainModel
+from .ledger_reconciler import LedgerReconciler
 from .load_queue import LoadLimiter, Need, NeedRank
 from .reservations import Reservations
-from .room import RoomMaker
+from .runner_selector import RunnerSelector
 from .runners import Runner
-from .settling import Settling
 from .state import PlacementState
 from .withdrawals import Withdrawals
 
 
 @define
 class Planner:
-    """Turns lacking floors and demand into ledger writes."""
+    """Turns missing floor copies and demand into ledger writes."""
 
     _state: PlacementState
-    _steps: Reservations
-    _choice: RunnerChoice = field(init=False)
-    _rounds: DemandRounds = field(init=False)
-    _demand: DemandNeeds = field(init=False)
-    _room: RoomMaker = field(init=False)
-    _settling: Settling = field(init=False)
+    _reservations: Reservations
+    _selector: RunnerSelector = field(init=False)
+    _rotation: DemandRotation = field(init=False)
+    _demand_planner: DemandPlanner = field(init=False)
+    _evictions: EvictionManager = field(init=False)
+    _reconciler: LedgerReconciler = field(init=False)
     _withdrawals: Withdrawals = field(init=False)
     _limiter: LoadLimiter = field(factory=LoadLimiter)
-    _demand_at: float = 0.0
-    _floors_stale: bool = True
+    _next_evaluation_at: float = 0.0
+    _are_floors_stale: bool = True
 
     def __attrs_post_init__(self) -> None:
-        state, steps = self._state, self._steps
+        state, reservations = self._state, self._reservations
         gains = GainModel(state)
-        self._choice = RunnerChoice(state, gains)
-        self._rounds = DemandRounds(state, gains)
-        self._demand = DemandNeeds(state, gains, self._choice, self._rounds)
-        self._room = RoomMaker(state, steps, gains, self._choice, self._demand)
-        self._settling = Settling(state, steps)
-        self._withdrawals = Withdrawals(state, steps)
+        self._selector = RunnerSelector(state, gains)
+        self._rotation = DemandRotation(state, gains)
+        self._demand_planner = DemandPlanner(
+            state, gains, self._selector, self._rotation
+        )
+        self._evictions = EvictionManager(
+            state, reservations, gains, self._selector, self._demand_planner
+        )
+        self._reconciler = LedgerReconciler(state, reservations)
+        self._withdrawals = Withdrawals(state, reservations)
 
-    def restart_floors(self) -> None:
-        """Look at the floors of all artifacts in the next plan."""
-        self._floors_stale = True
+    def refresh_all_floors(self) -> None:
+        """Check the floors of all artifacts in the next plan."""
+        self._are_floors_stale = True
 
     def plan(self, now: float) -> None:
         """Make one plan at time `now`."""
-        self._settling.refresh(now)
-        self._steps.access.read_ledgers(now)
+        self._reconciler.refresh(now)
+        self._reservations.ledger_access.request_unknown_ledgers(now)
         if self._state.configuration is None:
             return
         self._update_floors()
-        if now >= self._demand_at:
-            self._demand_at = now + DEMAND_PERIOD_S
-            self._demand.look(now, self._steps.access.is_active)
-        if not self._steps.access.is_active:
+        if now >= self._next_evaluation_at:
+            self._next_evaluation_at = now + DEMAND_EVALUATION_PERIOD_S
+            self._demand_planner.evaluate(
+                now, self._reservations.ledger_access.is_active
+            )
+        if not self._reservations.ledger_access.is_active:
             return
-        self._room.go_on(now)
-        self._choice.refresh()
+        self._evictions.continue_evictions(now)
+        self._selector.refresh()
         self._serve_needs(now)
         self._withdrawals.withdraw(now)
 
     def _update_floors(self) -> None:
-        if self._floors_stale:
-            changed = set(self._state.offered) | self._steps.outbox.changed
-            self._floors_stale = False
+        if self._are_floors_stale:
+            changed = (
+                set(self._state.offered) | self._reservations.outbox.changed_artifacts
+            )
+            self._are_floors_stale = False
         else:
-            changed = set(self._steps.outbox.changed)
-        self._steps.outbox.changed.clear()
-        self._rounds.hurry(changed)
+            changed = set(self._reservations.outbox.changed_artifacts)
+        self._reservations.outbox.changed_artifacts.clear()
+        self._rotation.prioritise(changed)
         for artifact in sorted(changed):
             self._update_floor(artifact)
 
@@ -90,42 +98,48 @@
         elif old is not None and artifact not in self._state.offered:
             self._state.queue.drop(artifact)
 
-    # Loads.
-
     def _serve_needs(self, now: float) -> None:
         if self._state.configuration is None:
             return
         site = self._state.configuration.site
-        in_flight = self._state.copies.loading
+        in_flight = self._state.copies.loading_count
         for need in self._state.queue.list_due(now):
             if in_flight >= site.loads_at_full_speed:
                 return
             if not self._limiter.may_load(now, site.loads_per_second):
                 return
             if self._serve(need, now):
-                self._limiter.take()
+                self._limiter.consume()
                 in_flight += 1
 
     def _serve(self, need: Need, now: float) -> bool:
-        """Start a load; if nothing has room, begin to make some."""
+        """Start a load, or evictions if no runner has room.
+
+        Returns:
+            Whether a load was started.
+        """
         artifact = need.artifact
         if self._waits_for_base(need):
             return False
-        runner = self._choice.find_runner(need, now)
+        runner = self._selector.find_runner(need, now)
         if runner is not None:
             return self._start_load(need, runner, now)
-        if not self._room.is_claimed(artifact) and not self._choice.has_room(need, now):
-            self._room.find_room(need, now)
+        if not self._evictions.is_claimed(artifact) and not self._selector.has_room(
+            need, now
+        ):
+            self._evictions.start_evictions(need, now)
         return False
 
     def _start_load(self, need: Need, runner: Runner, now: float) -> bool:
         artifact = need.artifact
-        is_extra = need.rank is NeedRank.DEMAND
-        if is_extra and not self._demand.pays_alone(need, runner):
+        is_for_demand = need.rank is NeedRank.DEMAND
+        if is_for_demand and not self._demand_planner.is_load_worthwhile(need, runner):
             return False
-        if not self._steps.reserve(runner, artifact, now):
+        if not self._reservations.request_load(runner, artifact, now):
             return False
-        self._steps.outbox.explain(artifact, runner, f"load_{need.rank.name.lower()}")
+        self._reservations.outbox.explain(
+            artifact, runner, f"load_{need.rank.name.lower()}"
+        )
         self._state.queue.unblock(artifact)
         self._state.claims.pop(runner.id, None)
         if need.rank >= NeedRank.ROOM:
@@ -133,7 +147,7 @@
         return True
 
     def _waits_for_base(self, need: Need) -> bool:
-        """Return whether an adapter's base comes first anyway."""
+        """Return whether an adapter has to wait for the first copy of its base."""
         base = need.artifact.base
         if base == need.artifact:
             return False
--- a/mangoway/policy/placement/registry.py
+++ b/mangoway/policy/placement/registry.py
@@ -14,12 +14,12 @@
 
 
 class PlacementFactory(Protocol):
-    """Builds the policy of one controller."""
+    """Factory of the policy of one controller."""
 
     def __call__(
         self, incarnation: IncarnationId, options: PlacementOptions, rng: Random
     ) -> PlacementPolicy:
-        """Return a policy; `incarnation` makes its order identifiers unique."""
+        """Return a policy; its order identifiers start with `incarnation`."""
         ...
 
 
@@ -30,7 +30,7 @@
     """Return a decorator that registers a factory.
 
     Raises:
-        ValueError: If the name is taken.
+        ValueError: If the name is already registered.
     """
 
     def register(factory: PlacementFactory) -> PlacementFactory:
@@ -43,14 +43,14 @@
 
 
 def find_placement(name: str) -> PlacementFactory:
-    """Return a registered factory.
+    """Return the factory registered under a name.
 
     Raises:
-        KeyError: If there is none of that name.
+        KeyError: If no factory has that name.
     """
     return _FACTORIES[name]
 
 
 def list_placements() -> tuple[str, ...]:
-    """Return the names of all registered policies in order."""
+    """Return the sorted names of all registered policies."""
     return tuple(sorted(_FACTORIES))
--- a/mangoway/policy/placement/runners.py
+++ b/mangoway/policy/placement/runners.py
@@ -1,4 +1,4 @@
-"""What the controller knows of one runner."""
+"""State of a runner as the controller knows it."""
 
 from enum import Enum
 
@@ -19,9 +19,9 @@
     Residency,
     ResidentArtifact,
 )
-from .const import LOAD_APPEAR_S, MAX_RETRY_S, REPORT_FRESH_S
-from .evidence import Evidence
+from .const import LOAD_REPORT_TIMEOUT_S, MAX_ORDER_RETRY_DELAY_S, MAX_REPORT_AGE_S
 from .ledgers import is_load_confirmed, list_entries
+from .order_tracker import OrderTracker
 
 
 class CopyState(Enum):
@@ -30,10 +30,10 @@
     READY = "ready"
     LOADING = "loading"
     DRAINING = "draining"
-    """An unload may still take effect; never counted as a copy."""
+    """An unload may still take effect; does not count as a copy."""
 
     LOST = "lost"
-    """The ledger holds its memory, but the engine does not show it."""
+    """The ledger reserves its memory, but the engine does not report it."""
 
 
 @frozen(kw_only=True)
@@ -44,39 +44,39 @@
     kind: OrderKind
     artifact: Artifact
     memory_mb: int
-    asked_at: float
-    """Time at which its ledger write was asked for."""
+    requested_at: float
+    """Time at which its ledger write was requested."""
 
     fence: FenceNumber
-    replaces: bool = False
-    """Whether it is an unload over the mark of an earlier one."""
+    replaces_mark: bool = False
+    """Whether it is an unload whose mark replaces that of an earlier one."""
 
 
 @frozen(kw_only=True)
 class PendingWrite:
-    """A ledger write without a result so far."""
+    """A ledger write without a result yet."""
 
     ledger: Ledger
     order: PendingOrder | None
-    """Order to send once the write took effect."""
+    """Order to send after the write took effect."""
 
 
 @define
-class Retry:
-    """Waiting time after failures, doubled each time."""
+class RetryBackoff:
+    """Delay after failed orders; doubles each time."""
 
     until: float = 0.0
     wait_s: float = 0.5
 
-    def fail(self, now: float, least_s: float) -> None:
-        """Note a failure."""
-        self.wait_s = min(max(self.wait_s * 2, least_s), MAX_RETRY_S)
+    def record_failure(self, now: float, min_wait_s: float) -> None:
+        """Record a failure and extend the delay."""
+        self.wait_s = min(max(self.wait_s * 2, min_wait_s), MAX_ORDER_RETRY_DELAY_S)
         self.until = now + self.wait_s
 
 
 @define
 class Runner:
-    """One runner: where it is, what it says, its ledger and pending steps."""
+    """Runner with its location, reports, ledger and pending orders."""
 
     id: UpstreamId
     data_centre: DataCentreId
@@ -85,50 +85,50 @@
     silent: bool = False
     description: EngineDescription | None = None
     report: EngineReport | None = None
-    """Newest report of the described incarnation."""
+    """Latest report of the described incarnation."""
 
     ledger: Ledger | None = None
     revision: Revision = Revision(0)
     is_ledger_known: bool = False
-    """Whether `ledger` and `revision` were read since the last doubt."""
+    """Whether `ledger` and `revision` match the store as far as is known."""
 
-    reads: int = 0
-    """Reads of the ledger without a result."""
+    pending_reads: int = 0
+    """Number of ledger reads without a result."""
 
-    read_after: float = 0.0
-    write: PendingWrite | None = None
+    read_retry_at: float = 0.0
+    pending_write: PendingWrite | None = None
     conflicts: int = 0
-    """Writes in a row that another controller's write came before."""
+    """Number of consecutive writes that conflicted with another controller's write."""
 
-    write_after: float = 0.0
-    holds_back: bool = False
-    """Whether no write is tried until `write_after`, after conflicts."""
+    write_retry_at: float = 0.0
+    is_backing_off: bool = False
+    """Whether writes are delayed until `write_retry_at` after conflicts."""
 
-    evidence: Evidence = field(factory=Evidence)
-    sent: dict[OrderId, PendingOrder] = field(factory=dict)
-    """Orders that were sent and have no answer."""
+    order_tracker: OrderTracker = field(factory=OrderTracker)
+    sent_orders: dict[OrderId, PendingOrder] = field(factory=dict)
+    """Orders that were sent and have no answer yet."""
 
-    appear_by: dict[Artifact, float] = field(factory=dict)
-    """Time by which a load has to show in a report."""
+    load_deadlines: dict[Artifact, float] = field(factory=dict)
+    """Time by which each load has to appear in a report."""
 
-    ready_at: dict[Artifact, float] = field(factory=dict)
-    """Time at which a copy was first seen ready."""
+    ready_since: dict[Artifact, float] = field(factory=dict)
+    """Time at which each copy was first seen ready."""
 
-    is_settled: bool = False
-    """Whether only a change, but no time, can alter what is to be done here."""
+    is_steady: bool = False
+    """Whether only a change of state, not elapsed time, can require new actions."""
 
-    retries: dict[Artifact, Retry] = field(factory=dict)
-    unsent: dict[Artifact, PendingOrder] = field(factory=dict)
-    """Unloads of this controller that were marked, or may have been, but not sent."""
+    retries: dict[Artifact, RetryBackoff] = field(factory=dict)
+    unsent_unloads: dict[Artifact, PendingOrder] = field(factory=dict)
+    """Unloads of this controller that are or may be marked but were not sent."""
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether anything says that the runner leaves."""
+        """Return whether the runner's address or its report says that it is leaving."""
         return self.leaving or (self.report is not None and self.report.leaving)
 
     @property
-    def is_steerable(self) -> bool:
-        """Return whether its ledger may be written and orders sent to it."""
+    def is_controllable(self) -> bool:
+        """Return whether the ledger may be written and orders may be sent."""
         return (
             self.listed
             and not self.silent
@@ -139,15 +139,19 @@
 
     @property
     def is_free(self) -> bool:
-        """Return whether its ledger may be written: nothing is pending, no conflict."""
-        if self.holds_back:
+        """Return whether the ledger may be written now, without conflict or delay."""
+        if self.is_backing_off:
             return False
-        return self.is_steerable and self.write is None and self.reads == 0
+        return (
+            self.is_controllable
+            and self.pending_write is None
+            and self.pending_reads == 0
+        )
 
     @property
-    def takes_loads(self) -> bool:
-        """Return whether new loads may go to it."""
-        return self.is_steerable and not self.is_leaving
+    def accepts_loads(self) -> bool:
+        """Return whether the runner may get new loads."""
+        return self.is_controllable and not self.is_leaving
 
     @property
     def free_mb(self) -> int:
@@ -160,32 +164,35 @@
         return self.description is not None and self.description.checks_fences
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the newest report proves what it shows."""
+        """Return whether the latest report is recent enough to count as proof."""
         return self.report is not None and (
-            now - self.report.reported_at <= REPORT_FRESH_S
+            now - self.report.reported_at <= MAX_REPORT_AGE_S
         )
 
     def is_busy_with(self, artifact: Artifact) -> bool:
-        """Return whether an order for an artifact waits for its answer."""
-        return self.evidence.loads.is_open(artifact) or self.evidence.unloads.is_open(
+        """Return whether an order for an artifact has no answer yet."""
+        return self.order_tracker.loads.is_open(
             artifact
-        )
+        ) or self.order_tracker.unloads.is_open(artifact)
 
-    def may_try(self, artifact: Artifact, now: float) -> bool:
-        """Return whether no failure of an order for an artifact is too recent."""
+    def may_retry(self, artifact: Artifact, now: float) -> bool:
+        """Return whether an artifact's delay after failed orders is over."""
         retry = self.retries.get(artifact)
         return retry is None or retry.until <= now
 
     def list_copies(self, now: float) -> dict[Artifact, CopyState]:
-        """Return the state of each artifact in the ledger; empty if unusable."""
-        if not self.is_steerable or self.ledger is None or self.report is None:
+        """Return the state of each artifact in the ledger.
+
+        The result is empty if the ledger or the report cannot be used.
+        """
+        if not self.is_controllable or self.ledger is None or self.report is None:
             return {}
-        shown = {found.artifact: found for found in self.report.residents}
+        reported = {resident.artifact: resident for resident in self.report.residents}
         marked = {entry.artifact for entry in self.ledger.resident if entry.order}
         copies: dict[Artifact, CopyState] = {}
         for entry in list_entries(self.ledger):
             copies[entry.artifact] = self._find_state(
-                entry, entry.artifact in marked, shown.get(entry.artifact), now
+                entry, entry.artifact in marked, reported.get(entry.artifact), now
             )
         for artifact, state in copies.items():
             base = copies.get(artifact.base)
@@ -196,43 +203,46 @@
     def _find_state(
         self,
         entry: LedgerEntry,
-        marked: bool,
-        found: ResidentArtifact | None,
+        is_marked: bool,
+        reported_artifact: ResidentArtifact | None,
         now: float,
     ) -> CopyState:
-        if marked:
+        if is_marked:
             return CopyState.DRAINING
-        if found is not None and found.state is Residency.UNLOADING:
+        if (
+            reported_artifact is not None
+            and reported_artifact.state is Residency.UNLOADING
+        ):
             return CopyState.DRAINING
-        confirmed = (
+        is_confirmed = (
             entry.order is None
             or self.report is None
             or is_load_confirmed(entry, self.report, self.checks_fences)
         )
-        if found is not None and confirmed:
-            if found.state is Residency.READY:
+        if reported_artifact is not None and is_confirmed:
+            if reported_artifact.state is Residency.READY:
                 return CopyState.READY
             return CopyState.LOADING
-        if self.evidence.loads.is_open(entry.artifact):
+        if self.order_tracker.loads.is_open(entry.artifact):
             return CopyState.LOADING
-        if now < self.appear_by.get(entry.artifact, 0.0):
+        if now < self.load_deadlines.get(entry.artifact, 0.0):
             return CopyState.LOADING
         return CopyState.LOST
 
-    def expect(self, artifact: Artifact, now: float) -> None:
-        """Give a load time to show in a report."""
-        self.appear_by[artifact] = now + LOAD_APPEAR_S
+    def set_load_deadline(self, artifact: Artifact, now: float) -> None:
+        """Set the time by which a load has to appear in a report."""
+        self.load_deadlines[artifact] = now + LOAD_REPORT_TIMEOUT_S
 
-    def forget(self, now: float) -> None:
-        """Drop what is kept of artifacts that are not in the ledger."""
+    def expire_records(self, now: float) -> None:
+        """Remove the records of artifacts that are not in the ledger."""
         if self.ledger is None:
             return
-        self.evidence.forget(self.ledger, now)
-        kept = {entry.artifact for entry in list_entries(self.ledger)}
-        for times in (self.appear_by, self.ready_at):
-            for artifact in [one for one in times if one not in kept]:
+        self.order_tracker.expire(self.ledger, now)
+        retained = {entry.artifact for entry in list_entries(self.ledger)}
+        for times in (self.load_deadlines, self.ready_since):
+            for artifact in [each for each in times if each not in retained]:
                 del times[artifact]
-        over = [one for one, retry in self.retries.items() if retry.until <= now]
-        for artifact in over:
-            if artifact not in kept:
+        expired = [each for each, retry in self.retries.items() if retry.until <= now]
+        for artifact in expired:
+            if artifact not in retained:
                 del self.retries[artifact]
--- a/mangoway/policy/placement/state.py
+++ b/mangoway/policy/placement/state.py
@@ -1,4 +1,4 @@
-"""What the planner decides on: runners, copies, offers and demand."""
+"""State for planning: runners, copies, offered artifacts and demand."""
 
 from attrs import define, field
 
@@ -13,28 +13,30 @@
 
 
 @define
-class RoomClaim:
-    """Room that is being made on a runner for one artifact."""
+class MemoryClaim:
+    """Claim of an artifact on the memory being freed on a runner."""
 
     artifact: Artifact
     victims: list[Artifact]
+    """Copies that are still to be evicted."""
+
     until: float
 
 
 @define
 class PlacementState:
-    """Shared state of the placement core's parts."""
+    """State shared by the components of the placement core."""
 
     options: PlacementOptions
     configuration: Configuration | None = None
     offered: dict[Artifact, int] = field(factory=dict)
-    """Floor of each offered artifact."""
+    """Floor of each offered artifact: the number of ready copies to keep."""
 
     runners: dict[UpstreamId, Runner] = field(factory=dict)
     copies: CopyIndex = field(factory=CopyIndex)
     demand: DemandEstimator = field(factory=DemandEstimator)
     queue: LoadQueue = field(factory=LoadQueue)
-    claims: dict[UpstreamId, RoomClaim] = field(factory=dict)
+    claims: dict[UpstreamId, MemoryClaim] = field(factory=dict)
 
     def find_memory_mb(self, artifact: Artifact) -> int:
         """Return the memory of an offered artifact; 0 if it is not offered."""
@@ -43,7 +45,7 @@
         return self.configuration.find_memory_mb(artifact)
 
     def find_spread(self, artifact: Artifact) -> int:
-        """Return in how many data centres the floor copies have to be."""
+        """Return the number of data centres that the floor copies must span."""
         if self.configuration is None:
             return 1
         offer = self.configuration.models.get(artifact.model)
@@ -57,9 +59,9 @@
         return {self.runners[upstream_id].data_centre for upstream_id in upstream_ids}
 
     def is_surplus(self, artifact: Artifact, upstream_id: UpstreamId) -> bool:
-        """Return whether the floor holds without the copy on a runner."""
+        """Return whether the floor is met without the copy on a runner."""
         ready = self.copies.list_ready(artifact)
-        others = [one for one in ready if one != upstream_id]
+        others = [each for each in ready if each != upstream_id]
         if len(others) < max(1, self.offered.get(artifact, 0)):
             return False
         spread = min(self.find_spread(artifact), len(self.list_data_centres(ready)))
@@ -68,8 +70,8 @@
     def may_withdraw(self, artifact: Artifact) -> bool:
         """Return whether an artifact that is no longer offered may be unloaded.
 
-        While its model is offered, callers are served by the old version until the
-        default version (or the same adapter on it) is ready.
+        While its model is offered, the old version serves callers until the default
+        version, or the same adapter on it, is ready.
         """
         if artifact in self.offered or self.configuration is None:
             return False
--- a/mangoway/policy/placement/status.py
+++ b/mangoway/policy/placement/status.py
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class RunnerStatus:
-    """One runner with its ledger."""
+    """Status of a runner with its ledger."""
 
     upstream_id: UpstreamId
     data_centre: DataCentreId
@@ -23,15 +23,15 @@
     silent: bool
     checks_fences: bool
     ledger: Ledger | None
-    """Ledger as last read or written; None if absent or not known."""
+    """Ledger as last read or written; None if absent or unknown."""
 
     orders: int
-    """Orders that were sent and have no answer."""
+    """Number of orders that were sent and have no answer yet."""
 
 
 @frozen(kw_only=True)
 class CopyStatus:
-    """One copy of an artifact."""
+    """Status of a copy on a runner."""
 
     upstream_id: UpstreamId
     state: CopyState
@@ -39,11 +39,11 @@
 
 @frozen(kw_only=True)
 class ArtifactStatus:
-    """An artifact with its floor, copies and demand."""
+    """Status of an artifact with its floor, copies and demand."""
 
     artifact: Artifact
     floor: int
-    """Ready copies to keep; 0 if it is no longer offered."""
+    """Number of ready copies to keep; 0 if it is no longer offered."""
 
     copies: tuple[CopyStatus, ...]
     requests_per_second: float
@@ -57,15 +57,15 @@
     rank: NeedRank
     score: float
     blocked_s: float
-    """Time for which no runner had room; 0 if it was not tried in vain."""
+    """Time for which no runner had room; 0 if no attempt has failed."""
 
 
 @frozen(kw_only=True)
 class Reason:
-    """Why something was or was not done, and when."""
+    """Explanation of why something was or was not done, with its time."""
 
     at: float
-    """Seconds on the core's clock."""
+    """Time of the core's clock in seconds."""
 
     artifact: Artifact | None
     upstream_id: UpstreamId | None
@@ -75,22 +75,22 @@
 
 @frozen(kw_only=True)
 class PlacementStatus:
-    """What one controller knows and plans."""
+    """Snapshot of the state and the queue of one controller."""
 
     is_active: bool
     runners: tuple[RunnerStatus, ...]
     artifacts: tuple[ArtifactStatus, ...]
     queue: tuple[QueuedLoad, ...]
     reasons: tuple[Reason, ...]
-    """Newest last."""
+    """Explanations in order of time, newest last."""
 
     def find_reasons(self, artifact: Artifact) -> tuple[Reason, ...]:
-        """Return why an artifact sits where it does, newest last."""
+        """Return the explanations about an artifact, newest last."""
         return tuple(reason for reason in self.reasons if reason.artifact == artifact)
 
 
 def make_reason(action: Explain, now: float) -> Reason:
-    """Return an explanation with its time."""
+    """Return the explanation of an action with its time."""
     return Reason(
         at=now,
         artifact=action.artifact,
@@ -108,7 +108,9 @@
     return PlacementStatus(
         is_active=is_active,
         runners=_list_runners(state),
-        artifacts=tuple(_make_artifact(state, artifact) for artifact in artifacts),
+        artifacts=tuple(
+            _make_artifact_status(state, artifact) for artifact in artifacts
+        ),
         queue=_list_queue(state, now),
         reasons=tuple(reasons),
     )
@@ -123,20 +125,20 @@
             silent=runner.silent,
             checks_fences=runner.checks_fences,
             ledger=runner.ledger if runner.is_ledger_known else None,
-            orders=len(runner.sent),
+            orders=len(runner.sent_orders),
         )
         for _, runner in sorted(state.runners.items())
     )
 
 
-def _make_artifact(state: PlacementState, artifact: Artifact) -> ArtifactStatus:
+def _make_artifact_status(state: PlacementState, artifact: Artifact) -> ArtifactStatus:
     copies = sorted(state.copies.find(artifact).items())
     return ArtifactStatus(
         artifact=artifact,
         floor=state.offered.get(artifact, 0),
         copies=tuple(
-            CopyStatus(upstream_id=upstream_id, state=found)
-            for upstream_id, found in copies
+            CopyStatus(upstream_id=upstream_id, state=copy_state)
+            for upstream_id, copy_state in copies
         ),
         requests_per_second=state.demand.find(artifact).requests_per_second,
     )
--- a/mangoway/policy/placement/unload_checks.py
+++ b/mangoway/policy/placement/unload_checks.py
@@ -1,93 +1,105 @@
-"""Checks between the mark of an unload and its order."""
+"""Checks between marking an unload and sending its order."""
 
 from attrs import define, field
 
 from ...models.artifact import Artifact
 from ...models.identifiers import OrderId
-from .guards import UnloadCheck, do_guards_suffice, give_up, list_guards
 from .ledger_access import LedgerAccess
-from .orders import Orders
+from .order_sender import OrderSender
 from .outbox import Outbox
+from .remaining_copies import (
+    UnloadCheck,
+    cancel_unload,
+    is_floor_met,
+    list_remaining_copies,
+)
 from .runners import PendingOrder, Runner
 from .state import PlacementState
 
 
 @define
 class UnloadChecks:
-    """Marked unloads that wait until the ledgers of their guards were read."""
+    """Marked unloads that wait for reads of the remaining copies' ledgers."""
 
     state: PlacementState
     outbox: Outbox
-    access: LedgerAccess
-    orders: Orders
+    ledger_access: LedgerAccess
+    order_sender: OrderSender
     _checks: dict[OrderId, UnloadCheck] = field(factory=dict)
 
     def is_waiting(self, order: OrderId) -> bool:
-        """Return whether an unload waits for a read."""
+        """Return whether an unload waits for a ledger read."""
         return order in self._checks
 
     def clear(self) -> None:
-        """Give up all unloads that wait."""
+        """Cancel all waiting unloads."""
         for check in self._checks.values():
-            give_up(check.runner, check.order)
+            cancel_unload(check.runner, check.order)
         self._checks.clear()
 
     def start(self, runner: Runner, order: PendingOrder, now: float) -> None:
-        """Send a marked unload, or first read the ledgers of its guards."""
+        """Send a marked unload, or first read the ledgers of the remaining copies.
+
+        It is cancelled if the remaining copies would not meet the floor.
+        """
         artifact = order.artifact
         if artifact not in self.state.offered:
-            self.orders.send(runner, order, now)
+            self.order_sender.send(runner, order, now)
             return
-        guards = list_guards(self.state, runner, artifact, now)
-        suffice = do_guards_suffice(self.state, artifact, guards)
-        if not suffice or not self.access.is_active:
-            self._abandon(runner, order, "unload_abandoned_last_copy")
+        remaining = list_remaining_copies(self.state, runner, artifact, now)
+        is_met = is_floor_met(self.state, artifact, remaining)
+        if not is_met or not self.ledger_access.is_active:
+            self._cancel(runner, order, "unload_abandoned_last_copy")
             return
-        # Until the order was sent or given up, no evidence may clear its mark.
-        runner.evidence.unloads.open(artifact, order.id)
-        for guard in guards:
-            self.access.read(self.state.runners[guard])
+        # Counts as open, so that reconciliation keeps the mark until the order is sent
+        # or cancelled.
+        runner.order_tracker.unloads.record_sent(artifact, order.id)
+        for upstream_id in remaining:
+            self.ledger_access.request_read(self.state.runners[upstream_id])
         self._checks[order.id] = UnloadCheck(
             runner=runner,
             order=order,
-            waiting={guard: self.state.runners[guard].reads for guard in guards},
-            guards=tuple(guards),
+            pending_reads={
+                upstream_id: self.state.runners[upstream_id].pending_reads
+                for upstream_id in remaining
+            },
+            remaining=tuple(remaining),
         )
 
-    def count_read(self, guard: Runner, now: float) -> None:
-        """Go on with the unloads that waited for a guard's ledger."""
+    def count_read(self, runner: Runner, now: float) -> None:
+        """Continue the unloads that waited for a runner's ledger only."""
         for order_id, check in list(self._checks.items()):
-            if check.count_read(guard.id):
+            if check.count_read(runner.id):
                 del self._checks[order_id]
                 self._finish_check(check, now)
 
     def _finish_check(self, check: UnloadCheck, now: float) -> None:
         artifact = check.order.artifact
         self.refresh_copies(now)
-        current = list_guards(self.state, check.runner, artifact, now)
-        guards = [guard for guard in current if guard in check.guards]
-        if do_guards_suffice(self.state, artifact, guards):
-            self.orders.send(check.runner, check.order, now)
+        current = list_remaining_copies(self.state, check.runner, artifact, now)
+        remaining = [each for each in current if each in check.remaining]
+        if is_floor_met(self.state, artifact, remaining):
+            self.order_sender.send(check.runner, check.order, now)
         else:
-            self._abandon(check.runner, check.order, "unload_abandoned_last_copy")
+            self._cancel(check.runner, check.order, "unload_abandoned_last_copy")
 
-    def abandon(self, guard: Runner) -> None:
-        """Give up the unloads that rely on a guard whose ledger is unavailable."""
+    def cancel_waiting(self, runner: Runner) -> None:
+        """Cancel the unloads that wait for a ledger that is unavailable."""
         for order_id, check in list(self._checks.items()):
-            if guard.id in check.waiting:
+            if runner.id in check.pending_reads:
                 del self._checks[order_id]
-                self._abandon(check.runner, check.order, "unload_abandoned_no_ledger")
+                self._cancel(check.runner, check.order, "unload_abandoned_no_ledger")
 
-    def _abandon(self, runner: Runner, order: PendingOrder, reason: str) -> None:
-        give_up(runner, order)
+    def _cancel(self, runner: Runner, order: PendingOrder, reason: str) -> None:
+        cancel_unload(runner, order)
         self.outbox.explain(order.artifact, runner, reason)
 
     def refresh_copies(self, now: float) -> set[Artifact]:
-        """Bring the copies of changed runners up to date."""
+        """Update the copies of changed runners; return the artifacts that changed."""
         changed: set[Artifact] = set()
-        for upstream_id in self.outbox.dirty:
+        for upstream_id in self.outbox.dirty_runners:
             runner = self.state.runners.get(upstream_id)
             if runner is not None:
                 changed |= self.state.copies.update(runner, now)
-        self.outbox.changed |= changed
+        self.outbox.changed_artifacts |= changed
         return changed
--- a/mangoway/policy/placement/withdrawals.py
+++ b/mangoway/policy/placement/withdrawals.py
@@ -1,4 +1,4 @@
-"""Unloads of what is not offered, and of lost loads and unloads."""
+"""Unloads of artifacts that are no longer offered, and of lost orders."""
 
 from attrs import define
 
@@ -11,30 +11,35 @@
 
 @define
 class Withdrawals:
-    """Unloads what nothing wants, and raises fences past what was lost."""
+    """Unloads unwanted artifacts and raises the fence past lost orders."""
 
     _state: PlacementState
-    _steps: Reservations
+    _reservations: Reservations
 
     def withdraw(self, now: float) -> None:
-        """Unload what is not offered, and raise fences past lost loads."""
+        """Unload artifacts that are not offered, and raise fences past lost orders.
+
+        At most one unload per runner is started.
+        """
         for runner in self._state.runners.values():
-            if runner.is_settled or not runner.is_free or runner.is_leaving:
+            if runner.is_steady or not runner.is_free or runner.is_leaving:
                 continue
-            artifact = self._find_unwanted(runner, now)
-            if artifact is not None and self._steps.mark(runner, artifact, now):
-                self._steps.outbox.explain(artifact, runner, "withdraw")
+            artifact = self._find_unwanted_artifact(runner, now)
+            if artifact is not None and self._reservations.request_unload(
+                runner, artifact, now
+            ):
+                self._reservations.outbox.explain(artifact, runner, "withdraw")
 
-    def _find_unwanted(self, runner: Runner, now: float) -> Artifact | None:
+    def _find_unwanted_artifact(self, runner: Runner, now: float) -> Artifact | None:
         if runner.ledger is None:
             return None
-        copies = self._state.copies.list_on(runner.id)
-        bases = {one.base for one in copies if one.adapter is not None}
+        copies = self._state.copies.list_on_runner(runner.id)
+        bases = {each.base for each in copies if each.adapter is not None}
         for entry in list_entries(runner.ledger):
             artifact = entry.artifact
             if artifact in bases and artifact.adapter is None:
                 continue
-            if runner.is_busy_with(artifact) or not runner.may_try(artifact, now):
+            if runner.is_busy_with(artifact) or not runner.may_retry(artifact, now):
                 continue
             if self._is_unwanted(artifact, copies.get(artifact), runner):
                 return artifact
@@ -44,32 +49,32 @@
         self, artifact: Artifact, state: CopyState | None, runner: Runner
     ) -> bool:
         if state is CopyState.DRAINING or state is None:
-            return self._is_stuck(artifact, runner)
-        if state is CopyState.LOST and self._is_idle(artifact, runner):
+            return self._is_unload_lost(artifact, runner)
+        if state is CopyState.LOST and self._needs_newer_fence(artifact, runner):
             return True
         if artifact not in self._state.offered:
             return self._state.may_withdraw(artifact)
         return False
 
-    def _is_idle(self, artifact: Artifact, runner: Runner) -> bool:
-        """Return whether a lost load is not wanted, and only a new fence frees it."""
+    def _needs_newer_fence(self, artifact: Artifact, runner: Runner) -> bool:
+        """Return whether only a newer fence can free the memory of an unwanted load."""
         if not runner.checks_fences:
             return False
         if artifact in self._state.offered:
             return self._state.is_surplus(artifact, runner.id)
-        return not self._is_shown(artifact, runner)
+        return not self._is_reported(artifact, runner)
 
-    def _is_shown(self, artifact: Artifact, runner: Runner) -> bool:
+    def _is_reported(self, artifact: Artifact, runner: Runner) -> bool:
         report = runner.report
         return report is not None and any(
-            found.artifact == artifact for found in report.residents
+            resident.artifact == artifact for resident in report.residents
         )
 
-    def _is_stuck(self, artifact: Artifact, runner: Runner) -> bool:
-        """Return whether an unload was lost and should be sent again."""
-        if runner.report is None or artifact in runner.unsent:
+    def _is_unload_lost(self, artifact: Artifact, runner: Runner) -> bool:
+        """Return whether an unload was lost and has to be sent again."""
+        if runner.report is None or artifact in runner.unsent_unloads:
             return False
-        shown = self._is_shown(artifact, runner)
-        if shown and artifact in self._state.offered:
+        is_reported = self._is_reported(artifact, runner)
+        if is_reported and artifact in self._state.offered:
             return self._state.is_surplus(artifact, runner.id)
-        return shown or runner.checks_fences
+        return is_reported or runner.checks_fences
--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the placement core against the small fakes."""
+"""Tests of the placement core in the simulated world."""
 
 from random import Random
 
@@ -20,8 +20,8 @@
 from mangoway.policy.placement import events
 from mangoway.policy.placement.actions import ReadLedger
 from mangoway.policy.placement.const import (
-    BREAK_AFTER_S,
     ORDER_SEND_WINDOW_S,
+    UNLOAD_FIRST_AFTER_S,
 )
 from mangoway.policy.placement.core import PlacementCore
 from mangoway.policy.placement.ledgers import find_entry, is_marked
@@ -35,7 +35,9 @@
 from .world import BOUND_S, DC1, LOAD_S, World, offer_models
 
 
-def send_demand(world: World, name: str, rate: int, tokens_each: int = 50) -> None:
+def send_demand(
+    world: World, name: str, rate: int, tokens_per_request: int = 50
+) -> None:
     event = events.DemandReported(
         gateway=HostId("g"),
         incarnation=IncarnationId("g.1"),
@@ -45,7 +47,7 @@
                 artifact=Artifact.parse(name),
                 arrived=rate,
                 queued=0,
-                tokens=rate * tokens_each,
+                tokens=rate * tokens_per_request,
                 refused=0,
             ),
         ),
@@ -66,7 +68,7 @@
 
 
 class TestFloors:
-    """Every offered artifact gets its ready copies and keeps them."""
+    """Every offered artifact gets and keeps its floor of ready copies."""
 
     @pytest.mark.parametrize("checks", [True, False])
     def test_all_floors_get_ready(self, checks: bool) -> None:
@@ -106,14 +108,14 @@
         assert world.list_ready("a@2")
         assert not world.list_ready("a@1")
 
-    def test_lost_last_copy_goes_before_other_loads(self) -> None:
+    def test_lost_last_copy_is_loaded_first(self) -> None:
         world = World(configuration=limit_loads(1, a=20, b=20, c=20, z=10, floor=2))
         first = world.start(100, 100, 100, 100)
         world.run(40.0)
         for holder in world.list_ready("z@1"):
             world.engines[UpstreamId(holder)].up = False
         world.sent.clear()
-        # Both losses are seen by the same plan.
+        # The pause makes the same plan see both losses.
         first.paused = True
         world.run(1.5)
         world.resume(first)
@@ -123,12 +125,12 @@
         assert len(set(loads)) > 1
         assert world.list_unmet_floors() == []
 
-    def test_version_without_room_waits_before_it_replaces_the_old_one(self) -> None:
+    def test_version_without_room_replaces_the_old_one_after_a_delay(self) -> None:
         world = World(configuration=offer_models(a=60))
         world.start(100)
         world.run(20.0)
         world.configure(offer_models(2, ("2",), a=60))
-        world.run(BREAK_AFTER_S - 2.0)
+        world.run(UNLOAD_FIRST_AFTER_S - 2.0)
         assert world.list_ready("a@1")
         world.run(20.0)
         assert "break_before_make" in world.list_reasons()
@@ -145,7 +147,7 @@
         assert "relocate_for_room" in world.list_reasons()
         assert world.list_unmet_floors() == []
 
-    def test_lost_withdrawn_versions_make_way(self) -> None:
+    def test_lost_withdrawn_version_frees_its_memory(self) -> None:
         world = World(configuration=offer_models(a=50))
         world.start(110)
         world.run(20.0)
@@ -154,7 +156,7 @@
             world.run(0.01)
         next(iter(world.engines.values())).restart(world.now)
         world.configure(offer_models(3, ("3",), a=50))
-        world.run(BREAK_AFTER_S)
+        world.run(UNLOAD_FIRST_AFTER_S)
         assert world.list_unmet_floors() == []
 
     def test_floors_are_not_evicted_for_floors(self) -> None:
@@ -176,10 +178,10 @@
 
 
 class TestMemory:
-    """Memory is freed on evidence only."""
+    """Reserved memory is released only after proof that it is free."""
 
-    def swap(self, checks: bool, faults: list[str], seed: int) -> World:
-        """Replace a model by one that only fits once the old one is gone."""
+    def replace_model(self, checks: bool, faults: list[str], seed: int) -> World:
+        """Replace a model by one that only fits after the old one was unloaded."""
         world = World(configuration=offer_models(a=60))
         world.rng.seed(seed)
         world.order_faults = faults
@@ -192,27 +194,29 @@
     @pytest.mark.parametrize("checks", [True, False])
     @pytest.mark.parametrize("fault", ["lose", "late", "double", "drop_answer"])
     @pytest.mark.parametrize("seed", range(4))
-    def test_swap_under_order_faults(self, checks: bool, fault: str, seed: int) -> None:
-        world = self.swap(checks, [fault, fault], seed)
+    def test_replacement_with_order_faults(
+        self, checks: bool, fault: str, seed: int
+    ) -> None:
+        world = self.replace_model(checks, [fault, fault], seed)
         world.check_invariants()
         assert world.list_unmet_floors() == []
 
-    def test_engine_that_ignores_fences_is_waited_for(self) -> None:
-        world = self.swap(False, ["double"], 1)
+    def test_engine_that_ignores_fences_delays_loads_by_the_bound(self) -> None:
+        world = self.replace_model(False, ["double"], 1)
         loads = [(at, o) for at, o in world.sent if o.kind is OrderKind.LOAD]
         assert str(loads[-1][1].artifact) == "b@1"
         assert loads[-1][0] - loads[0][0] > BOUND_S
 
-    def test_engine_that_checks_fences_is_not_waited_for(self) -> None:
-        world = self.swap(True, ["double"], 1)
+    def test_engine_that_checks_fences_delays_no_load(self) -> None:
+        world = self.replace_model(True, ["double"], 1)
         loads = [at for at, order in world.sent if order.kind is OrderKind.LOAD]
         assert loads[-1] - loads[0] < BOUND_S
 
-    def test_unknown_resident_is_adopted_before_anything_is_loaded(self) -> None:
+    def test_unknown_resident_is_entered_before_any_load(self) -> None:
         world = World(configuration=offer_models(a=60))
         world.add_engine("r9", size_mb=100)
-        stranger = Artifact.parse("x@1")
-        world.engines[next(iter(world.engines))].memory[stranger] = 50
+        unknown = Artifact.parse("x@1")
+        world.engines[next(iter(world.engines))].memory[unknown] = 50
         world.start()
         world.run(20.0)
         world.check_invariants()
@@ -226,8 +230,8 @@
         [engine] = world.engines.values()
         engine.restart(world.now)
         engine.memory[Artifact.parse("x@1")] = 60
-        met = events.EngineDescribed(description=engine.describe())
-        world.send_event(world.controllers[0], met)
+        described = events.EngineDescribed(description=engine.describe())
+        world.send_event(world.controllers[0], described)
         reported = events.EngineReported(report=engine.report(world.now))
         world.send_event(world.controllers[0], reported)
         world.run(20.0)
@@ -244,7 +248,7 @@
         world.run(20.0)
         assert world.list_unmet_floors() == []
 
-    def test_deleted_ledger_still_speaks_for_its_orders(self) -> None:
+    def test_orders_of_a_deleted_ledger_still_count(self) -> None:
         world = World(configuration=offer_models(a=60))
         world.order_faults = ["late"]
         world.start(100, checks=False)
@@ -258,7 +262,7 @@
             world.check_invariants()
         assert world.list_unmet_floors() == []
 
-    def test_lost_write_answer_sends_no_order_unseen(self) -> None:
+    def test_lost_write_answers_reserve_memory_once(self) -> None:
         world = World(configuration=offer_models(a=40))
         world.lose_answers = 2
         world.start(100, checks=False)
@@ -268,10 +272,10 @@
 
 
 class TestUnloadInFlight:
-    """A copy that an unload may still reach does not count."""
+    """A copy that a pending unload may still remove does not count."""
 
     def offer_again(self, fault: str, engines: int = 2) -> World:
-        """Withdraw a model, disturb its unload, offer it again before it arrives."""
+        """Withdraw a model and offer it again before its faulty unload arrives."""
         world = World(configuration=offer_models(a=40, b=40))
         world.start(*[100] * engines, checks=False)
         world.run(10.0)
@@ -283,7 +287,7 @@
         return world
 
     @pytest.mark.parametrize("engines", [1, 2])
-    def test_copy_offered_again_is_loaded_elsewhere(self, engines: int) -> None:
+    def test_artifact_offered_again_is_loaded_elsewhere(self, engines: int) -> None:
         world = self.offer_again("late", engines)
         world.run(6.0)
         orders = [o for _, o in world.sent if str(o.artifact) == "a@1"]
@@ -317,7 +321,7 @@
 
 
 class TestTwoControllers:
-    """Two controllers that both believe they are active are safe."""
+    """Two controllers that are active at once keep memory and last copies safe."""
 
     def test_order_is_dropped_after_a_pause(self) -> None:
         world = World(configuration=offer_models(a=40))
@@ -327,7 +331,7 @@
         first.paused = True
         assert world.sent == []
         world.run(ORDER_SEND_WINDOW_S + 1.0)
-        # Only the confirmation of the write is handled, late, by the first one.
+        # The controller handles only the late confirmation of its write.
         mailbox, first.mailbox = first.mailbox, []
         first.paused = False
         world.send_event(first, mailbox[0])
@@ -335,7 +339,7 @@
         assert world.sent == []
 
     def copy_to_other(self, world: World) -> list[UpstreamId]:
-        """Put a second copy beside the only one; return both holders."""
+        """Add a second ready copy on the other engine; return both holders."""
         world.run(20.0)
         artifact = Artifact.parse("a@1")
         [holder] = world.list_ready("a@1")
@@ -346,29 +350,29 @@
         world.run(5.0)
         return [UpstreamId(holder), other.id]
 
-    def test_no_two_controllers_unload_each_others_guard(self) -> None:
+    def test_two_controllers_do_not_unload_both_copies(self) -> None:
         world = World(configuration=offer_models(a=40, b=40))
         controllers = [world.start(100, 100), world.add_controller()]
         holders = self.copy_to_other(world)
         for controller, name in zip(controllers, holders, strict=True):
-            world.mark(controller, name, "a@1")
+            world.request_unload(controller, name, "a@1")
         world.run(20.0)
         assert world.list_ready("a@1")
         world.check_invariants()
 
     @pytest.mark.parametrize("checks", [True, False])
-    def test_mark_stays_while_the_guards_ledger_is_read(self, checks: bool) -> None:
+    def test_mark_stays_while_the_other_ledger_is_read(self, checks: bool) -> None:
         world = World(configuration=offer_models(a=40, b=40))
         first = world.start(100, 100, checks=checks)
         holder, _ = self.copy_to_other(world)
         world.read_s = 3.0
-        world.mark(first, holder, "a@1")
+        world.request_unload(first, holder, "a@1")
         world.run(2.5)
         assert is_marked(world.ledgers[holder], Artifact.parse("a@1"))
         world.run(10.0)
         assert len(world.list_ready("a@1")) == 1
 
-    def test_conflicts_in_a_row_make_writes_rare(self) -> None:
+    def test_consecutive_conflicts_delay_writes(self) -> None:
         world = World(configuration=offer_models(a=40))
         world.start(100)
         [name] = world.engines
@@ -379,7 +383,7 @@
         world.run(30.0)
         assert world.list_unmet_floors() == []
 
-    def test_takeover_waits_for_foreign_orders(self) -> None:
+    def test_takeover_waits_for_orders_of_the_other_controller(self) -> None:
         world = World(configuration=offer_models(a=60))
         first = world.start(100, checks=False)
         world.order_faults = ["late"]
@@ -392,7 +396,7 @@
             world.check_invariants()
         assert world.list_unmet_floors() == []
 
-    def test_ledgers_are_read_only_once_the_lateness_bound_is_known(self) -> None:
+    def test_ledgers_are_not_read_before_the_lateness_bound_is_known(self) -> None:
         world = World(configuration=offer_models(a=40))
         world.start(100)
         world.run(20.0)
@@ -412,9 +416,9 @@
 
 
 class TestDemand:
-    """Copies above the floors follow demand when it pays."""
+    """Copies above the floors follow demand if their gain exceeds the price."""
 
-    def burst(self, price: float, options: PlacementOptions | None = None) -> World:
+    def run_burst(self, price: float, options: PlacementOptions | None = None) -> World:
         world = World(configuration=offer_models(a=40, b=40, price=price))
         world.start(100, 100, 100, options=options)
         world.run(20.0)
@@ -424,17 +428,17 @@
         return world
 
     def test_burst_adds_copies_within_seconds(self) -> None:
-        world = self.burst(price=1.0)
+        world = self.run_burst(price=1.0)
         assert len(world.list_ready("a@1")) >= 2
         orders = [at for at, o in world.sent if str(o.artifact) == "a@1"]
         assert orders[1] - 20.0 < 5.0
 
-    def test_high_price_forbids_moves(self) -> None:
-        world = self.burst(price=1e12)
+    def test_high_price_prevents_moves(self) -> None:
+        world = self.run_burst(price=1e12)
         assert len(world.list_ready("a@1")) == 1
 
-    def test_copies_can_be_switched_off(self) -> None:
-        world = self.burst(1.0, PlacementOptions(demand_copies=False))
+    def test_copies_for_demand_can_be_disabled(self) -> None:
+        world = self.run_burst(1.0, PlacementOptions(demand_copies=False))
         assert len(world.list_ready("a@1")) == 1
 
     def test_alternating_demand_does_not_thrash(self) -> None:
@@ -448,7 +452,7 @@
         assert world.count_moves() <= 3 + 4
 
     def test_floor_evicts_surplus_copies(self) -> None:
-        world = self.burst(price=1.0)
+        world = self.run_burst(price=1.0)
         world.configure(offer_models(2, a=40, b=40, c=80))
         world.run(40.0)
         assert world.list_unmet_floors() == []
@@ -456,21 +460,21 @@
 
 
 class TestCost:
-    """What did not change is not looked at again."""
+    """Unchanged runners are not re-evaluated."""
 
-    def test_only_a_changed_report_is_settled(self) -> None:
+    def test_only_a_changed_report_is_reconciled(self) -> None:
         world = World(configuration=offer_models(a=40, b=40))
         core = world.start(100).core
         world.run(20.0)
         [engine] = world.engines.values()
-        for fence, is_settled in ((0, True), (5, False)):
+        for fence, is_steady in ((0, True), (5, False)):
             engine.fence += fence
             core.handle(events.EngineReported(report=engine.report(20.0)), 20.0)
-            assert (not core.reservations.outbox.dirty) is is_settled
+            assert (not core.reservations.outbox.dirty_runners) is is_steady
 
 
 class TestWeightStore:
-    """Loads go on side by side up to the limits of the weight store."""
+    """Loads run in parallel up to the limits of the weight store."""
 
     @pytest.mark.parametrize(("rate", "limit"), [(50.0, 3), (2.0, 100), (50.0, 100)])
     def test_rate_and_loads_in_flight(self, rate: float, limit: int) -> None:
@@ -488,9 +492,9 @@
 
 
 class TestAdapters:
-    """Adapters sit beside their base and keep it there."""
+    """Adapters are loaded beside their base, which stays while they do."""
 
-    def make(self, *sizes: int) -> World:
+    def make_world(self, *sizes: int) -> World:
         configuration = offer_models(a=40, b=40)
         name = ModelName("a")
         adapters = {
@@ -503,13 +507,13 @@
         return world
 
     def test_adapters_get_ready_beside_their_base(self) -> None:
-        world = self.make(90, 90)
+        world = self.make_world(90, 90)
         world.run(40.0)
         assert world.list_unmet_floors() == []
         world.check_invariants()
 
-    def test_withdrawn_model_goes_adapters_first(self) -> None:
-        world = self.make(90, 90)
+    def test_withdrawn_model_is_unloaded_adapters_first(self) -> None:
+        world = self.make_world(90, 90)
         world.run(40.0)
         world.configure(offer_models(2, b=40))
         world.run(40.0)
@@ -518,14 +522,14 @@
         assert unloads[3:] == ["a@1"]
 
     def test_further_base_is_loaded_where_adapters_have_room(self) -> None:
-        world = self.make(65, 65, 65, 65)
+        world = self.make_world(65, 65, 65, 65)
         world.run(90.0)
         assert world.list_unmet_floors() == []
         world.check_invariants()
 
 
 class TestStatus:
-    """The snapshot says what is where, what waits and why."""
+    """The snapshot contains the copies, the queue and the explanations."""
 
     def test_status_after_start(self) -> None:
         world = World(configuration=offer_models(a=40, b=200))
@@ -542,14 +546,14 @@
 
 
 class TestRegistry:
-    """Policies are found by name."""
+    """Policies are registered and found by name."""
 
-    def test_own_policy_is_registered(self) -> None:
-        make = find_placement("marginal_gain")
+    def test_default_policy_is_registered(self) -> None:
+        create_policy = find_placement("marginal_gain")
         assert "marginal_gain" in list_placements()
-        policy = make(IncarnationId("c"), PlacementOptions(), Random(1))
+        policy = create_policy(IncarnationId("c"), PlacementOptions(), Random(1))
         assert isinstance(policy, PlacementCore)
 
-    def test_name_is_taken_once(self) -> None:
+    def test_name_is_registered_only_once(self) -> None:
         with pytest.raises(ValueError, match="registered already"):
             register_placement("marginal_gain")(find_placement("marginal_gain"))
--- a/tests/policy/placement/test_demand.py
+++ b/tests/policy/placement/test_demand.py
@@ -1,4 +1,4 @@
-"""What demand is taken to be from the gateways' digests."""
+"""Tests of the demand estimate from the gateways' digests."""
 
 from random import Random
 
@@ -8,16 +8,16 @@
 from mangoway.policy.placement.events import ArtifactRate, DemandReported
 
 CHAT = Artifact.parse("chat@1")
-TOKENS_EACH = 100
+TOKENS_PER_REQUEST = 100
 
 
 def report(estimator: DemandEstimator, arrived: int, at: float) -> None:
-    """Give the estimator one second's arrivals."""
+    """Report the arrivals of one second to the estimator."""
     rate = ArtifactRate(
         artifact=CHAT,
         arrived=arrived,
         queued=0,
-        tokens=arrived * TOKENS_EACH,
+        tokens=arrived * TOKENS_PER_REQUEST,
         refused=0,
     )
     event = DemandReported(
@@ -26,27 +26,27 @@
         period_s=1.0,
         rates=(rate,) if arrived else (),
     )
-    estimator.take(event, at)
+    estimator.apply_digest(event, at)
     estimator.update(at)
 
 
 class TestEstimate:
-    """Trickles and surges."""
+    """The estimate of low demand and of surges."""
 
-    def test_chance_peaks_of_a_trickle_do_not_add_up(self) -> None:
+    def test_random_peaks_of_low_demand_do_not_add_up(self) -> None:
         estimator = DemandEstimator()
         random = Random(1)
         for second in range(1, 601):
             report(estimator, int(random.random() < 0.05), float(second))
         assert estimator.find(CHAT).requests_per_second < 0.15
 
-    def test_surge_is_believed_within_seconds(self) -> None:
+    def test_surge_raises_the_estimate_within_seconds(self) -> None:
         estimator = DemandEstimator()
         for second in range(1, 6):
             report(estimator, 20, float(second))
         assert estimator.find(CHAT).requests_per_second > 10.0
 
-    def test_peak_is_held_for_a_while(self) -> None:
+    def test_estimate_decays_slowly_after_a_peak(self) -> None:
         estimator = DemandEstimator()
         for second in range(1, 31):
             report(estimator, 20, float(second))
--- a/tests/policy/placement/test_floors.py
+++ b/tests/policy/placement/test_floors.py
@@ -11,19 +11,19 @@
 
 def declare(configuration: Configuration, *sizes: int) -> Configuration:
     groups = tuple(
-        RunnerGroup(data_centre=DataCentreId(f"dc{one}"), count=1, memory_mb=size)
-        for one, size in enumerate(sizes)
+        RunnerGroup(data_centre=DataCentreId(f"dc{number}"), count=1, memory_mb=size)
+        for number, size in enumerate(sizes)
     )
     return evolve(configuration, runner_groups=groups)
 
 
 class TestCheckFloorsFit:
-    """Floors are packed with adapters, KV cache floor, spread and a swing slot."""
+    """Packing respects adapters, KV cache floor, spread and replacement memory."""
 
-    def test_fits_with_swing(self) -> None:
+    def test_fits_with_memory_for_a_replacement(self) -> None:
         assert check_floors_fit(declare(offer_models(a=40, b=40), 100, 50)) == []
 
-    def test_swing_slot_is_kept(self) -> None:
+    def test_memory_for_a_replacement_is_required(self) -> None:
         [shortage] = check_floors_fit(declare(offer_models(a=40, b=40), 50, 50))
         assert str(shortage.artifact) == "a@1"
         assert shortage.reason == "no_room_to_replace"
@@ -39,7 +39,7 @@
         assert shortage.reason == "no_room_in_another_data_centre"
         assert check_floors_fit(declare(offer, 200, 50)) == []
 
-    def test_adapters_go_beside_their_base(self) -> None:
+    def test_adapters_are_packed_beside_their_base(self) -> None:
         offer = offer_models(a=40)
         model = offer.models[ModelName("a")]
         adapters = {AdapterName("x"): AdapterOffer(memory_mb=15)}
--- a/tests/policy/placement/test_machine.py
+++ b/tests/policy/placement/test_machine.py
@@ -1,4 +1,4 @@
-"""State machine: memory and reachability under faults, against the fakes' counts."""
+"""Stateful test of memory limits and reachability under faults."""
 
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 from .world import BOUND_S, World, offer_models
 
 SIZES = {"a": 50, "b": 50, "c": 45, "d": 45, "e": 50, "f": 30, "g": 30, "h": 20}
-"""Two of the large ones fill an engine of 110 MB with its KV cache floor."""
+"""Two of the large models fill an engine of 110 MB including its KV cache floor."""
 
 ENGINES = 4
 OFFERED = 5
@@ -21,7 +21,7 @@
 
 
 class PlacementMachine(RuleBasedStateMachine):
-    """Two controllers that both believe they are active, and faulty everything."""
+    """Two active controllers with faults of orders, engines, reports and the store."""
 
     @initialize(
         checks=st.lists(st.sampled_from(CHECKS), min_size=ENGINES, max_size=ENGINES),
@@ -86,7 +86,7 @@
         arrived=st.sampled_from([0, 20, 200]),
         seconds=st.sampled_from([1.0, 5.0]),
     )
-    def demand(self, position: int, arrived: int, seconds: float) -> None:
+    def report_demand(self, position: int, arrived: int, seconds: float) -> None:
         artifact = Artifact.parse(f"{self.offered[position]}@{self.versions[0]}")
         rate = events.ArtifactRate(
             artifact=artifact, arrived=arrived, queued=0, tokens=arrived, refused=0
@@ -125,17 +125,17 @@
         self.world.lose_answers = lost
 
     @rule(lag=st.sampled_from([0.0, 1.5]), read=st.sampled_from([0.01, 2.0]))
-    def lag(self, lag: float, read: float) -> None:
+    def change_lag(self, lag: float, read: float) -> None:
         self.world.report_lag_s = lag
         self.world.read_s = read
 
     @invariant()
-    def hold(self) -> None:
+    def check_world(self) -> None:
         if hasattr(self, "world"):
             self.world.check_invariants()
 
     def teardown(self) -> None:
-        """End all faults; then every floor has to get ready."""
+        """End all faults and check that every floor becomes ready."""
         if not hasattr(self, "world"):
             return
         world = self.world
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -1,4 +1,4 @@
-"""Small fakes around placement cores: engines, ledger store, time and faults."""
+"""Simulation of placement cores with engines, a ledger store, time and faults."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 )
 from mangoway.models.verdict import Verdict
 from mangoway.policy.placement import actions, events
-from mangoway.policy.placement.const import REPORT_FRESH_S
+from mangoway.policy.placement.const import MAX_REPORT_AGE_S
 from mangoway.policy.placement.core import PlacementCore
 from mangoway.policy.placement.options import PlacementOptions
 from mangoway.policy.placement.runners import CopyState
@@ -52,7 +52,7 @@
     price: float = 1.0,
     **models_mb: int,
 ) -> Configuration:
-    """Return a configuration of plain models of the given sizes."""
+    """Return a configuration of models without adapters of the given sizes."""
     return Configuration(
         version=ConfigVersion(version),
         models={
@@ -78,7 +78,7 @@
 
 @define
 class Engine:
-    """An engine that counts its memory and notes when it was ever over."""
+    """An engine that counts its memory and records each time it exceeds its size."""
 
     id: UpstreamId
     data_centre: DataCentreId = DC1
@@ -87,7 +87,7 @@
     checks_incarnations: bool = True
     """Whether it refuses orders for another incarnation, if it checks fences."""
 
-    life: int = 1
+    run_number: int = 1
     up: bool = True
     leaving: bool = False
     fence: int = 0
@@ -96,18 +96,18 @@
     orders: list[Order] = field(factory=list)
     overruns: list[str] = field(factory=list)
     crashes: list[tuple[float, Artifact]] = field(factory=list)
-    """When a restart lost which ready copy."""
+    """Ready copies that restarts lost, with the time."""
 
     @property
     def incarnation(self) -> IncarnationId:
-        return IncarnationId(f"{self.id}.{self.life}")
+        return IncarnationId(f"{self.id}.{self.run_number}")
 
     @property
     def used_mb(self) -> int:
         return KV_FLOOR_MB + sum(self.memory.values())
 
     def restart(self, now: float) -> None:
-        self.life += 1
+        self.run_number += 1
         self.fence = 0
         self.crashes.extend((now, artifact) for artifact in self.ready)
         self.memory.clear()
@@ -144,7 +144,7 @@
             leaving=self.leaving,
         )
 
-    def take(self, order: Order) -> OrderOutcome:
+    def handle_order(self, order: Order) -> OrderOutcome:
         self.orders.append(order)
         if self.checks:
             if self.checks_incarnations and order.incarnation != self.incarnation:
@@ -164,20 +164,20 @@
 
 
 @define
-class Basis:
-    """What the sender of an unload went by."""
+class UnloadBasis:
+    """State on which the sender of an unload based its decision."""
 
     controller: Controller
-    withdrawn: bool
+    is_withdrawn: bool
     """Whether the artifact was not offered when the order was sent."""
 
-    guards: dict[UpstreamId, float]
+    remaining: dict[UpstreamId, float]
     """Time of the fresh report that shows a ready copy, by engine."""
 
 
 @define
 class Controller:
-    """One core with its mailbox; a paused one handles its events when it wakes."""
+    """Controller with one core; while paused it queues its events in a mailbox."""
 
     core: PlacementCore
     alive: bool = True
@@ -188,7 +188,7 @@
 
 @define
 class World:
-    """Engines, a ledger store and controllers on one virtual clock."""
+    """Engines, a ledger store and controllers with a common virtual clock."""
 
     engines: dict[UpstreamId, Engine] = field(factory=dict)
     controllers: list[Controller] = field(factory=list)
@@ -203,21 +203,21 @@
     reads: int = 0
     store_up: bool = True
     lose_answers: int = 0
-    """Next writes whose answer is lost after they took effect."""
+    """Number of next writes whose answer is lost after they took effect."""
 
     order_faults: list[str] = field(factory=list)
-    """What happens to the next orders: lose, late, double, drop_answer."""
+    """Faults of the next orders: lose, late, double, drop_answer or none ("")."""
 
     report_lag_s: float = 0.0
     read_s: float = 0.01
-    """Time that the store takes for a read."""
+    """Time that a read from the store takes."""
 
-    bases: dict[OrderId, Basis] = field(factory=dict)
+    bases: dict[OrderId, UnloadBasis] = field(factory=dict)
     last_copy_losses: list[str] = field(factory=list)
     _heap: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _numbers: count[int] = field(factory=count)
 
-    # Set-up.
+    # Setup.
 
     def add_engine(self, name: str, **changes: object) -> Engine:
         engine = Engine(UpstreamId(name), **changes)  # type: ignore[arg-type]
@@ -285,7 +285,7 @@
         self.now = end
 
     def _poll(self) -> None:
-        """Read every engine's description and report, once a second."""
+        """Read every engine's description and report once a second."""
         for engine in self.engines.values():
             if not engine.up:
                 for controller in self.controllers:
@@ -293,10 +293,10 @@
                         controller, events.EngineSilent(upstream_id=engine.id)
                     )
                 continue
-            met = events.EngineDescribed(description=engine.describe())
+            described = events.EngineDescribed(description=engine.describe())
             reported = events.EngineReported(report=engine.report(self.now))
             for controller in self.controllers:
-                self._deliver(controller, met, self.report_lag_s)
+                self._deliver(controller, described, self.report_lag_s)
                 self._deliver(controller, reported, self.report_lag_s)
         self.call_later(1.0, self._poll)
 
@@ -314,7 +314,7 @@
             controller.mailbox.append(event)
             return
         for action in controller.core.handle(event, self.now):
-            self._act(controller, action)
+            self._perform(controller, action)
 
     def resume(self, controller: Controller) -> None:
         controller.paused = False
@@ -322,7 +322,7 @@
         for event in mailbox:
             self.send_event(controller, event)
 
-    def _act(self, controller: Controller, action: actions.PlacementAction) -> None:
+    def _perform(self, controller: Controller, action: actions.PlacementAction) -> None:
         match action:
             case actions.ReadLedger(upstream_id=upstream_id):
                 self.call_later(
@@ -332,8 +332,8 @@
                 self.call_later(0.01, lambda: self._write(controller, action))
             case actions.SendOrder(order=order):
                 self.sent.append((self.now, order))
-                self._note_basis(controller, order)
-                self.call_later(0.01, lambda: self._carry(controller, order))
+                self._record_basis(controller, order)
+                self.call_later(0.01, lambda: self._carry_out(controller, order))
             case actions.Explain():
                 self.reasons.append(action)
             case actions.WakeAt(time=time):
@@ -347,14 +347,16 @@
         if controller.wake == wake:
             self.send_event(controller, events.Ticked())
 
-    def mark(self, controller: Controller, name: UpstreamId, artifact: str) -> None:
-        """Let a controller begin an unload that it did not plan."""
-        steps = controller.core.reservations
+    def request_unload(
+        self, controller: Controller, name: UpstreamId, artifact: str
+    ) -> None:
+        """Make a controller start an unload that it did not plan."""
+        reservations = controller.core.reservations
         runner = controller.core.state.runners[name]
-        assert steps.mark(runner, Artifact.parse(artifact), self.now)
-        for action in steps.outbox.actions:
-            self._act(controller, action)
-        steps.outbox.actions.clear()
+        assert reservations.request_unload(runner, Artifact.parse(artifact), self.now)
+        for action in reservations.outbox.actions:
+            self._perform(controller, action)
+        reservations.outbox.actions.clear()
 
     # Ledger store.
 
@@ -398,7 +400,7 @@
 
     # Orders.
 
-    def _carry(self, controller: Controller, order: Order) -> None:
+    def _carry_out(self, controller: Controller, order: Order) -> None:
         fault = self.order_faults.pop(0) if self.order_faults else ""
         engine = self.engines[order.upstream]
         failed = events.OrderFailed(
@@ -411,13 +413,15 @@
             return
         if fault == "late":
             self._deliver(controller, failed, 1.0)
-            # The connection closes after one second; the bound runs from there.
+            # The connection closes after one second, from which the bound counts.
             delay_s = self.rng.uniform(0.0, BOUND_S)
-            self.call_later(1.0 + delay_s, lambda: self._reach(order))
+            self.call_later(1.0 + delay_s, lambda: self._apply_order(order))
             return
-        outcome = self._reach(order)
+        outcome = self._apply_order(order)
         if fault == "double":
-            self.call_later(self.rng.uniform(0.0, BOUND_S), lambda: self._reach(order))
+            self.call_later(
+                self.rng.uniform(0.0, BOUND_S), lambda: self._apply_order(order)
+            )
         answer: events.PlacementEvent = events.OrderAnswered(
             order_id=order.id,
             upstream_id=order.upstream,
@@ -426,71 +430,75 @@
         )
         self._deliver(controller, failed if fault == "drop_answer" else answer, 0.05)
 
-    def _reach(self, order: Order) -> OrderOutcome:
+    def _apply_order(self, order: Order) -> OrderOutcome:
         engine = self.engines[order.upstream]
         if not engine.up:
             return OrderOutcome.REFUSED_UNKNOWN
         artifact = order.artifact
         was_ready = artifact in engine.ready
-        outcome = engine.take(order)
+        outcome = engine.handle_order(order)
         if was_ready and artifact not in engine.ready:
             self._check_last_copy(engine, artifact, order)
-        life = engine.life
+        run_number = engine.run_number
         if order.kind is OrderKind.LOAD and outcome is OrderOutcome.ACCEPTED:
-            self.call_later(LOAD_S, lambda: self._get_ready(engine, artifact, life))
+            self.call_later(
+                LOAD_S, lambda: self._get_ready(engine, artifact, run_number)
+            )
         return outcome
 
-    def _get_ready(self, engine: Engine, artifact: Artifact, life: int) -> None:
-        if engine.life == life and artifact in engine.memory:
+    def _get_ready(self, engine: Engine, artifact: Artifact, run_number: int) -> None:
+        if engine.run_number == run_number and artifact in engine.memory:
             engine.ready.add(artifact)
 
-    def _note_basis(self, controller: Controller, order: Order) -> None:
+    def _record_basis(self, controller: Controller, order: Order) -> None:
         state = controller.core.state
-        guards = {
+        remaining = {
             one: report.reported_at
             for one in state.copies.list_ready(order.artifact)
             if (report := state.runners[one].report) is not None
-            and report.reported_at >= self.now - REPORT_FRESH_S
+            and report.reported_at >= self.now - MAX_REPORT_AGE_S
         }
-        guards.pop(order.upstream, None)
-        withdrawn = order.artifact not in self.configuration.list_artifacts()
-        self.bases[order.id] = Basis(controller, withdrawn, guards)
+        remaining.pop(order.upstream, None)
+        is_withdrawn = order.artifact not in self.configuration.list_artifacts()
+        self.bases[order.id] = UnloadBasis(controller, is_withdrawn, remaining)
 
     def _check_last_copy(
         self, engine: Engine, artifact: Artifact, order: Order
     ) -> None:
-        """Note an unload of the last ready copy that the core could have avoided."""
+        """Record an unload of the last ready copy that the core could have avoided."""
         if artifact not in self.configuration.list_artifacts():
             return
         others = [one for one in self.engines.values() if one is not engine]
         if any(artifact in one.ready for one in others):
             return
         basis = self.bases[order.id]
-        if self._is_known_lost(basis, engine, artifact):
+        if self._is_loss_expected(basis, engine, artifact):
             return
-        if self._is_guard_crashed(basis, artifact):
+        if self._is_remaining_crashed(basis, artifact):
             return
         self.last_copy_losses.append(f"{self.now}: {order}")
 
-    def _is_known_lost(self, basis: Basis, engine: Engine, artifact: Artifact) -> bool:
-        """Return whether an order that can't be called back surprises nobody.
+    def _is_loss_expected(
+        self, basis: UnloadBasis, engine: Engine, artifact: Artifact
+    ) -> bool:
+        """Return whether the loss of a copy is expected by the sender of the order.
 
-        An unload that was sent while its artifact was withdrawn may arrive after it
-        was offered again. Its sender must not have counted on the copy since.
+        An unload that was sent while its artifact was withdrawn may arrive after the
+        artifact was offered again. Its sender must not count the copy as ready.
         """
         runner = basis.controller.core.state.runners[engine.id]
-        counted = runner.list_copies(self.now).get(artifact)
-        return basis.withdrawn and counted is not CopyState.READY
+        counted_state = runner.list_copies(self.now).get(artifact)
+        return basis.is_withdrawn and counted_state is not CopyState.READY
 
-    def _is_guard_crashed(self, basis: Basis, artifact: Artifact) -> bool:
-        """Return whether a copy that was relied on crashed after its report."""
+    def _is_remaining_crashed(self, basis: UnloadBasis, artifact: Artifact) -> bool:
+        """Return whether a remaining copy was lost by a restart after its report."""
         return any(
             lost == artifact and at >= seen_at
-            for one, seen_at in basis.guards.items()
+            for one, seen_at in basis.remaining.items()
             for at, lost in self.engines[one].crashes
         )
 
-    # Oracle.
+    # Checks.
 
     def list_ready(self, name: str) -> list[str]:
         """Return the engines with a ready copy."""
@@ -498,7 +506,7 @@
         return [one.id for one in self.engines.values() if artifact in one.ready]
 
     def list_reasons(self) -> set[str]:
-        """Return the codes of all explanations so far."""
+        """Return the codes of all explanations."""
         return {one.reason for one in self.reasons}
 
     def list_unmet_floors(self) -> list[str]:
@@ -518,7 +526,7 @@
         return missing
 
     def check_invariants(self) -> None:
-        """Assert what must hold at any time."""
+        """Assert the invariants that must hold at any time."""
         for engine in self.engines.values():
             assert not engine.overruns, engine.overruns
         assert not self.last_copy_losses, self.last_copy_losses
