--- a/tests/policy/scheduling/test_machine.py
+++ b/tests/policy/scheduling/test_machine.py
@@ -31,7 +31,7 @@
         for number in range(many):
             self.grant_request += 1
             grant_request = make_asked(
-                f"q{self.asked}",
+                f"q{self.grant_request}",
                 model,
                 adapter=f"x{number}" if adapter else "",
                 patience_s=6.0,
