--- a/mangoway/policy/edge/__init__.py
+++ b/mangoway/policy/edge/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of an edge about the requests that it has read."""
+"""Decisions of an edge about the requests that it has received."""
--- a/mangoway/policy/edge/choice.py
+++ b/mangoway/policy/edge/choice.py
@@ -1,4 +1,4 @@
-"""Chooses a runner from what this process alone knows."""
+"""Runner selection by the load of this process alone."""
 
 from collections.abc import Sequence
 from random import Random
@@ -7,24 +7,24 @@
 
 from ...models.runner import RunnerEntry
 
-OTHER_ZONE_LOAD = 0.34
-"""Load, as a part of a runner's slots, that a runner of another data centre must have
-less to be chosen: two of six slots. Traffic between data centres is priced, but a wait
-for a slot is dearer."""
+OTHER_DATA_CENTRE_LOAD = 0.34
+"""Load, as a fraction of its slots, by which a runner of another data centre must be
+less loaded to be chosen: two of six slots. Traffic between data centres costs money,
+but waiting for a slot costs more."""
 
 
 @define(eq=False)
 class InFlight:
-    """Requests of this process at each runner."""
+    """Number of requests in flight from this process to each runner."""
 
     counts: dict[str, int] = field(factory=dict, init=False)
 
     def add(self, runner_id: str) -> None:
-        """Count a request that goes out."""
+        """Count a request that is sent."""
         self.counts[runner_id] = self.counts.get(runner_id, 0) + 1
 
     def remove(self, runner_id: str) -> None:
-        """Count a request that has ended."""
+        """Remove a request that has ended."""
         left = self.counts.get(runner_id, 0) - 1
         if left > 0:
             self.counts[runner_id] = left
@@ -32,7 +32,7 @@
             self.counts.pop(runner_id, None)
 
     def get(self, runner_id: str) -> int:
-        """Return the requests at a runner."""
+        """Return the number of requests in flight to a runner."""
         return self.counts.get(runner_id, 0)
 
 
@@ -42,11 +42,16 @@
     data_centre: str,
     random: Random,
 ) -> RunnerEntry | None:
-    """Return the runner with the least own load, near ones first; None without any."""
+    """Return the runner with the least load from this process; None if there is none.
 
-    def rate(entry: RunnerEntry) -> tuple[float, float]:
+    Runners of the own data centre are preferred.
+    """
+
+    def compute_load(entry: RunnerEntry) -> tuple[float, float]:
         load = in_flight.get(entry.runner_id) / entry.slots
-        far = 0.0 if entry.data_centre == data_centre else OTHER_ZONE_LOAD
-        return (load + far, random.random())
+        distance_load = (
+            0.0 if entry.data_centre == data_centre else OTHER_DATA_CENTRE_LOAD
+        )
+        return (load + distance_load, random.random())
 
-    return min(runners, key=rate, default=None)
+    return min(runners, key=compute_load, default=None)
--- a/mangoway/policy/edge/health.py
+++ b/mangoway/policy/edge/health.py
@@ -1,22 +1,22 @@
-"""Judges runners by the answers that requests got, not by what they claim."""
+"""Runner health, judged by the results of requests, not by the runners' reports."""
 
 from collections.abc import Collection
 from typing import Final
 
 from attrs import define, field
 
-from .const import AVOID_S, AVOIDED_SHARE, FAILURES_TO_AVOID
+from .const import AVOIDED_RETRY_INTERVAL_S, FAILURES_TO_AVOID, MAX_AVOIDED_SHARE
 
-NONE: Final[frozenset[str]] = frozenset()
-"""The runners that are avoided where all may be tried, made once for all looks."""
+NO_RUNNERS: Final[frozenset[str]] = frozenset()
+"""Shared result for the case that no runner is avoided."""
 
 
 @define
 class RunnerHealth:
-    """Record of one runner."""
+    """Health of one runner."""
 
     failures: int = 0
-    """Failures since the last good answer."""
+    """Consecutive failures since the last success."""
 
     avoided: bool = False
     next_try_at: float = 0.0
@@ -24,64 +24,68 @@
 
 @define(eq=False)
 class HealthTracker:
-    """Records of all runners, by their ids."""
+    """Health of all runners with failures, by runner id."""
 
     _records: dict[str, RunnerHealth] = field(factory=dict, init=False)
 
     def record_success(self, runner_id: str) -> bool:
-        """Count a good answer; returns whether the runner was avoided until now."""
+        """Reset a runner after a success; return whether it was avoided until now."""
         record = self._records.pop(runner_id, None)
         return record is not None and record.avoided
 
     def record_failure(
         self, runner_id: str, now: float, *, unreachable: bool = False
     ) -> int:
-        """Count a failure.
+        """Count a failed request.
 
         Args:
             runner_id: The runner.
             now: Time in seconds.
-            unreachable: Whether it could not be connected to, which one failure shows.
+            unreachable: Whether the connection failed, for which one failure is enough.
 
         Returns:
-            The failures in a row if the runner is avoided from now on, else 0.
+            The consecutive failures if the runner becomes avoided now, else 0.
         """
         record = self._records.setdefault(runner_id, RunnerHealth())
         record.failures += FAILURES_TO_AVOID if unreachable else 1
         if record.failures < FAILURES_TO_AVOID:
             return 0
-        record.next_try_at = now + AVOID_S
-        newly, record.avoided = not record.avoided, True
-        return record.failures if newly else 0
+        record.next_try_at = now + AVOIDED_RETRY_INTERVAL_S
+        is_newly_avoided, record.avoided = not record.avoided, True
+        return record.failures if is_newly_avoided else 0
 
     def list_usable(self, runner_ids: list[str], now: float) -> list[str]:
-        """Return the runners that may be tried now; all if too many are avoided."""
+        """Return the runners that may be used now; all if too many are avoided."""
         avoided = self.find_avoided(frozenset(runner_ids), now)
         return [each for each in runner_ids if each not in avoided]
 
     def find_avoided(self, runner_ids: Collection[str], now: float) -> frozenset[str]:
-        """Return which runners may not be tried now; none if they are too many."""
+        """Return the runners that must not be used now; none if there are too many."""
         if not self._records:
-            return NONE
+            return NO_RUNNERS
         avoided = frozenset(
             each
             for each in self._records
             if each in runner_ids and not self._is_usable(each, now)
         )
-        return NONE if len(avoided) > AVOIDED_SHARE * len(runner_ids) else avoided
+        return (
+            NO_RUNNERS
+            if len(avoided) > MAX_AVOIDED_SHARE * len(runner_ids)
+            else avoided
+        )
 
     def record_attempt(self, runner_id: str, now: float) -> None:
-        """Note a try, after which an avoided runner waits for its outcome."""
+        """Delay the next attempt at an avoided runner, since one has just been sent."""
         record = self._records.get(runner_id)
         if record is not None and record.avoided:
-            record.next_try_at = now + AVOID_S
+            record.next_try_at = now + AVOIDED_RETRY_INTERVAL_S
 
     def forget(self, runner_id: str) -> None:
-        """Forget what an earlier life of a runner did."""
+        """Reset a runner that has restarted."""
         self._records.pop(runner_id, None)
 
     def keep_only(self, runner_ids: set[str]) -> None:
-        """Forget runners that are gone."""
+        """Drop the runners that are not listed."""
         for runner_id in set(self._records) - runner_ids:
             del self._records[runner_id]
 
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -1,4 +1,4 @@
-"""Decides what follows when a try at a runner failed."""
+"""Decides whether a request is retried after a failed attempt."""
 
 from enum import Enum
 
@@ -10,47 +10,47 @@
 
 
 class RetryDecision(Enum):
-    """What follows a failed try."""
+    """Decision after a failed attempt."""
 
     RETRY = "retry"
     REFUSE = "refuse"
-    """Answer that the request has not run."""
+    """Respond that the request has not run."""
 
     FAIL = "fail"
-    """Answer that it may have run."""
+    """Respond that the request may have run."""
 
 
 class RetryCause(Enum):
-    """Why a request is sent to a runner once more."""
+    """Why a request is sent to a runner again."""
 
     FAILED = "failed"
-    """The runner failed, or its connection broke before an answer began."""
+    """The runner failed, or its connection broke before a response began."""
 
     REFUSED = "refused"
-    """The runner said that it has not run the request."""
+    """The runner rejected the request and has not run it."""
 
     SILENT = "silent"
-    """The runner was silent, and another one was found."""
+    """The runner sent nothing, and another one was found."""
 
     RESUMED = "resumed"
-    """The stream broke after its first event."""
+    """The response stream broke after its first event."""
 
 
 @frozen(kw_only=True)
 class FailedAttempt:
-    """A try that failed, and what came before it."""
+    """A failed attempt, with the history of its request."""
 
     verdict: Verdict
-    """Of this try."""
+    """Whether this attempt may have run."""
 
     ran_before: bool
-    """Whether an earlier try of the request may have run."""
+    """Whether an earlier attempt of the request may have run."""
 
     runners_tried: int
-    """Runners that the request was sent to, this one included."""
+    """Number of runners that the request was sent to, including this one."""
 
     was_sent: bool
-    """Whether bytes of the request went out in this try."""
+    """Whether any bytes of the request were sent in this attempt."""
 
     time_left_s: float
 
@@ -58,14 +58,14 @@
 def decide_retry(
     route: Route, failed: FailedAttempt, *, budget_left: bool
 ) -> RetryDecision:
-    """Return what follows a failed try.
+    """Return whether to retry, reject or fail a request after a failed attempt.
 
-    What may have run goes out again only on a route whose requests may be repeated;
-    what certainly has not run goes out again on any.
+    A request that may have run is retried only on an idempotent route; one that
+    certainly has not run is retried on any route.
     """
     may_have_run = failed.ran_before or failed.verdict is not Verdict.NOT_RUN
     allowed = not may_have_run or route.idempotent
-    # What was not run may go to a runner again that it was sent to before.
+    # A request that has not run may be sent again to the same runner.
     attempts_left = (
         failed.runners_tried < route.max_attempts or failed.verdict is Verdict.NOT_RUN
     )
--- a/mangoway/policy/edge/retry_budget.py
+++ b/mangoway/policy/edge/retry_budget.py
@@ -1,11 +1,11 @@
-"""Bounds the repeats of a service, so that a failure is not multiplied by retries.
-
-The bound holds over the whole fleet and in each window. Each edge counts what it sends,
-and nobody counts for another, so that it makes no difference who else comes and goes.
-Requests earn credits where they arrive, and an edge saves up a part of the fixed
-allowance at most. Besides, it may send another part of it in each window. So all edges
-together send in a window no more than they had saved, what the window's requests earn,
-and what they may send in each.
+"""Retry budget of a service, so that retries don't amplify a failure.
+
+The budget applies to the whole fleet and to each window. Each edge counts only the
+retries that it sends itself, so it doesn't matter which other edges start and stop.
+Requests earn credits at the edge where they arrive, and an edge saves up at most a
+share of the fixed allowance. In addition, it may send another share of the allowance in
+each window. In a window, all edges together therefore send at most the saved credits,
+the credits that the window's requests earn, and the window's share.
 """
 
 from collections import deque
@@ -15,40 +15,40 @@
 
 from attrs import define, field, frozen
 
-from .const import ADDED_PART, SAVED_SHARE, WINDOW_PART
+from .const import REFILL_SHARE, SAVED_SHARE, WINDOW_SHARE
 
-WHOLE_CREDIT: Final = 1 - 1e-9
-"""One credit, as it is where fractions were added up."""
+MIN_WHOLE_CREDIT: Final = 1 - 1e-9
+"""One credit, less a tolerance for the rounding errors of added fractions."""
 
 
-Divider = Callable[[str, float, float], float]
-"""Returns one edge's part of an allowance, given its name, its size in credits, and the
-edge's share of the fleet."""
+AllowanceDivider = Callable[[str, float, float], float]
+"""Returns one edge's part of an allowance, given the name of the allowance, its size in
+credits, and the edge's share of the fleet."""
 
 
-def multiply(allowance: str, credits: float, share: float) -> float:
-    """Return a part of an allowance that may be less than one credit."""
+def divide_proportionally(allowance: str, credits: float, share: float) -> float:
+    """Return the proportional part of an allowance, possibly less than one credit."""
     return credits * share
 
 
 @frozen(kw_only=True)
 class RetryLimits:
-    """Bounds of the repeats of a service over the whole fleet."""
+    """Limits of the retries of a service over the whole fleet."""
 
     ratio: float
-    """Repeats for each request."""
+    """Retries per request."""
 
     slack: float
-    """Repeats beyond those in a window: the fixed allowance."""
+    """Additional retries per window: the fixed allowance."""
 
     window_s: float
 
 
 class CreditState(Enum):
-    """What became of a credit that was taken."""
+    """State of a credit that was acquired."""
 
     HELD = "held"
-    """The repeat is not sent, or may not have reached its runner yet."""
+    """The retry has not been sent, or may not have reached its runner yet."""
 
     SPENT = "spent"
     RETURNED = "returned"
@@ -56,138 +56,154 @@
 
 @define(eq=False)
 class RetryCredit:
-    """The payment for one repeat, from what was saved and from the window's part."""
+    """The credit for one retry, from the savings and from the window's share."""
 
     budget: "RetryBudget"
-    saved: float
+    from_savings: float
     state: CreditState = field(default=CreditState.HELD, init=False)
 
     @property
     def from_window(self) -> float:
-        """Return what was taken from the window's part."""
-        return 1.0 - self.saved
+        """Return the fraction that comes from the window's share."""
+        return 1.0 - self.from_savings
 
     def spend(self, now: float) -> None:
-        """Note that the repeat has reached its runner, or never will."""
+        """Mark the credit as spent: the retry has reached its runner, or never will."""
         if self.state is CreditState.HELD:
             self.state = CreditState.SPENT
             self.budget.settle(self, now)
 
     def refund(self) -> None:
-        """Return the credit, as nothing was sent."""
+        """Refund the credit, since nothing was sent."""
         if self.state is CreditState.HELD:
             self.state = CreditState.RETURNED
-            self.budget.take_back(self)
+            self.budget.restore(self)
 
 
 @define(eq=False)
 class RetryBudget:
-    """The credits of one edge for the repeats of one service.
+    """The credits of one edge for the retries of one service.
 
-    A credit counts as saved, or as sent in the window, for as long as its repeat may
-    be on its way: one that reaches its runner late adds nothing to what is sent then.
+    A held credit counts against the savings, or against the window's share, for as
+    long as its retry may be in transit: a retry that reaches its runner late must not
+    add to those that are sent then.
     """
 
     limits: RetryLimits
-    began_at: float
+    started_at: float
     """When the edge started."""
 
-    divide: Divider = multiply
+    divide: AllowanceDivider = divide_proportionally
     """Returns this edge's part of an allowance."""
 
     balance: float = field(default=0.0, init=False)
-    """Credits that are saved."""
+    """Saved credits."""
 
     requests: int = field(default=0, init=False)
     repeats: int = field(default=0, init=False)
     refused: int = field(default=0, init=False)
-    """Requests, repeats paid for, and repeats refused, since the start."""
+    """Requests, retries granted, and retries refused, since the start."""
 
-    _held_saved: float = field(default=0.0, init=False)
+    _held_savings: float = field(default=0.0, init=False)
     _held_from_window: float = field(default=0.0, init=False)
-    _spent: deque[tuple[float, float]] = field(factory=deque, init=False)
-    """Time and amount of what was spent of the last window's part."""
+    _window_spending: deque[tuple[float, float]] = field(factory=deque, init=False)
+    """Time and amount of the credits spent from the share of the last window."""
 
-    _filled_at: float | None = field(default=None, init=False)
+    _refilled_at: float | None = field(default=None, init=False)
     _share: float = field(default=0.0, init=False)
 
     @property
     def held(self) -> float:
-        """Return the credits of repeats that may be on their way."""
-        return self._held_saved + self._held_from_window
+        """Return the credits of retries that may be in transit."""
+        return self._held_savings + self._held_from_window
 
     def record_request(self, now: float, share: float) -> None:
-        """Count a request of a caller, once."""
-        self._fill(now, share)
+        """Count a request of a caller; retries are not counted again."""
+        self._refill(now, share)
         self.requests += 1
-        self._add(self.limits.ratio)
+        self._add_savings(self.limits.ratio)
 
     def try_acquire(self, now: float, share: float) -> RetryCredit | None:
-        """Take the credit for one repeat; None if there is none.
+        """Acquire the credit for one retry; return None if the budget is exhausted.
 
         Args:
             now: Time in seconds.
-            share: Part of the fleet's fixed allowance that this edge has now.
+            share: Current share of this edge in the fleet's fixed allowance, 0 to 1.
         """
-        self._fill(now, share)
+        self._refill(now, share)
         balance = max(0.0, self.balance)
-        if balance + self._measure_window(now) < WHOLE_CREDIT:
+        if balance + self._measure_window_share(now) < MIN_WHOLE_CREDIT:
             self.refused += 1
             return None
         credit = RetryCredit(self, min(1.0, balance))
-        self.balance -= credit.saved
-        self._held_saved += credit.saved
+        self.balance -= credit.from_savings
+        self._held_savings += credit.from_savings
         self._held_from_window += credit.from_window
         self.repeats += 1
         return credit
 
     def settle(self, credit: RetryCredit, now: float) -> None:
-        """Take what is held for a repeat as spent."""
+        """Turn a held credit into a spent one."""
         self._release(credit)
         if credit.from_window:
-            self._spent.append((now, credit.from_window))
-            self._forget(now)
+            self._window_spending.append((now, credit.from_window))
+            self._expire_spending(now)
 
-    def take_back(self, credit: RetryCredit) -> None:
-        """Take what is held for a repeat that was not sent as never taken."""
+    def restore(self, credit: RetryCredit) -> None:
+        """Return a held credit to the budget, since its retry was not sent."""
         self._release(credit)
-        self.balance += credit.saved
+        self.balance += credit.from_savings
 
     def measure_available(self, now: float, share: float) -> float:
-        """Return the repeats that may be sent now."""
-        self._fill(now, share)
-        return max(0.0, self.balance) + self._measure_window(now)
+        """Return the number of retries that may be sent now."""
+        self._refill(now, share)
+        return max(0.0, self.balance) + self._measure_window_share(now)
 
-    def _measure_window(self, now: float) -> float:
-        """Return what is left of the window's part.
+    def _measure_window_share(self, now: float) -> float:
+        """Return the unspent credits of the window's share.
 
-        An edge that has just started doesn't know what its earlier life has spent.
+        An edge that has just started has none, since its previous incarnation may have
+        spent them.
         """
-        if now - self.began_at < self.limits.window_s:
+        if now - self.started_at < self.limits.window_s:
             return 0.0
-        self._forget(now)
-        spent = sum(amount for _, amount in self._spent) + self._held_from_window
-        part = self.divide("window", WINDOW_PART * self.limits.slack, self._share)
-        return max(0.0, part - spent)
+        self._expire_spending(now)
+        spent = (
+            sum(amount for _, amount in self._window_spending) + self._held_from_window
+        )
+        share_of_allowance = self.divide(
+            "window", WINDOW_SHARE * self.limits.slack, self._share
+        )
+        return max(0.0, share_of_allowance - spent)
 
     def _release(self, credit: RetryCredit) -> None:
-        self._held_saved -= credit.saved
+        self._held_savings -= credit.from_savings
         self._held_from_window -= credit.from_window
 
-    def _forget(self, now: float) -> None:
-        while self._spent and self._spent[0][0] < now - self.limits.window_s:
-            self._spent.popleft()
-
-    def _fill(self, now: float, share: float) -> None:
-        """Add what time brings, and drop what a smaller share can't hold."""
-        if self._filled_at is None:
-            self._filled_at = now
-        # The share may have changed at any time since.
-        added = ADDED_PART * self.limits.slack * min(self._share, share)
+    def _expire_spending(self, now: float) -> None:
+        while (
+            self._window_spending
+            and self._window_spending[0][0] < now - self.limits.window_s
+        ):
+            self._window_spending.popleft()
+
+    def _refill(self, now: float, share: float) -> None:
+        """Refill the savings for the elapsed time, up to what the share allows."""
+        if self._refilled_at is None:
+            self._refilled_at = now
+        # The share may have changed at any time since the last call, so the smaller of
+        # the old and the new one applies.
+        refill_per_window = REFILL_SHARE * self.limits.slack * min(self._share, share)
         self._share = share
-        self._add(added * max(0.0, now - self._filled_at) / self.limits.window_s)
-        self._filled_at = max(self._filled_at, now)
-
-    def _add(self, credits: float) -> None:
-        part = self.divide("saved", SAVED_SHARE * self.limits.slack, self._share)
-        self.balance = min(self.balance + credits, part - self._held_saved)
+        self._add_savings(
+            refill_per_window * max(0.0, now - self._refilled_at) / self.limits.window_s
+        )
+        self._refilled_at = max(self._refilled_at, now)
+
+    def _add_savings(self, credits: float) -> None:
+        share_of_allowance = self.divide(
+            "saved", SAVED_SHARE * self.limits.slack, self._share
+        )
+        self.balance = min(
+            self.balance + credits, share_of_allowance - self._held_savings
+        )
--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget over a fleet whose edges and schedulers come and go."""
+"""Tests of the retry budget over a fleet whose edges and schedulers start and stop."""
 
 from itertools import cycle
 from typing import Any, Final
@@ -12,7 +12,7 @@
 from mangoway.policy.edge.retry_budget import RetryBudget, RetryCredit, RetryLimits
 from mangoway.policy.edge.shares import FleetShare
 
-from .repeat_window import RepeatWindows
+from .retry_window import RetryWindows
 
 RATIO, SLACK, WINDOW_S = 0.2, 52.0, 10.0
 LIMITS = RetryLimits(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
@@ -20,42 +20,44 @@
 STEP_S = 1 / 60
 """Time between two requests to the service."""
 
-TRIES = 3
-"""Repeats that each request would need while runners fail."""
+RETRIES_PER_REQUEST = 3
+"""Retries that each request needs while runners fail."""
 
-FILLING: Final = 300
-"""Requests after which an edge has saved up all that it may, whatever its part."""
+FILL_REQUESTS: Final = 300
+"""Requests after which the savings of an edge are full, whatever its share."""
 
 LEASE_S: Final = 3.0
-REMOVED_S: Final = 1.0
-"""Time after which a leader takes an edge away that it has lost."""
+REMOVAL_DELAY_S: Final = 1.0
+"""Time after which a leader removes a disconnected edge."""
 
-LAG_S: Final = 0.75
-"""Time by which what an edge knows is older than the store."""
+STORE_DELAY_S: Final = 0.75
+"""Delay of the store's changes at an edge."""
 
 
 class TestChangesOfScheduler:
-    """Schedulers and edges alone that grant one after the other."""
+    """Changes between schedulers and disconnected edges."""
 
-    def test_two_changes_within_a_window_stay_within_one_budget(self) -> None:
+    def test_two_changes_within_window_stay_within_one_budget(self) -> None:
         changes = [("leader", 20.5), ("alone", 20.7), ("standby", 23.0)]
-        assert play([*changes, ("next leader", 40.0)]).find_excess() == 0
+        assert simulate([*changes, ("next leader", 40.0)]).find_excess() == 0
 
-    def test_one_leader_may_use_the_budget(self) -> None:
-        seen = play([("leader", 40.0)])
-        assert seen.find_excess() == 0
-        assert len(seen.repeats) > RATIO * len([at for at in seen.requests if at > 20])
+    def test_one_leader_may_use_budget(self) -> None:
+        windows = simulate([("leader", 40.0)])
+        assert windows.find_excess() == 0
+        assert len(windows.retries) > RATIO * len(
+            [at for at in windows.requests if at > 20]
+        )
 
 
-def play(changes: list[tuple[str, float]]) -> RepeatWindows:
-    """Let runners fail from second 20 on, while others begin to grant.
+def simulate(changes: list[tuple[str, float]]) -> RetryWindows:
+    """Let runners fail from second 20 on, while the grant provider changes.
 
     Args:
-        changes: Who grants, and until when; edges count all the same.
+        changes: Grant providers, each with its end time; edges count in any case.
     """
-    seen = RepeatWindows(RATIO, SLACK, WINDOW_S)
+    windows = RetryWindows(RATIO, SLACK, WINDOW_S)
     share = 1 / EDGES
-    budgets = [RetryBudget(LIMITS, began_at=0.0) for _ in range(EDGES)]
+    budgets = [RetryBudget(LIMITS, started_at=0.0) for _ in range(EDGES)]
     edges = cycle(budgets)
     now = 0.0
     for _, until in changes:
@@ -63,41 +65,41 @@
             now += STEP_S
             budget = next(edges)
             budget.record_request(now, share)
-            seen.requests.append(now)
-            for _ in range(TRIES if now >= 20 else 0):
+            windows.requests.append(now)
+            for _ in range(RETRIES_PER_REQUEST if now >= 20 else 0):
                 credit = budget.try_acquire(now, share)
                 if credit is not None:
                     credit.spend(now)
-                    seen.repeats.append(now)
-    return seen
+                    windows.retries.append(now)
+    return windows
 
 
 @define(eq=False)
 class Edge:
-    """One life of an edge, with what it knows of the fleet."""
+    """One incarnation of an edge, with its view of the fleet."""
 
     key: str
-    life: int
+    incarnation: int
     budget: RetryBudget
     share: FleetShare
-    cut_at: float | None = None
-    """Since when it is cut off from the store and from the others."""
+    disconnected_at: float | None = None
+    """When it was disconnected from the store and from the other edges."""
 
     paused: bool = False
-    on_their_way: list[RetryCredit] = field(factory=list)
-    """Repeats that were sent and have not reached their runners."""
+    in_transit: list[RetryCredit] = field(factory=list)
+    """Credits of retries that have not reached their runners yet."""
 
 
 @define(eq=False)
 class StoreKey:
-    """An edge's announcement."""
+    """Key of an edge in the store, with its lease."""
 
-    life: int
+    incarnation: int
     until: float
 
 
 class FleetBudget(RuleBasedStateMachine):
-    """Edges that start, stop, are paused or cut off while others divide the budget."""
+    """Edges that start, stop, pause or disconnect while others divide the budget."""
 
     limits = LIMITS
     count = EDGES
@@ -105,20 +107,20 @@
     @initialize()
     def start(self) -> None:
         self.now = 0.0
-        self.lives = 0
-        self.seen = RepeatWindows(RATIO, self.limits.slack, WINDOW_S)
+        self.incarnations = 0
+        self.windows = RetryWindows(RATIO, self.limits.slack, WINDOW_S)
         self.store: dict[str, StoreKey] = {}
         self.history: list[tuple[float, dict[str, int]]] = []
         self.edges: dict[str, Edge] = {}
         for number in range(self.count):
-            self.add(f"e{number}")
+            self.start_edge(f"e{number}")
         self.advance(15.0)
 
-    def add(self, key: str) -> None:
-        self.lives += 1
+    def start_edge(self, key: str) -> None:
+        self.incarnations += 1
         share = FleetShare(SHARE_HORIZON_WINDOWS * WINDOW_S, key)
         budget = RetryBudget(self.limits, self.now, share.make_divider("plain"))
-        self.edges[key] = Edge(key, self.lives, budget, share)
+        self.edges[key] = Edge(key, self.incarnations, budget, share)
 
     @rule(seconds=st.floats(0.05, 40.0))
     def advance(self, seconds: float) -> None:
@@ -128,142 +130,149 @@
             self.renew()
             for edge in self.edges.values():
                 if not edge.paused:
-                    self.look(edge)
+                    self.update_share(edge)
 
     def renew(self) -> None:
-        """Let the store keep the keys of edges that reach it."""
+        """Renew the keys of connected edges in the store, and expire the others."""
         for edge in self.edges.values():
-            if edge.cut_at is None and not edge.paused:
-                self.store[edge.key] = StoreKey(edge.life, self.now + LEASE_S)
-        for key, item in list(self.store.items()):
+            if edge.disconnected_at is None and not edge.paused:
+                self.store[edge.key] = StoreKey(edge.incarnation, self.now + LEASE_S)
+        for key, store_key in list(self.store.items()):
             edge_of_key = self.edges.get(key)
-            cut_at = None if edge_of_key is None else edge_of_key.cut_at
-            lost = cut_at is not None and self.now - cut_at > REMOVED_S
-            if item.until <= self.now or lost:
+            disconnected_at = (
+                None if edge_of_key is None else edge_of_key.disconnected_at
+            )
+            is_removed = (
+                disconnected_at is not None
+                and self.now - disconnected_at > REMOVAL_DELAY_S
+            )
+            if store_key.until <= self.now or is_removed:
                 del self.store[key]
-        members = {key: item.life for key, item in self.store.items()}
+        members = {key: store_key.incarnation for key, store_key in self.store.items()}
         self.history.append((self.now, members))
 
-    def look(self, edge: Edge) -> None:
-        known_at = (self.now if edge.cut_at is None else edge.cut_at) - LAG_S
-        known = [each for each in self.history if each[0] <= known_at]
-        members = known[-1][1] if known else {}
+    def update_share(self, edge: Edge) -> None:
+        known_at = (
+            self.now if edge.disconnected_at is None else edge.disconnected_at
+        ) - STORE_DELAY_S
+        visible_history = [each for each in self.history if each[0] <= known_at]
+        members = visible_history[-1][1] if visible_history else {}
         edge.share.update(
             list(members),
-            known_at if known else -1e9,
+            known_at if visible_history else -1e9,
             self.now,
-            joined=members.get(edge.key) == edge.life,
+            joined=members.get(edge.key) == edge.incarnation,
         )
 
-    @rule(data=st.data(), requests=st.integers(1, 60), wanted=st.integers(0, 60))
-    def call(self, data: Any, requests: int, wanted: int) -> None:
-        edge = self.choose(data)
+    @rule(data=st.data(), requests=st.integers(1, 60), needed=st.integers(0, 60))
+    def call(self, data: Any, requests: int, needed: int) -> None:
+        edge = self.draw_edge(data)
         if edge is None or edge.paused:
             return
-        self.earn(edge, requests)
-        self.pay(edge, wanted)
+        self.record_requests(edge, requests)
+        self.acquire_credits(edge, needed)
         if data.draw(st.booleans()):
-            self.arrive(edge)
+            self.deliver_retries(edge)
 
     @rule()
-    def fill(self) -> None:
-        """Let each edge save up all that it may."""
+    def fill_savings(self) -> None:
+        """Fill the savings of each edge."""
         for edge in self.edges.values():
-            self.earn(edge, FILLING)
+            self.record_requests(edge, FILL_REQUESTS)
 
     @rule()
-    def fail_all(self) -> None:
-        """Let each edge send all the repeats that it may."""
+    def retry_all(self) -> None:
+        """Let each edge send all the retries that it may."""
         for edge in self.edges.values():
             if not edge.paused:
-                self.pay(edge, FILLING)
-                self.arrive(edge)
+                self.acquire_credits(edge, FILL_REQUESTS)
+                self.deliver_retries(edge)
 
-    def earn(self, edge: Edge, requests: int) -> None:
+    def record_requests(self, edge: Edge, requests: int) -> None:
         if not edge.paused:
             share = edge.share.measure(self.now)
             for _ in range(requests):
                 edge.budget.record_request(self.now, share)
-            self.seen.requests += [self.now] * requests
+            self.windows.requests += [self.now] * requests
 
-    def pay(self, edge: Edge, wanted: int) -> None:
+    def acquire_credits(self, edge: Edge, needed: int) -> None:
         share = edge.share.measure(self.now)
-        credits = [edge.budget.try_acquire(self.now, share) for _ in range(wanted)]
-        edge.on_their_way += [each for each in credits if each is not None]
+        credits = [edge.budget.try_acquire(self.now, share) for _ in range(needed)]
+        edge.in_transit += [each for each in credits if each is not None]
 
     @rule(data=st.data())
-    def cut_some(self, data: Any) -> None:
-        """Cut several edges off at once."""
+    def disconnect_some(self, data: Any) -> None:
+        """Disconnect several edges at once."""
         keys = data.draw(st.lists(st.sampled_from(sorted(self.edges)), max_size=4))
         for key in keys:
-            if self.edges[key].cut_at is None:
-                self.edges[key].cut_at = self.now
+            if self.edges[key].disconnected_at is None:
+                self.edges[key].disconnected_at = self.now
 
     @rule(data=st.data())
     def deliver(self, data: Any) -> None:
-        edge = self.choose(data)
+        edge = self.draw_edge(data)
         if edge is not None:
-            self.arrive(edge)
+            self.deliver_retries(edge)
 
-    def arrive(self, edge: Edge) -> None:
-        for credit in edge.on_their_way:
+    def deliver_retries(self, edge: Edge) -> None:
+        for credit in edge.in_transit:
             credit.spend(self.now)
-            self.seen.repeats.append(self.now)
-        edge.on_their_way.clear()
+            self.windows.retries.append(self.now)
+        edge.in_transit.clear()
 
     @rule(data=st.data())
-    def cut(self, data: Any) -> None:
-        edge = self.choose(data)
-        if edge is not None and edge.cut_at is None:
-            edge.cut_at = self.now
+    def disconnect(self, data: Any) -> None:
+        edge = self.draw_edge(data)
+        if edge is not None and edge.disconnected_at is None:
+            edge.disconnected_at = self.now
 
     @rule(data=st.data())
-    def heal(self, data: Any) -> None:
-        edge = self.choose(data)
+    def reconnect(self, data: Any) -> None:
+        edge = self.draw_edge(data)
         if edge is not None:
-            edge.cut_at = None
+            edge.disconnected_at = None
 
     @rule(data=st.data())
     def pause(self, data: Any) -> None:
-        edge = self.choose(data)
+        edge = self.draw_edge(data)
         if edge is not None:
             edge.paused = not edge.paused
 
     @rule(data=st.data())
     def restart(self, data: Any) -> None:
-        """Kill an edge; what it had sent arrives, and it starts with nothing."""
-        edge = self.choose(data)
+        """Restart an edge after its retries have arrived; it starts without credits."""
+        edge = self.draw_edge(data)
         if edge is not None:
-            self.arrive(edge)
-            self.add(edge.key)
+            self.deliver_retries(edge)
+            self.start_edge(edge.key)
 
     @rule(data=st.data())
     def remove(self, data: Any) -> None:
-        edge = self.choose(data)
+        edge = self.draw_edge(data)
         if edge is not None and len(self.edges) > 1:
-            self.arrive(edge)
+            self.deliver_retries(edge)
             del self.edges[edge.key]
 
     @rule()
     def replace(self) -> None:
-        """Add a host in the place of one that has gone."""
+        """Add an edge in place of a removed one."""
         if len(self.edges) < self.count:
-            self.add(f"n{self.lives}")
+            self.start_edge(f"n{self.incarnations}")
 
-    def choose(self, data: Any) -> Edge | None:
+    def draw_edge(self, data: Any) -> Edge | None:
         key = data.draw(st.sampled_from(sorted(self.edges)))
         return self.edges[key]
 
     def teardown(self) -> None:
         if hasattr(self, "seen"):
-            assert self.seen.find_excess() == 0
+            assert self.windows.find_excess() == 0
 
 
 TestFleetBudget = FleetBudget.TestCase
 
 
 class LargeFleetBudget(FleetBudget):
-    """A fleet in which the share of each edge is below one credit."""
+    """A fleet with a share of less than one credit for each edge."""
 
     limits = RetryLimits(ratio=RATIO, slack=12.0, window_s=WINDOW_S)
     count = 24
--- a/tests/policy/edge/test_gateways.py
+++ b/tests/policy/edge/test_gateways.py
@@ -1,10 +1,10 @@
-"""Tests of the gateways that callers are told to use, and of runners chosen alone."""
+"""Tests of the selection of gateways for callers, and of runners by own load."""
 
 from random import Random
 
 from mangoway.models.fleet import Member, Role
 from mangoway.policy.edge.choice import InFlight, choose_runner
-from mangoway.policy.edge.const import MAX_NAMED
+from mangoway.policy.edge.const import MAX_GATEWAYS
 from mangoway.policy.edge.gateways import choose_gateways
 
 from ...fakes.fleet import make_runner
@@ -22,26 +22,26 @@
 
 
 class TestChooseGateways:
-    """Near ones, unless there are too few."""
+    """Gateways of the own data centre, unless there are too few."""
 
-    def test_own_data_centre_is_named(self) -> None:
+    def test_own_data_centre_is_preferred(self) -> None:
         members = [make_member(number, f"dc{number % 2}") for number in range(6)]
-        named = choose_gateways(members, "dc1", Random(1))
-        assert {each.data_centre for each in named} == {"dc1"}
+        gateways = choose_gateways(members, "dc1", Random(1))
+        assert {each.data_centre for each in gateways} == {"dc1"}
 
-    def test_lone_gateway_is_not_named_alone(self) -> None:
+    def test_single_local_gateway_is_not_returned_alone(self) -> None:
         members = [make_member(1, "dc1"), make_member(2, "dc2"), make_member(3, "dc2")]
         assert len(choose_gateways(members, "dc1", Random(1))) == 3
 
     def test_list_is_bounded(self) -> None:
         members = [make_member(number, "dc1") for number in range(200)]
-        assert len(choose_gateways(members, "dc1", Random(1))) == MAX_NAMED
+        assert len(choose_gateways(members, "dc1", Random(1))) == MAX_GATEWAYS
 
 
 class TestChooseRunner:
-    """The least own load, near ones first."""
+    """The runner with the least own load, preferably in the own data centre."""
 
-    def test_near_runner_goes_first(self) -> None:
+    def test_local_runner_is_preferred(self) -> None:
         runners = [
             make_runner("far", data_centre="dc2"),
             make_runner("near", data_centre="dc1"),
@@ -50,7 +50,7 @@
         assert chosen is not None
         assert chosen.runner_id == "near"
 
-    def test_full_near_runner_gives_way(self) -> None:
+    def test_remote_runner_is_chosen_if_local_one_is_loaded(self) -> None:
         runners = [
             make_runner("far", data_centre="dc2"),
             make_runner("near", data_centre="dc1"),
@@ -62,5 +62,5 @@
         assert chosen is not None
         assert chosen.runner_id == "far"
 
-    def test_nobody_is_none(self) -> None:
+    def test_no_runner_gives_none(self) -> None:
         assert choose_runner([], InFlight(), "dc1", Random(1)) is None
--- a/tests/policy/edge/test_retries.py
+++ b/tests/policy/edge/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of what follows a failed try."""
+"""Tests of the decision after a failed attempt."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 
 from ...fakes.fleet import make_route
 
-ONCE = make_route(RouteKind.NON_IDEMPOTENT, max_attempts=2)
-SAFE = make_route(RouteKind.SAFE, max_attempts=2)
+NON_IDEMPOTENT_ROUTE = make_route(RouteKind.NON_IDEMPOTENT, max_attempts=2)
+SAFE_ROUTE = make_route(RouteKind.SAFE, max_attempts=2)
 
 
 def fail(verdict: Verdict, **changes: object) -> FailedAttempt:
@@ -24,37 +24,54 @@
     return FailedAttempt(**fields)  # type: ignore[arg-type]
 
 
-class TestDecideNext:
-    """Repeats follow from what may have run."""
+class TestDecideRetry:
+    """Whether a request may have run decides on its retry."""
 
-    def test_not_run_goes_out_again(self) -> None:
+    def test_request_not_run_is_retried(self) -> None:
         failed = fail(Verdict.NOT_RUN)
-        assert decide_retry(ONCE, failed, budget_left=True) is RetryDecision.RETRY
+        assert (
+            decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=True)
+            is RetryDecision.RETRY
+        )
 
     @pytest.mark.parametrize("verdict", [Verdict.MAY_HAVE_RUN, Verdict.RAN])
-    def test_what_may_have_run_goes_out_once(self, verdict: Verdict) -> None:
-        assert decide_retry(ONCE, fail(verdict), budget_left=True) is RetryDecision.FAIL
+    def test_request_that_may_have_run_is_not_retried(self, verdict: Verdict) -> None:
+        assert (
+            decide_retry(NON_IDEMPOTENT_ROUTE, fail(verdict), budget_left=True)
+            is RetryDecision.FAIL
+        )
 
-    def test_earlier_run_is_not_forgotten(self) -> None:
+    def test_earlier_attempt_counts(self) -> None:
         failed = fail(Verdict.NOT_RUN, ran_before=True)
-        assert decide_retry(ONCE, failed, budget_left=True) is RetryDecision.FAIL
+        assert (
+            decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=True)
+            is RetryDecision.FAIL
+        )
 
-    def test_safe_request_goes_out_again(self) -> None:
+    def test_safe_request_is_retried(self) -> None:
         failed = fail(Verdict.MAY_HAVE_RUN)
-        assert decide_retry(SAFE, failed, budget_left=True) is RetryDecision.RETRY
+        assert decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.RETRY
 
-    def test_runners_are_bounded(self) -> None:
+    def test_attempts_are_bounded(self) -> None:
         failed = fail(Verdict.MAY_HAVE_RUN, runners_tried=2)
-        assert decide_retry(SAFE, failed, budget_left=True) is RetryDecision.FAIL
+        assert decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.FAIL
 
-    def test_spent_budget_refuses_what_did_not_run(self) -> None:
+    def test_exhausted_budget_refuses_request_not_run(self) -> None:
         failed = fail(Verdict.NOT_RUN)
-        assert decide_retry(ONCE, failed, budget_left=False) is RetryDecision.REFUSE
+        assert (
+            decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=False)
+            is RetryDecision.REFUSE
+        )
 
-    def test_what_was_not_sent_needs_no_budget(self) -> None:
+    def test_unsent_attempt_needs_no_budget(self) -> None:
         failed = fail(Verdict.NOT_RUN, was_sent=False)
-        assert decide_retry(ONCE, failed, budget_left=False) is RetryDecision.RETRY
+        assert (
+            decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=False)
+            is RetryDecision.RETRY
+        )
 
-    def test_no_time_is_left(self) -> None:
+    def test_no_retry_without_time_left(self) -> None:
         failed = fail(Verdict.NOT_RUN, time_left_s=0.01)
-        assert decide_retry(SAFE, failed, budget_left=True) is RetryDecision.REFUSE
+        assert (
+            decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.REFUSE
+        )
