--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -9,7 +9,7 @@
 from mangoway.daemons.scheduler import SchedulerProcess
 from mangoway.models.fleet import Role
 from mangoway.models.signals import LeavingReport, RunnerSignals
-from mangoway.policy.customers.const import BEGIN_S
+from mangoway.policy.customers.const import SCHEDULER_STARTUP_S
 from mangoway.settings.fleet import SchedulerSettings
 
 from ..fakes.fleet import make_runner, make_table
@@ -65,9 +65,9 @@
                 f"m/{number}", evolve(member, role=Role.EDGE)
             )
         assert scheduler._measure_share() == 1 / 8
-        scheduler.server._asking.update(f"e{number}" for number in range(6))
+        scheduler.server._edges.update(f"e{number}" for number in range(6))
         assert scheduler._measure_share() == 0.75
-        scheduler.server._asking.update(f"e{number}" for number in range(9))
+        scheduler.server._edges.update(f"e{number}" for number in range(9))
         assert scheduler._measure_share() == 1.0
 
     async def test_it_begins_as_if_it_heard_all(self) -> None:
@@ -80,7 +80,7 @@
             )
         scheduler._began_at = scheduler.process.clock()
         assert scheduler._measure_share() == 1.0
-        scheduler._began_at -= BEGIN_S
+        scheduler._began_at -= SCHEDULER_STARTUP_S
         assert scheduler._measure_share() == 1 / 8
 
     async def test_it_starts_with_nothing(self) -> None:
