--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -71,7 +71,7 @@
     """Every offered artifact gets and keeps its floor of ready copies."""
 
     @pytest.mark.parametrize("checks", [True, False])
-    def test_all_floors_get_ready(self, checks: bool) -> None:
+    def test_all_floors_become_ready(self, checks: bool) -> None:
         world = World(configuration=offer_models(a=40, b=40, c=30, floor=2))
         world.start(150, 150, checks=checks)
         world.run(30.0)
@@ -84,9 +84,9 @@
         world.start(150, 60, 150, 60)
         world.run(20.0)
         holders = world.list_ready("a@1")
-        assert {world.engines[one].data_centre for one in holders} == {"dc1", "dc2"}
+        assert {world.engines[each].data_centre for each in holders} == {"dc1", "dc2"}
 
-    def test_leaving_runner_is_rebuilt_elsewhere_and_not_emptied(self) -> None:
+    def test_copies_on_a_leaving_runner_are_replaced_but_not_unloaded(self) -> None:
         world = World(configuration=offer_models(a=40))
         world.start(100, 100)
         world.run(20.0)
@@ -166,7 +166,7 @@
         assert "no_room" in world.list_reasons()
         assert "make_room" not in world.list_reasons()
 
-    def test_restarted_engine_gets_its_artifacts_again(self) -> None:
+    def test_artifacts_are_loaded_again_after_a_restart(self) -> None:
         world = World(configuration=limit_loads(1, a=40, b=40))
         world.start(100)
         world.run(20.0)
@@ -335,7 +335,7 @@
         mailbox, first.mailbox = first.mailbox, []
         first.paused = False
         world.send_event(first, mailbox[0])
-        assert any(one.reason == "order_dropped" for one in world.reasons)
+        assert any(each.reason == "order_dropped" for each in world.reasons)
         assert world.sent == []
 
     def copy_to_other(self, world: World) -> list[UpstreamId]:
@@ -343,7 +343,7 @@
         world.run(20.0)
         artifact = Artifact.parse("a@1")
         [holder] = world.list_ready("a@1")
-        [other] = [one for one in world.engines.values() if one.id != holder]
+        [other] = [each for each in world.engines.values() if each.id != holder]
         order = next(o for _, o in world.sent if o.artifact == artifact)
         other.memory[artifact] = order.memory_mb
         other.ready.add(artifact)
@@ -409,10 +409,10 @@
             data_centre=DC1,
         )
         listed = core.handle(events.RunnersListed(runners=(address,)), world.now)
-        assert not any(isinstance(one, ReadLedger) for one in listed)
+        assert not any(isinstance(each, ReadLedger) for each in listed)
         event = events.ConfigurationChanged(configuration=world.configuration)
         configured = core.handle(event, world.now + 1.0)
-        assert any(isinstance(one, ReadLedger) for one in configured)
+        assert any(isinstance(each, ReadLedger) for each in configured)
 
 
 class TestDemand:
@@ -478,14 +478,14 @@
 
     @pytest.mark.parametrize(("rate", "limit"), [(50.0, 3), (2.0, 100), (50.0, 100)])
     def test_rate_and_loads_in_flight(self, rate: float, limit: int) -> None:
-        models_mb = {f"m{one}": 10 for one in range(60 if limit > 3 else 12)}
+        models_mb = {f"m{each}": 10 for each in range(60 if limit > 3 else 12)}
         world = World(configuration=limit_loads(limit, rate, **models_mb))
         world.start(*[200] * 12)
         world.run(2.0 + len(models_mb) * max(LOAD_S * 1.5 / limit, 1.0 / rate) + 5.0)
         assert world.list_unmet_floors() == []
         starts = [at for at, _ in world.sent]
         for position, at in enumerate(starts):
-            assert sum(at <= one < at + LOAD_S for one in starts) <= limit
+            assert sum(at <= each < at + LOAD_S for each in starts) <= limit
             for count, later in enumerate(starts[position:], start=1):
                 allowed = max(rate, 1.0) + rate * (later - at)
                 assert count <= allowed + 1e-6
@@ -498,7 +498,7 @@
         configuration = offer_models(a=40, b=40)
         name = ModelName("a")
         adapters = {
-            AdapterName(one): AdapterOffer(memory_mb=10) for one in ("x", "y", "z")
+            AdapterName(each): AdapterOffer(memory_mb=10) for each in ("x", "y", "z")
         }
         models = dict(configuration.models)
         models[name] = evolve(models[name], adapters=adapters)
@@ -506,7 +506,7 @@
         world.start(*sizes)
         return world
 
-    def test_adapters_get_ready_beside_their_base(self) -> None:
+    def test_adapters_become_ready_beside_their_base(self) -> None:
         world = self.make_world(90, 90)
         world.run(40.0)
         assert world.list_unmet_floors() == []
@@ -539,9 +539,9 @@
         [runner] = status.runners
         assert runner.ledger is not None
         assert runner.ledger.committed_mb == 50
-        assert [str(one.artifact) for one in status.queue] == ["b@1"]
+        assert [str(each.artifact) for each in status.queue] == ["b@1"]
         assert status.queue[0].blocked_s > 0.0
-        codes = {one.code for one in status.find_reasons(Artifact.parse("b@1"))}
+        codes = {each.code for each in status.find_reasons(Artifact.parse("b@1"))}
         assert codes == {"no_room"}
 
 
--- a/tests/policy/placement/test_demand_rotation.py
+++ b/tests/policy/placement/test_demand_rotation.py
@@ -35,8 +35,8 @@
     def evaluate(self, arrived: int, *artifacts: Artifact) -> list[Artifact]:
         self.now += 1.0
         rates = tuple(
-            ArtifactRate(artifact=one, arrived=arrived, queued=0, tokens=9, refused=0)
-            for one in artifacts
+            ArtifactRate(artifact=each, arrived=arrived, queued=0, tokens=9, refused=0)
+            for each in artifacts
         )
         event = DemandReported(
             gateway=HostId("g"),
--- a/tests/policy/placement/test_ledgers.py
+++ b/tests/policy/placement/test_ledgers.py
@@ -44,8 +44,8 @@
         waiting=0,
         fence=FenceNumber(fence),
         residents=tuple(
-            ResidentArtifact(artifact=one, memory_mb=40, state=Residency.READY)
-            for one in shown
+            ResidentArtifact(artifact=each, memory_mb=40, state=Residency.READY)
+            for each in shown
         ),
     )
 
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -59,8 +59,8 @@
             ModelName(name): ModelOffer(
                 default_version=VersionName(versions[-1]),
                 versions={
-                    VersionName(one): VersionOffer(memory_mb=memory_mb, floor=floor)
-                    for one in versions
+                    VersionName(each): VersionOffer(memory_mb=memory_mb, floor=floor)
+                    for each in versions
                 },
                 floor_data_centres=data_centres,
             )
@@ -172,7 +172,7 @@
     """Whether the artifact was not offered when the order was sent."""
 
     remaining: dict[UpstreamId, float]
-    """Time of the fresh report that shows a ready copy, by engine."""
+    """Time of the recent report that contains a ready copy, by engine."""
 
 
 @define
@@ -453,9 +453,9 @@
     def _record_basis(self, controller: Controller, order: Order) -> None:
         state = controller.core.state
         remaining = {
-            one: report.reported_at
-            for one in state.copies.list_ready(order.artifact)
-            if (report := state.runners[one].report) is not None
+            each: report.reported_at
+            for each in state.copies.list_ready(order.artifact)
+            if (report := state.runners[each].report) is not None
             and report.reported_at >= self.now - MAX_REPORT_AGE_S
         }
         remaining.pop(order.upstream, None)
@@ -468,8 +468,8 @@
         """Record an unload of the last ready copy that the core could have avoided."""
         if artifact not in self.configuration.list_artifacts():
             return
-        others = [one for one in self.engines.values() if one is not engine]
-        if any(artifact in one.ready for one in others):
+        others = [each for each in self.engines.values() if each is not engine]
+        if any(artifact in each.ready for each in others):
             return
         basis = self.bases[order.id]
         if self._is_loss_expected(basis, engine, artifact):
@@ -494,8 +494,8 @@
         """Return whether a remaining copy was lost by a restart after its report."""
         return any(
             lost == artifact and at >= seen_at
-            for one, seen_at in basis.remaining.items()
-            for at, lost in self.engines[one].crashes
+            for each, seen_at in basis.remaining.items()
+            for at, lost in self.engines[each].crashes
         )
 
     # Checks.
@@ -503,11 +503,11 @@
     def list_ready(self, name: str) -> list[str]:
         """Return the engines with a ready copy."""
         artifact = Artifact.parse(name)
-        return [one.id for one in self.engines.values() if artifact in one.ready]
+        return [each.id for each in self.engines.values() if artifact in each.ready]
 
     def list_reasons(self) -> set[str]:
         """Return the codes of all explanations."""
-        return {one.reason for one in self.reasons}
+        return {each.reason for each in self.reasons}
 
     def list_unmet_floors(self) -> list[str]:
         """Return the offered artifacts whose floors are not met."""
