--- a/mangoway/policy/scheduling/const.py
+++ b/mangoway/policy/scheduling/const.py
@@ -61,7 +61,7 @@
 
 # Queueing and refusals.
 
-LOAD_MARGIN: Final = 1.08
+LOAD_MARGIN_FACTOR: Final = 1.08
 LOAD_MARGIN_S: Final = 0.06
 """Factor and time by which a load takes longer than announced, counted from the
 response to its order. A request that arrives before the model is ready is refused and
@@ -167,7 +167,7 @@
 """Time over which the gain or loss of a change of models is counted; demand moves in
 about this time."""
 
-MIN_SWAP_GAIN: Final = 2.0
+MIN_SWAP_GAIN_FACTOR: Final = 2.0
 """Factor by which the gain of a copy must exceed the loss of the copies that it
 replaces, so that two models with equal demand do not replace each other repeatedly."""
 
--- a/mangoway/policy/scheduling/copy_valuation.py
+++ b/mangoway/policy/scheduling/copy_valuation.py
@@ -37,20 +37,20 @@
     """The usable runners; copies on other runners aren't counted."""
 
     now: float
-    _reachable: frozenset[str] = field(init=False)
+    _runner_ids: frozenset[str] = field(init=False)
     _queue: ServiceQueue = field(init=False)
     _index: CopyIndex = field(init=False)
     _slot_times: SlotTimeEstimator = field(init=False)
     _copy_prefill_share: float = field(init=False)
     """Prefill seconds per second that one copy of a model is planned for."""
 
-    _requests: dict[str, float] = field(factory=dict, init=False)
-    _prefill: dict[str, float] = field(factory=dict, init=False)
+    _request_rates: dict[str, float] = field(factory=dict, init=False)
+    _prefill_loads: dict[str, float] = field(factory=dict, init=False)
     _copies: dict[str, int] = field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
         state, service = self.state, self.service
-        self._reachable = frozenset(each.runner_id for each in self.runners)
+        self._runner_ids = frozenset(each.runner_id for each in self.runners)
         self._queue = state.get_queue(service)
         self._index = state.get_copies(service)
         self._slot_times = state.get_slot_times(service)
@@ -65,10 +65,10 @@
     def list_candidates(self) -> list[str]:
         """Return the models that may need a copy: with demand or waiting requests."""
         names = dict.fromkeys(self._queue.list_models())
-        asked_for = self.state.demand.list_models(
+        in_demand = self.state.demand.list_models(
             self.service, MIN_COPY_REQUESTS_PER_S, self.now
         )
-        names.update(dict.fromkeys(asked_for))
+        names.update(dict.fromkeys(in_demand))
         return [name for name in names if name in self.engine.models]
 
     def estimate_served(self, model: str, copies: int) -> float:
@@ -118,20 +118,20 @@
 
     def get_request_rate(self, model: str) -> float:
         """Return the requests per second that are expected at the end of a load."""
-        known = self._requests.get(model)
+        known = self._request_rates.get(model)
         if known is None:
             demand, horizon_s = self.state.demand, self._get_horizon_s(model)
             known = demand.get_request_rate(self.service, model, self.now, horizon_s)
-            self._requests[model] = known
+            self._request_rates[model] = known
         return known
 
     def get_prefill_load(self, model: str) -> float:
-        """Return the prefill seconds per second expected for that time."""
-        known = self._prefill.get(model)
+        """Return the prefill seconds per second expected at the end of a load."""
+        known = self._prefill_loads.get(model)
         if known is None:
             demand, horizon_s = self.state.demand, self._get_horizon_s(model)
             known = demand.get_prefill_load(self.service, model, self.now, horizon_s)
-            self._prefill[model] = known
+            self._prefill_loads[model] = known
         return known
 
     def estimate_loss(self, name: str) -> float:
@@ -159,7 +159,7 @@
         known = self._copies.get(model)
         if known is None:
             holders = self._index.loaded.get(model)
-            known = sum(1 for each in holders if each in self._reachable)
+            known = sum(1 for each in holders if each in self._runner_ids)
             self._copies[model] = known
         return known
 
@@ -169,8 +169,8 @@
 
     def _get_horizon_s(self, model: str) -> float:
         """Return how far demand is extrapolated; 0 for rare models."""
-        now_rate = self.state.demand.get_request_rate(self.service, model, self.now)
+        current_rate = self.state.demand.get_request_rate(self.service, model, self.now)
         profile = self.engine.models.get(model)
-        if profile is None or now_rate < POPULAR_REQUESTS_PER_S:
+        if profile is None or current_rate < POPULAR_REQUESTS_PER_S:
             return 0.0
         return min(MAX_TREND_HORIZON_S, profile.load_s)
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -34,7 +34,7 @@
 from .forecast import QueueForecast
 from .loads import estimate_load_s
 from .orders import apply_outcome
-from .placement import Planner
+from .placement import PlacementPlanner
 from .prefetching import PrefetchPlanner
 from .requests import RequestKey, RunningRequest, WaitingRequest
 from .runners import RunnerState
@@ -174,7 +174,7 @@
         engine = self.state.get_engine(service)
         if engine is None or not self.state.orders_allowed:
             return []
-        orders = Planner(self.state, service, engine, now).plan()
+        orders = PlacementPlanner(self.state, service, engine, now).plan()
         if not orders:
             orders = PrefetchPlanner(self.state, service, engine, now).plan()
         return list(orders)
@@ -184,7 +184,7 @@
         engine = self.state.get_engine(service)
         if engine is None:
             return [], []
-        planner = Planner(self.state, service, engine, now)
+        planner = PlacementPlanner(self.state, service, engine, now)
         runners = [each.describe(now) for each in self.state.list_runners(service)]
         return planner.describe_models(MAX_DESCRIBED_MODELS), runners[
             :MAX_DESCRIBED_RUNNERS
--- a/mangoway/policy/scheduling/orders.py
+++ b/mangoway/policy/scheduling/orders.py
@@ -6,7 +6,7 @@
 runner's memory.
 """
 
-from .const import ADAPTER_LOAD_S, LOAD_MARGIN, LOAD_MARGIN_S, UNLOAD_S
+from .const import ADAPTER_LOAD_S, LOAD_MARGIN_FACTOR, LOAD_MARGIN_S, UNLOAD_S
 from .events import OrderOutcome, SendOrder
 from .runners import LoadedModel, RunnerState
 
@@ -100,14 +100,14 @@
             loaded.adapters[order.adapter] = now + ADAPTER_LOAD_S
         return
     if order.load:
-        ready_at = now + LOAD_MARGIN * duration_s + LOAD_MARGIN_S
+        ready_at = now + LOAD_MARGIN_FACTOR * duration_s + LOAD_MARGIN_S
         runner.add_model(
             order.model, LoadedModel(ready_at=ready_at, loaded_at=ready_at)
         )
         runner.changing_until = ready_at
         runner.target_model = ""
     else:
-        runner.prefixes.forget_model(order.model)
+        runner.prefixes.remove_model(order.model)
         runner.changing_until = now + UNLOAD_S
 
 
--- a/mangoway/policy/scheduling/placement.py
+++ b/mangoway/policy/scheduling/placement.py
@@ -13,7 +13,7 @@
     MAX_FILLS_PER_PLAN,
     MAX_NEEDS_PER_PLAN,
     MAX_RARE_LOAD_SHARE,
-    MIN_SWAP_GAIN,
+    MIN_SWAP_GAIN_FACTOR,
     PLANNING_HORIZON_S,
     POPULAR_REQUESTS_PER_S,
     UNLOAD_S,
@@ -48,7 +48,7 @@
 
 
 @define(eq=False)
-class Planner:
+class PlacementPlanner:
     """Plans the models of one service at one moment."""
 
     state: SchedulingState
@@ -137,7 +137,7 @@
                 continue
             if need.rare and not self._reserve_rare_load(need.model, candidate.runner):
                 continue
-            if not need.waiting and MIN_SWAP_GAIN * candidate.loss > need.gain:
+            if not need.waiting and MIN_SWAP_GAIN_FACTOR * candidate.loss > need.gain:
                 continue
             self._set_target(candidate.runner, need.model)
             order = self._create_next_order(candidate.runner, need.model, need.reason)
--- a/mangoway/policy/scheduling/prefixes.py
+++ b/mangoway/policy/scheduling/prefixes.py
@@ -41,7 +41,7 @@
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
-    def forget_model(self, model: str) -> None:
+    def remove_model(self, model: str) -> None:
         """Remove the parts of a model that was unloaded."""
         for key in [each for each in self._parts if each[0] == model]:
             self._tokens -= self._parts.pop(key)
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -170,7 +170,7 @@
         """Update the held models and adapters from the runner's own list."""
         names = {model.name for model in models}
         for name in set(self.models) - names:
-            self.forget_model(name)
+            self.drop_model(name)
         for model in models:
             loaded = self.models.get(model.name)
             if loaded is None:
@@ -184,10 +184,10 @@
             for adapter in model.adapters:
                 loaded.adapters[adapter] = min(loaded.adapters.get(adapter, now), now)
 
-    def forget_model(self, name: str) -> None:
+    def drop_model(self, name: str) -> None:
         """Remove a model that the runner no longer holds, with its cached prefixes."""
         self.remove_model(name)
-        self.prefixes.forget_model(name)
+        self.prefixes.remove_model(name)
 
     def add_model(self, name: str, loaded: LoadedModel) -> None:
         """Record that the runner holds or loads a model."""
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -39,7 +39,7 @@
 """Time in which requests arrive; the popular models change after half of it."""
 
 SIMULATION_S = 29.0
-BEGIN_S = 6.0
+DEMAND_START_S = 6.0
 """Idle time of the runners before; shorter than the longest loads."""
 
 
@@ -267,9 +267,9 @@
 def make_world(drawn: Draw) -> DrawnWorld:
     """Return the fleet of a draw; spare memory holds copies of the first models."""
     names = [f"m{number}" for number in range(drawn.models)]
-    places = drawn.runners * drawn.models_per_runner
+    slots = drawn.runners * drawn.models_per_runner
     held: list[list[str]] = [[] for _ in range(drawn.runners)]
-    wanted = names[:places] + names[:2] * drawn.runners
+    wanted = names[:slots] + names[:2] * drawn.runners
     for name in wanted:
         free = [
             each
@@ -286,16 +286,16 @@
         seed=drawn.seed,
         drawn=drawn,
     )
-    shape_engine(world, drawn)
+    configure_engine(world, drawn)
     return world
 
 
-def shape_engine(world: DrawnWorld, drawn: Draw) -> None:
+def configure_engine(world: DrawnWorld, drawn: Draw) -> None:
     """Set the engine profile to the sampled parameters."""
     service = world.table.services["llm"]
     assert service.engine is not None
     models = {
-        name: shape_model(profile, drawn)
+        name: configure_model(profile, drawn)
         for name, profile in service.engine.models.items()
     }
     some = next(iter(models.values()))
@@ -315,7 +315,7 @@
     world.replace_core()
 
 
-def shape_model(profile: ModelProfile, drawn: Draw) -> ModelProfile:
+def configure_model(profile: ModelProfile, drawn: Draw) -> ModelProfile:
     """Return a model with the sampled load times."""
     near_s = min(drawn.load_s, 0.3 + 0.1 * drawn.load_s)
     return evolve(
@@ -326,11 +326,11 @@
 def add_all_requests(world: DrawnWorld) -> None:
     """Add the requests, most of them for three models that change once."""
     drawn, random = world.drawn, Random(world.drawn.seed + 1)
-    at = BEGIN_S
+    at = DEMAND_START_S
     number = 0
-    while at < BEGIN_S + DEMAND_S:
+    while at < DEMAND_START_S + DEMAND_S:
         at += random.expovariate(drawn.rate)
-        shifted = at > BEGIN_S + DEMAND_S / 2
+        shifted = at > DEMAND_START_S + DEMAND_S / 2
         name = choose_model(drawn, random, shifted=shifted)
         tokens = int(drawn.prompt_tokens * random.uniform(0.3, 1.7))
         grant_request = make_asked(
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -16,7 +16,7 @@
 from mangoway.policy.scheduling.events import GrantRequest
 
 from ...fakes.fleet import make_asked
-from .drawn import BEGIN_S, Draw, DrawnWorld, make_world
+from .drawn import DEMAND_START_S, Draw, DrawnWorld, make_world
 
 SIMULATION_S = 40.0
 DEMAND_S = 24.0
@@ -27,7 +27,7 @@
 """Time after which demand for the most popular model ends, and a new model becomes the
 least popular of the popular ones."""
 
-POPULAR_PLACES = 0.5
+POPULAR_COPY_SHARE = 0.5
 """Share of all model slots with copies of the popular models at the start."""
 
 LOAD_S = 4.0
@@ -158,13 +158,13 @@
 
 def _spread_models(workload: MixedWorkload) -> list[list[str]]:
     """Place popular models on several runners, and others on one if it has room."""
-    weights = _weigh_places(workload)
+    weights = _list_popular_weights(workload)
     copies = []
-    for place, weight in enumerate(weights):
+    for position, weight in enumerate(weights):
         count = max(
-            2, round(POPULAR_PLACES * 3 * workload.runners * weight / sum(weights))
+            2, round(POPULAR_COPY_SHARE * 3 * workload.runners * weight / sum(weights))
         )
-        copies += [f"m{place}"] * count
+        copies += [f"m{position}"] * count
     copies += [f"m{index}" for index in range(workload.popular, workload.models)]
     held: list[list[str]] = [[] for _ in range(workload.runners)]
     for name in copies:
@@ -174,7 +174,7 @@
     return held
 
 
-def _weigh_places(workload: MixedWorkload) -> list[float]:
+def _list_popular_weights(workload: MixedWorkload) -> list[float]:
     """Return the relative demand of the popular models, highest first."""
     return [math.pow(each + 1, -0.8) for each in range(workload.popular)]
 
@@ -185,10 +185,10 @@
     """Add the requests and return the kind of each."""
     random = Random(workload.seed + 7)
     kinds: dict[str, RequestKind] = {}
-    at = BEGIN_S
-    while at < BEGIN_S + DEMAND_S:
-        shift = int((at - BEGIN_S) / SHIFT_S)
-        in_burst = (at - BEGIN_S) % BURST_S < 3.0
+    at = DEMAND_START_S
+    while at < DEMAND_START_S + DEMAND_S:
+        shift = int((at - DEMAND_START_S) / SHIFT_S)
+        in_burst = (at - DEMAND_START_S) % BURST_S < 3.0
         patient = PATIENT.share * (workload.burst if in_burst else 1.0)
         shares = [CHAT.share, patient, SUMMARY.share]
         at += random.expovariate(workload.rate * sum(shares))
@@ -220,8 +220,10 @@
     if kind is PATIENT:
         index = random.randrange(int(0.73 * workload.models))
     else:
-        place = random.choices(range(workload.popular), _weigh_places(workload))[0]
-        index = place + shift
+        position = random.choices(
+            range(workload.popular), _list_popular_weights(workload)
+        )[0]
+        index = position + shift
     return f"m{index % workload.models}"
 
 
