--- a/tests/policy/configuration/fleet.py
+++ b/tests/policy/configuration/fleet.py
@@ -87,7 +87,7 @@
         self.processes[host].alive = False
         self.announce()
 
-    def thaw(self, host: HostId) -> None:
+    def resume(self, host: HostId) -> None:
         """Let a frozen process go on with what it received meanwhile."""
         process = self.processes[host]
         process.frozen = False
@@ -113,7 +113,7 @@
             if process.watching and host not in self.cut:
                 self._later(host, HeadVersionReceived(version=ConfigVersion(self.head)))
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
         self.service_down = self.watch_stalled = False
         self.loss = self.lateness_s = 0.0
@@ -122,7 +122,7 @@
             if not process.alive:
                 self.start(host)
             elif process.frozen:
-                self.thaw(host)
+                self.resume(host)
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
--- a/tests/policy/configuration/test_core.py
+++ b/tests/policy/configuration/test_core.py
@@ -183,7 +183,7 @@
     def freeze_or_thaw(self, host: HostId) -> None:
         process = self.fleet.processes[host]
         if process.frozen:
-            self.fleet.thaw(host)
+            self.fleet.resume(host)
         else:
             process.frozen = True
 
@@ -194,7 +194,7 @@
             assert process.core.version <= self.fleet.head
 
     def teardown(self) -> None:
-        self.fleet.heal()
+        self.fleet.end_faults()
         self.fleet.run(SETTLE_S)
         for host, process in self.fleet.processes.items():
             assert process.core.version == self.fleet.head, host
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -102,7 +102,7 @@
 
 @when("the network is whole again")
 def mend_network(fleet: Fleet) -> None:
-    fleet.heal()
+    fleet.end_faults()
 
 
 @when(parsers.parse("host {number:d} is frozen"))
@@ -112,7 +112,7 @@
 
 @when(parsers.parse("host {number:d} goes on"))
 def thaw(fleet: Fleet, number: int) -> None:
-    fleet.thaw(find_hosts(fleet)[number])
+    fleet.resume(find_hosts(fleet)[number])
 
 
 @when(parsers.parse("host {number:d} is killed"))
