--- a/mangoway/policy/__init__.py
+++ b/mangoway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decision cores without I/O."""
+"""Decision logic without I/O."""
--- a/mangoway/policy/configuration/__init__.py
+++ b/mangoway/policy/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about which configuration version is in force."""
+"""Decides which configuration version a process applies."""
--- a/mangoway/policy/configuration/actions.py
+++ b/mangoway/policy/configuration/actions.py
@@ -8,33 +8,33 @@
 
 @frozen(kw_only=True)
 class ReadHead:
-    """Read the head version from the service; `HeadSeen` or `FetchFailed` follows."""
+    """Read the head version; `HeadVersionReceived` or `FetchFailed` follows."""
 
 
 @frozen(kw_only=True)
 class WatchHead:
-    """Start or stop watching the head key; each change gives `HeadSeen`."""
+    """Start or stop watching the head key; each change gives `HeadVersionReceived`."""
 
     enabled: bool
 
 
 @frozen(kw_only=True)
 class FetchFromService:
-    """Read this version or a newer one from the key-value service."""
+    """Fetch this version or a newer one from the key-value service."""
 
     version: ConfigVersion
 
 
 @frozen(kw_only=True)
 class FetchFromPeer:
-    """Ask a peer for the version it has in force."""
+    """Request the version that a peer has applied."""
 
     peer: HostId
 
 
 @frozen(kw_only=True)
 class PushToPeer:
-    """Send the version in force to a peer that is behind."""
+    """Send the applied version to a peer with an older one."""
 
     peer: HostId
     configuration: Configuration
@@ -42,14 +42,14 @@
 
 @frozen(kw_only=True)
 class ApplyConfiguration:
-    """Put a version in force in this process."""
+    """Apply a version in this process."""
 
     configuration: Configuration
 
 
 @frozen(kw_only=True)
 class WakeAt:
-    """Send `Ticked` at this time (replaces any earlier one)."""
+    """Pass in `Ticked` at this time; replaces any earlier request."""
 
     time: float
 
--- a/mangoway/policy/configuration/const.py
+++ b/mangoway/policy/configuration/const.py
@@ -2,37 +2,39 @@
 
 from typing import Final
 
-RELAYS: Final = 2
+RELAYS_PER_DATA_CENTRE: Final = 2
 """Processes of a data centre that watch the head key."""
 
 RELAY_READ_S: Final = 2.0
-"""Period at which a relay reads the head too, since a watch may stall."""
+"""Period at which a relay also reads the head, since a watch may stall."""
 
-OTHER_READ_S: Final = 30.0
+NON_RELAY_READ_S: Final = 30.0
 """Period at which any other process reads the head, in case all relays fail."""
 
 START_READ_S: Final = 1.0
-"""Period at which a process without configuration reads the head."""
+"""Period at which a process without a configuration reads the head."""
 
 PUSH_FANOUT: Final = 3
-"""Peers to which a process pushes a version when it puts it in force."""
+"""Peers to which a process pushes a version when it applies it."""
 
-PULL_DELAY_S: Final = 0.5
-"""Longest wait for a push before a peer that is ahead is asked."""
+MAX_PULL_DELAY_S: Final = 0.5
+"""Maximum wait for a push before a newer version is requested from a peer."""
 
 FETCH_TIMEOUT_S: Final = 2.0
-"""Time after which a read or fetch without an answer counts as failed."""
+"""Time after which a read or fetch without a response counts as failed."""
 
-FIRST_BACKOFF_S: Final = 0.5
-"""Pause after the first failure of a source; it doubles with each further one."""
+INITIAL_BACKOFF_S: Final = 0.5
+"""Backoff after the first failure of a source; it doubles with each further failure."""
 
-LONGEST_BACKOFF_S: Final = 4.0
+MAX_BACKOFF_S: Final = 4.0
 
 START_PEERS: Final = 3
-"""Peers that a starting process asks at once while the service is out."""
+"""Peers from which a starting process fetches at the same time during an outage of the
+service."""
 
-START_WAIT_S: Final = 2.0
-"""Time that a starting process gives its peers to answer."""
+START_PEER_WAIT_S: Final = 2.0
+"""Time for which a starting process waits for the responses of its peers."""
 
-START_PATIENCE_S: Final = 10.0
-"""Time for which a starting process waits for a version that it has heard of."""
+START_MAX_WAIT_S: Final = 10.0
+"""Time for which a starting process waits for the newest version that was reported to
+it."""
--- a/mangoway/policy/configuration/core.py
+++ b/mangoway/policy/configuration/core.py
@@ -1,4 +1,4 @@
-"""Which configuration version a process puts in force, and how it learns of it."""
+"""Distribution of the configuration: how one process finds and applies versions."""
 
 from math import inf
 from random import Random
@@ -18,14 +18,14 @@
     WatchHead,
 )
 from .const import (
-    OTHER_READ_S,
-    PULL_DELAY_S,
+    MAX_PULL_DELAY_S,
+    NON_RELAY_READ_S,
     PUSH_FANOUT,
     RELAY_READ_S,
-    START_PATIENCE_S,
+    START_MAX_WAIT_S,
+    START_PEER_WAIT_S,
     START_PEERS,
     START_READ_S,
-    START_WAIT_S,
 )
 from .events import (
     ConfigurationEvent,
@@ -44,109 +44,109 @@
 
 @define
 class ConfigurationCore:
-    """Follows the configuration in one process; never puts an older one in force.
+    """Follows the configuration in one process, and never applies an older version.
 
-    A relay watches the head key and reads it every few seconds. Whoever puts a new
-    version in force pushes it to a few peers; a process that hears of a newer
-    version and gets no push asks a peer that has it, or the service.
+    A relay watches the head key and reads it every few seconds. Each process that
+    applies a new version pushes it to a few peers. A process that has received the
+    number of a newer version but no push fetches it from a peer or from the service.
     """
 
     host: HostId
     _random: Random
     _configuration: Configuration | None = None
-    _best: Configuration | None = None
-    """Newest document received; it waits here while the process starts."""
+    _newest: Configuration | None = None
+    """Newest received document; not yet applied while the process starts."""
 
     _head: ConfigVersion = NO_VERSION
-    _advertised: dict[HostId, ConfigVersion] = field(factory=dict)
+    _advertised_versions: dict[HostId, ConfigVersion] = field(factory=dict)
     _peers: tuple[HostId, ...] = ()
-    _near: tuple[HostId, ...] = ()
+    _local_peers: tuple[HostId, ...] = ()
     _sources: SourceTable = field(factory=SourceTable)
     _is_relay: bool = False
     _next_read_at: float = -inf
     _pull_at: float | None = None
-    _outage_at: float | None = None
-    """Time at which a starting process turned to its peers."""
+    _outage_since: float | None = None
+    """When a starting process found the service unavailable, and began to use peers."""
 
-    _answered: set[HostId] = field(factory=set)
-    """Peers that answered a starting process."""
+    _responded_peers: set[HostId] = field(factory=set)
+    """Peers that sent a document."""
 
-    _asked: set[HostId] = field(factory=set)
-    _wake_at: float | None = None
+    _requested_peers: set[HostId] = field(factory=set)
+    _wakeup_at: float | None = None
 
     @property
     def version(self) -> ConfigVersion:
-        """Return the version in force; 0 if there is none."""
+        """Return the applied version; 0 if there is none."""
         return (
             NO_VERSION if self._configuration is None else self._configuration.version
         )
 
     @property
     def is_ready(self) -> bool:
-        """Return whether a configuration is in force."""
+        """Return whether a configuration is applied."""
         return self._configuration is not None
 
     @property
     def is_relay(self) -> bool:
-        """Return whether this process follows the service for its data centre."""
+        """Return whether this process watches the service for its data centre."""
         return self._is_relay
 
     def handle(
         self, event: ConfigurationEvent, now: float
     ) -> list[ConfigurationAction]:
-        """Take one event at time `now` (seconds, never decreasing)."""
+        """Process one event at time `now` (seconds, never decreasing)."""
         actions: list[ConfigurationAction] = []
-        self._note(event, now)
+        self._handle_event(event, now)
         self._sources.expire(now)
         actions += self._update_role(now)
-        actions += self._apply_best(now)
+        actions += self._apply_newest(now)
         actions += self._read_head(now)
         actions += self._fetch(now) if self.is_ready else self._start(now)
-        actions += self._plan_wake(now)
+        actions += self._schedule_wakeup(now)
         return actions
 
-    def _note(self, event: ConfigurationEvent, now: float) -> None:
+    def _handle_event(self, event: ConfigurationEvent, now: float) -> None:
         match event:
             case HeadVersionReceived():
                 self._sources.succeed(None)
                 self._head = max(self._head, event.version)
             case PeerAdvertised():
-                self._note_advertised(event.peer, event.version)
+                self._update_advertised(event.peer, event.version)
             case DocumentReceived():
-                self._note_document(event.configuration, event.source)
+                self._handle_document(event.configuration, event.source)
             case FetchFailed():
                 self._sources.fail(event.source, now)
             case PeersChanged():
-                self._note_peers(event)
+                self._update_peers(event)
             case Ticked():
                 pass
 
-    def _note_advertised(self, peer: HostId, version: ConfigVersion) -> None:
+    def _update_advertised(self, peer: HostId, version: ConfigVersion) -> None:
         if peer in self._peers:
-            self._advertised[peer] = version
+            self._advertised_versions[peer] = version
 
-    def _note_document(self, configuration: Configuration, source: Source) -> None:
+    def _handle_document(self, configuration: Configuration, source: Source) -> None:
         self._sources.succeed(source)
         if source is None:
             self._head = max(self._head, configuration.version)
         else:
-            self._answered.add(source)
-            self._note_advertised(source, configuration.version)
-        if self._best is None or configuration.version > self._best.version:
-            self._best = configuration
+            self._responded_peers.add(source)
+            self._update_advertised(source, configuration.version)
+        if self._newest is None or configuration.version > self._newest.version:
+            self._newest = configuration
 
-    def _note_peers(self, event: PeersChanged) -> None:
+    def _update_peers(self, event: PeersChanged) -> None:
         self._peers = event.peers
-        self._near = event.near
-        self._sources.forget_others(event.peers)
-        self._advertised = {
+        self._local_peers = event.near
+        self._sources.keep_only(event.peers)
+        self._advertised_versions = {
             peer: version
-            for peer, version in self._advertised.items()
+            for peer, version in self._advertised_versions.items()
             if peer in event.peers
         }
 
     def _update_role(self, now: float) -> list[ConfigurationAction]:
-        is_relay = self.host in choose_relays((self.host, *self._near))
+        is_relay = self.host in choose_relays((self.host, *self._local_peers))
         if is_relay == self._is_relay:
             return []
         self._is_relay = is_relay
@@ -154,21 +154,21 @@
             self._next_read_at = now
         return [WatchHead(enabled=is_relay)]
 
-    def _apply_best(self, now: float) -> list[ConfigurationAction]:
-        best = self._best
-        if best is None or best.version <= self.version:
+    def _apply_newest(self, now: float) -> list[ConfigurationAction]:
+        newest = self._newest
+        if newest is None or newest.version <= self.version:
             return []
-        if not self.is_ready and not self._may_start(best.version, now):
+        if not self.is_ready and not self._may_apply_at_start(newest.version, now):
             return []
-        self._configuration = best
+        self._configuration = newest
         self._pull_at = None
-        return [ApplyConfiguration(configuration=best), *self._push(best)]
+        return [ApplyConfiguration(configuration=newest), *self._push(newest)]
 
     def _push(self, configuration: Configuration) -> list[ConfigurationAction]:
         behind = [
             peer
             for peer in self._peers
-            if self._advertised.get(peer, NO_VERSION) < configuration.version
+            if self._advertised_versions.get(peer, NO_VERSION) < configuration.version
         ]
         chosen = self._random.sample(behind, min(PUSH_FANOUT, len(behind)))
         return [PushToPeer(peer=peer, configuration=configuration) for peer in chosen]
@@ -176,19 +176,23 @@
     def _read_head(self, now: float) -> list[ConfigurationAction]:
         if now < self._next_read_at or not self._sources.is_free(None, now):
             return []
-        # The spread keeps processes that started together from reading together.
-        self._next_read_at = now + self._find_period_s() * self._random.uniform(0.8, 1)
+        # The jitter keeps processes that started together from reading together.
+        self._next_read_at = now + self._get_read_period_s() * self._random.uniform(
+            0.8, 1
+        )
         self._sources.start(None, now)
         return [ReadHead()]
 
-    def _find_period_s(self) -> float:
+    def _get_read_period_s(self) -> float:
         if not self.is_ready:
             return START_READ_S
-        return RELAY_READ_S if self._is_relay else OTHER_READ_S
+        return RELAY_READ_S if self._is_relay else NON_RELAY_READ_S
 
     def _fetch(self, now: float) -> list[ConfigurationAction]:
         ahead = [
-            peer for peer, version in self._advertised.items() if version > self.version
+            peer
+            for peer, version in self._advertised_versions.items()
+            if version > self.version
         ]
         if self._head > self.version and self._sources.is_free(None, now):
             return self._fetch_from_service(now)
@@ -196,7 +200,7 @@
             self._pull_at = None
             return []
         if self._pull_at is None:
-            self._pull_at = now + PULL_DELAY_S * self._random.random()
+            self._pull_at = now + MAX_PULL_DELAY_S * self._random.random()
         if now < self._pull_at or any(map(self._sources.is_busy, ahead)):
             return []
         return self._pull(ahead, now)
@@ -206,79 +210,84 @@
         if not free:
             is_free = self._sources.is_free(None, now)
             return self._fetch_from_service(now) if is_free else []
-        newest = max(self._advertised[peer] for peer in free)
-        chosen = [peer for peer in free if self._advertised[peer] == newest]
+        newest_version = max(self._advertised_versions[peer] for peer in free)
+        chosen = [
+            peer for peer in free if self._advertised_versions[peer] == newest_version
+        ]
         return [self._fetch_from_peer(self._random.choice(chosen), now)]
 
     def _fetch_from_service(self, now: float) -> list[ConfigurationAction]:
         self._sources.start(None, now)
-        return [FetchFromService(version=self._find_known_version())]
+        return [FetchFromService(version=self._find_newest_known_version())]
 
     def _fetch_from_peer(self, peer: HostId, now: float) -> FetchFromPeer:
         self._sources.start(peer, now)
         return FetchFromPeer(peer=peer)
 
-    def _find_known_version(self) -> ConfigVersion:
-        return max(self._head, *self._advertised.values(), NO_VERSION)
+    def _find_newest_known_version(self) -> ConfigVersion:
+        return max(self._head, *self._advertised_versions.values(), NO_VERSION)
 
     def _start(self, now: float) -> list[ConfigurationAction]:
-        """Ask the service, and several peers once the service failed to answer."""
+        """Fetch from the service, and also from peers once the service has failed."""
         actions: list[ConfigurationAction] = []
         if self._head and self._sources.is_free(None, now):
             actions += self._fetch_from_service(now)
         if not self._sources.has_failed(None):
             return actions
-        if self._outage_at is None:
-            self._outage_at = now
-        waiting = sum(map(self._sources.is_busy, self._peers))
+        if self._outage_since is None:
+            self._outage_since = now
+        pending = sum(map(self._sources.is_busy, self._peers))
         ranked = sorted(
-            (peer for peer in self._peers if self._may_ask(peer, now)),
+            (peer for peer in self._peers if self._may_fetch_from(peer, now)),
             key=lambda peer: (
-                peer in self._asked,
-                -self._advertised.get(peer, NO_VERSION),
+                peer in self._requested_peers,
+                -self._advertised_versions.get(peer, NO_VERSION),
                 self._random.random(),
             ),
         )
-        for peer in ranked[: START_PEERS - waiting]:
-            self._asked.add(peer)
+        for peer in ranked[: START_PEERS - pending]:
+            self._requested_peers.add(peer)
             actions.append(self._fetch_from_peer(peer, now))
         return actions
 
-    def _may_ask(self, peer: HostId, now: float) -> bool:
+    def _may_fetch_from(self, peer: HostId, now: float) -> bool:
         if not self._sources.is_free(peer, now):
             return False
-        known = NO_VERSION if self._best is None else self._best.version
-        is_ahead = self._advertised.get(peer, NO_VERSION) > known
-        return is_ahead or peer not in self._answered
+        received_version = NO_VERSION if self._newest is None else self._newest.version
+        is_ahead = self._advertised_versions.get(peer, NO_VERSION) > received_version
+        return is_ahead or peer not in self._responded_peers
 
-    def _may_start(self, version: ConfigVersion, now: float) -> bool:
-        """Return whether a starting process may put `version` in force.
+    def _may_apply_at_start(self, version: ConfigVersion, now: float) -> bool:
+        """Return whether a starting process may apply `version`.
 
-        A version of the service may. One of a peer may in an outage, once several
-        peers had time to answer and none is known to have a newer one.
+        A version from the service may be applied. During an outage, a version from a
+        peer may be applied once several peers had time to respond. If a newer version
+        was reported, it is awaited for up to `START_MAX_WAIT_S`.
         """
         if self._head and version >= self._head:
             return True
-        if self._outage_at is None or not self._sources.has_failed(None):
+        if self._outage_since is None or not self._sources.has_failed(None):
             return False
-        waited_s = now - self._outage_at
-        if version < self._find_known_version() and waited_s < START_PATIENCE_S:
+        waited_s = now - self._outage_since
+        if version < self._find_newest_known_version() and waited_s < START_MAX_WAIT_S:
             return False
-        return len(self._answered) >= START_PEERS or waited_s >= START_WAIT_S
+        return (
+            len(self._responded_peers) >= START_PEERS or waited_s >= START_PEER_WAIT_S
+        )
 
-    def _plan_wake(self, now: float) -> list[ConfigurationAction]:
+    def _schedule_wakeup(self, now: float) -> list[ConfigurationAction]:
         times = [self._next_read_at, self._sources.find_next_time(now)]
         if self._pull_at is not None:
             times.append(self._pull_at)
-        if not self.is_ready and self._outage_at is not None:
+        if not self.is_ready and self._outage_since is not None:
             times += [
-                self._outage_at + START_WAIT_S,
-                self._outage_at + START_PATIENCE_S,
+                self._outage_since + START_PEER_WAIT_S,
+                self._outage_since + START_MAX_WAIT_S,
             ]
-        wake_at = min(
+        wakeup_at = min(
             (time for time in times if time > now), default=now + START_READ_S
         )
-        if wake_at == self._wake_at:
+        if wakeup_at == self._wakeup_at:
             return []
-        self._wake_at = wake_at
-        return [WakeAt(time=wake_at)]
+        self._wakeup_at = wakeup_at
+        return [WakeAt(time=wakeup_at)]
--- a/mangoway/policy/configuration/events.py
+++ b/mangoway/policy/configuration/events.py
@@ -1,4 +1,4 @@
-"""Events that the configuration core takes."""
+"""Events that the configuration core handles."""
 
 from attrs import frozen
 
@@ -8,14 +8,14 @@
 
 @frozen(kw_only=True)
 class HeadVersionReceived:
-    """The key-value service showed the head version (watch or slow read)."""
+    """The key-value service returned the head version, by a watch or a read."""
 
     version: ConfigVersion
 
 
 @frozen(kw_only=True)
 class PeerAdvertised:
-    """A peer's heartbeat said which version it has in force."""
+    """A heartbeat contained the version that a peer has applied."""
 
     peer: HostId
     version: ConfigVersion
@@ -23,7 +23,7 @@
 
 @frozen(kw_only=True)
 class DocumentReceived:
-    """A whole document arrived and was checked."""
+    """A complete document was received and validated."""
 
     configuration: Configuration
     source: HostId | None
@@ -32,23 +32,25 @@
 
 @frozen(kw_only=True)
 class FetchFailed:
-    """A read of the head (source None) or a fetch of a document got no answer."""
+    """A read of the head (source None) or a fetch of a document failed."""
 
     source: HostId | None
 
 
 @frozen(kw_only=True)
 class PeersChanged:
-    """The live peers, own host left out."""
+    """The live peers changed."""
 
     peers: tuple[HostId, ...]
+    """All live peers, without the own host."""
+
     near: tuple[HostId, ...] = ()
     """Those of `peers` that are in the own data centre."""
 
 
 @frozen(kw_only=True)
 class Ticked:
-    """Time passed; sent at the time of the last `WakeAt`, or later."""
+    """The time of the last `WakeAt` has passed."""
 
 
 ConfigurationEvent = (
--- a/mangoway/policy/configuration/sources.py
+++ b/mangoway/policy/configuration/sources.py
@@ -1,4 +1,4 @@
-"""Fetches in progress, and pauses after failures, of each source."""
+"""Fetches in progress and backoff after failures, for each source."""
 
 from collections.abc import Iterable
 from math import inf
@@ -6,7 +6,7 @@
 from attrs import define, field
 
 from ...models.identifiers import HostId
-from .const import FETCH_TIMEOUT_S, FIRST_BACKOFF_S, LONGEST_BACKOFF_S
+from .const import FETCH_TIMEOUT_S, INITIAL_BACKOFF_S, MAX_BACKOFF_S
 
 Source = HostId | None
 """A peer, or None for the key-value service."""
@@ -14,45 +14,45 @@
 
 @define
 class SourceState:
-    """What is known about one source."""
+    """State of one source."""
 
     timeout_at: float | None = None
-    """Time at which the fetch in progress counts as failed."""
+    """When the fetch in progress times out; None without one."""
 
     retry_at: float = -inf
     failures: int = 0
-    """Failures since the last answer."""
+    """Consecutive failures since the last response."""
 
 
 @define
 class SourceTable:
-    """Fetches of one process; at most one at a time from each source."""
+    """Fetches of one process, at most one at a time from each source."""
 
     _states: dict[Source, SourceState] = field(factory=dict)
 
     def start(self, source: Source, now: float) -> None:
-        """Note that a fetch was sent."""
-        self._find(source).timeout_at = now + FETCH_TIMEOUT_S
+        """Record that a fetch was sent."""
+        self._get_or_create(source).timeout_at = now + FETCH_TIMEOUT_S
 
     def succeed(self, source: Source) -> None:
-        """Note an answer."""
+        """Reset a source after a response."""
         self._states.pop(source, None)
 
     def fail(self, source: Source, now: float) -> None:
-        """Note a failure and pause the source."""
-        state = self._find(source)
+        """Record a failure and start the backoff of the source."""
+        state = self._get_or_create(source)
         state.timeout_at = None
-        pause_s = min(FIRST_BACKOFF_S * 2.0**state.failures, LONGEST_BACKOFF_S)
+        backoff_s = min(INITIAL_BACKOFF_S * 2.0**state.failures, MAX_BACKOFF_S)
         state.failures += 1
-        state.retry_at = now + pause_s
+        state.retry_at = now + backoff_s
 
     def expire(self, now: float) -> None:
-        """Fail the fetches whose time is over."""
+        """Fail the fetches that have timed out."""
         for source, state in self._states.items():
             if state.timeout_at is not None and state.timeout_at <= now:
                 self.fail(source, now)
 
-    def forget_others(self, peers: Iterable[HostId]) -> None:
+    def keep_only(self, peers: Iterable[HostId]) -> None:
         """Drop peers that are no longer live."""
         kept = {None, *peers}
         self._states = {
@@ -60,29 +60,29 @@
         }
 
     def is_busy(self, source: Source) -> bool:
-        """Return whether a fetch is in progress."""
+        """Return whether a fetch from a source is in progress."""
         state = self._states.get(source)
         return state is not None and state.timeout_at is not None
 
     def is_free(self, source: Source, now: float) -> bool:
-        """Return whether a fetch may be sent now."""
+        """Return whether a fetch from a source may be sent now."""
         state = self._states.get(source)
         if state is None:
             return True
         return state.timeout_at is None and state.retry_at <= now
 
     def has_failed(self, source: Source) -> bool:
-        """Return whether the source failed since its last answer."""
+        """Return whether a source has failed since its last response."""
         state = self._states.get(source)
         return state is not None and state.failures > 0
 
     def find_next_time(self, now: float) -> float:
-        """Return when the next fetch times out or may be tried again."""
+        """Return when the next fetch times out or may be retried."""
         times = [
             state.retry_at if state.timeout_at is None else state.timeout_at
             for state in self._states.values()
         ]
         return min((time for time in times if time > now), default=inf)
 
-    def _find(self, source: Source) -> SourceState:
+    def _get_or_create(self, source: Source) -> SourceState:
         return self._states.setdefault(source, SourceState())
--- a/mangoway/policy/core.py
+++ b/mangoway/policy/core.py
@@ -1,4 +1,4 @@
-"""The interface that all decision cores share."""
+"""Interface of the decision cores."""
 
 from typing import Protocol, TypeVar
 
@@ -7,8 +7,8 @@
 
 
 class Core(Protocol[EventT_contra, ActionT]):
-    """A pure state machine: events and the time go in, actions come out."""
+    """A state machine without I/O: maps events and the time to actions."""
 
     def handle(self, event: EventT_contra, now: float) -> list[ActionT]:
-        """Take one event at time `now` (seconds, never decreasing)."""
+        """Process one event at time `now` (seconds, never decreasing)."""
         ...
--- a/mangoway/policy/membership/__init__.py
+++ b/mangoway/policy/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about which hosts are live, leaving or gone."""
+"""Decides which processes are live, leaving or gone."""
--- a/mangoway/policy/membership/actions.py
+++ b/mangoway/policy/membership/actions.py
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class SendHeartbeat:
-    """Send entries to a peer; its reply comes back as `HeartbeatReceived`."""
+    """Send entries to a peer, whose reply is passed in as `HeartbeatReceived`."""
 
     peer_address: str
     members: tuple[Member, ...]
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class ReplyHeartbeat:
-    """Answer the heartbeat that was just received with these entries."""
+    """Reply to the heartbeat that was just received with these entries."""
 
     members: tuple[Member, ...]
 
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class WakeAt:
-    """Send `Ticked` at this time (replaces any earlier one)."""
+    """Pass in `Ticked` at this time; replaces any earlier request."""
 
     time: float
 
--- a/mangoway/policy/membership/addresses.py
+++ b/mangoway/policy/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Answers to callers that ask which gateways to use."""
+"""Address answers for callers that request the list of gateways."""
 
 from collections.abc import Iterable
 
@@ -18,19 +18,19 @@
     valid_for_s: float,
     rotation: int = 0,
 ) -> AddressAnswer:
-    """Return the ready, live gateways, those of the own data centre first.
+    """Return the live gateways that are ready, those of the own data centre first.
 
     Args:
-        members: All members as this process judges them.
-        data_centre: Data centre of the process that answers.
-        valid_for_s: Seconds for which callers may keep the answer.
-        rotation: Number of the answer; each starts with another gateway, so that
-            callers that take the first are spread evenly.
+        members: All members, with their state as seen by this process.
+        data_centre: Data centre of this process.
+        valid_for_s: Seconds for which callers may cache the answer.
+        rotation: Number of the answer; each answer starts with another gateway, so
+            that callers that use the first one are spread evenly.
     """
     usable = sorted(filter(_is_usable, members), key=lambda member: member.host)
-    near = [member for member in usable if member.data_centre == data_centre]
-    far = [member for member in usable if member.data_centre != data_centre]
-    ordered = _rotate(near, rotation) + _rotate(far, rotation)
+    local = [member for member in usable if member.data_centre == data_centre]
+    remote = [member for member in usable if member.data_centre != data_centre]
+    ordered = _rotate(local, rotation) + _rotate(remote, rotation)
     gateways = tuple(_make_address(member) for member in ordered)
     return AddressAnswer(gateways=gateways, valid_for_s=valid_for_s)
 
--- a/mangoway/policy/membership/core.py
+++ b/mangoway/policy/membership/core.py
@@ -1,4 +1,4 @@
-"""Which processes are live, leaving or gone, as one process sees it."""
+"""Failure detection: which processes are live, leaving or gone."""
 
 from random import Random
 
@@ -14,12 +14,12 @@
     WakeAt,
 )
 from .const import (
-    BEAT_S,
     FANOUT,
-    FREEZE_S,
     FULL_SYNC_S,
-    SMALL_CELL,
+    HEARTBEAT_S,
+    MIN_FREEZE_S,
     SMALL_CELL_FANOUT,
+    SMALL_CELL_PEERS,
 )
 from .events import (
     HeartbeatReceived,
@@ -31,21 +31,21 @@
     Ticked,
 )
 from .listing import HostListing
-from .table import Entry, MemberTable, ProcessKey, name_key
+from .table import Entry, MemberTable, ProcessKey, get_process_key
 
 
 @define
 class MembershipCore:
-    """Spreads heartbeats and judges silence; one instance per process."""
+    """Exchanges heartbeats and detects silent peers; one instance per process."""
 
     _own: Member
     _random: Random
     _table: MemberTable = field(factory=MemberTable)
     _listing: HostListing = field(factory=HostListing)
-    _sent: dict[str, int] = field(factory=dict)
-    """Last change that each peer address was sent."""
+    _sent_changes: dict[str, int] = field(factory=dict)
+    """Number of the last change that was sent to each peer address."""
 
-    _next_beat_at: float | None = None
+    _next_heartbeat_at: float | None = None
     _next_sync_at: float = 0.0
     _is_changed: bool = True
 
@@ -56,27 +56,27 @@
 
     @property
     def is_replaced(self) -> bool:
-        """Return whether a later process of the same host and role took over."""
-        entry = self._table.find(self._key)
+        """Return whether a later process of this host and role replaced this one."""
+        entry = self._table.find(self._own_key)
         return entry is not None and entry.member.incarnation != self._own.incarnation
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Return all known members as this process judges them, own one included."""
-        return tuple(self._make_view(entry) for entry in self._table.list_entries())
+        """Return all members, including this one, with their state as seen here."""
+        return tuple(self._get_view(entry) for entry in self._table.list_entries())
 
     def handle(self, event: MembershipEvent, now: float) -> list[MembershipAction]:
-        """Take one event at time `now` (seconds, never decreasing)."""
+        """Process one event at time `now` (seconds, never decreasing)."""
         actions: list[MembershipAction] = []
-        self._note_freeze(now)
-        self._put_own(now)
+        self._handle_freeze(now)
+        self._merge_own(now)
         match event:
             case HeartbeatReceived():
-                actions += self._receive(event, now)
+                actions += self._handle_heartbeat(event, now)
             case SendFailed():
-                self._forget_sent(event.peer)
+                self._reset_sent_changes(event.peer)
             case HostListUpdated():
-                self._note_listing(event)
+                self._update_listing(event)
             case OwnMemberChanged():
                 self._change_own(
                     evolve(
@@ -87,51 +87,56 @@
                     now,
                 )
             case LeaveRequested():
-                actions += self._leave(event.successor, now)
+                actions += self._start_leaving(event.successor, now)
             case Ticked():
                 pass
-        actions += self._beat(now)
-        self._is_changed |= self._table.judge(self._key, now)
+        actions += self._send_heartbeats(now)
+        self._is_changed |= self._table.expire_silent(self._own_key, now)
         if self._is_changed:
             self._is_changed = False
             actions.append(MembersChanged(members=self.members))
         return actions
 
     @property
-    def _key(self) -> ProcessKey:
-        return name_key(self._own)
+    def _own_key(self) -> ProcessKey:
+        return get_process_key(self._own)
 
-    def _make_view(self, entry: Entry) -> Member:
-        view = entry.make_view()
+    def _get_view(self, entry: Entry) -> Member:
+        view = entry.get_view()
         if view.state is MemberState.LIVE and self._listing.is_leaving(view):
             return evolve(view, state=MemberState.LEAVING)
         return view
 
-    def _note_freeze(self, now: float) -> None:
-        """Do not count others as silent for time in which nothing was received."""
-        if self._next_beat_at is None or now < self._next_beat_at + FREEZE_S:
+    def _handle_freeze(self, now: float) -> None:
+        """Don't count time in which this process was frozen as silence of others."""
+        if (
+            self._next_heartbeat_at is None
+            or now < self._next_heartbeat_at + MIN_FREEZE_S
+        ):
             return
-        self._table.forgive(now - self._next_beat_at, now)
+        self._table.discount_freeze(now - self._next_heartbeat_at, now)
         self._next_sync_at = now
 
-    def _put_own(self, now: float) -> None:
+    def _merge_own(self, now: float) -> None:
         if not self.is_replaced:
             self._is_changed |= self._table.merge(self._own, None, now)
 
     def _change_own(self, own: Member, now: float) -> None:
         self._own = evolve(own, beat=own.beat + 1)
-        self._put_own(now)
+        self._merge_own(now)
 
-    def _note_listing(self, event: HostListUpdated) -> None:
-        before = self.members
-        lives = {
+    def _update_listing(self, event: HostListUpdated) -> None:
+        previous = self.members
+        incarnations = {
             entry.member.peer_address: entry.member.incarnation
             for entry in self._table.list_entries()
         }
-        self._listing.update(event.hosts, lives)
-        self._is_changed |= self.members != before
+        self._listing.update(event.hosts, incarnations)
+        self._is_changed |= self.members != previous
 
-    def _receive(self, event: HeartbeatReceived, now: float) -> list[MembershipAction]:
+    def _handle_heartbeat(
+        self, event: HeartbeatReceived, now: float
+    ) -> list[MembershipAction]:
         source = next(
             (m.peer_address for m in event.members if m.host == event.sender), None
         )
@@ -139,47 +144,52 @@
             self._is_changed |= self._table.merge(member, source, now)
         if not event.wants_reply:
             return []
-        return [ReplyHeartbeat(members=self._list_news(source))]
+        return [ReplyHeartbeat(members=self._list_changed_members(source))]
 
-    def _forget_sent(self, peer: HostId) -> None:
+    def _reset_sent_changes(self, peer: HostId) -> None:
         for entry in self._table.list_entries():
             if entry.member.host == peer:
-                self._sent.pop(entry.member.peer_address, None)
+                self._sent_changes.pop(entry.member.peer_address, None)
 
-    def _forget_gone(self, live: list[str]) -> None:
-        self._sent = {peer: self._sent[peer] for peer in live if peer in self._sent}
+    def _drop_gone_peers(self, live: list[str]) -> None:
+        self._sent_changes = {
+            peer: self._sent_changes[peer]
+            for peer in live
+            if peer in self._sent_changes
+        }
 
-    def _leave(
+    def _start_leaving(
         self, successor: IncarnationId | None, now: float
     ) -> list[MembershipAction]:
-        """Tell every live peer at once: new work must stop coming within seconds."""
+        """Notify every live peer at once, to get no new work after a few seconds."""
         leaving = evolve(self._own, state=MemberState.LEAVING, successor=successor)
         self._change_own(leaving, now)
         return [self._send(address) for address in self._list_live()]
 
-    def _beat(self, now: float) -> list[MembershipAction]:
-        if self._next_beat_at is not None and now < self._next_beat_at:
+    def _send_heartbeats(self, now: float) -> list[MembershipAction]:
+        if self._next_heartbeat_at is not None and now < self._next_heartbeat_at:
             return []
-        # The spread keeps processes that started together from beating together.
-        self._next_beat_at = now + BEAT_S * self._random.uniform(0.9, 1.1)
+        # The jitter keeps processes that started together from sending together.
+        self._next_heartbeat_at = now + HEARTBEAT_S * self._random.uniform(0.9, 1.1)
         if not self.is_replaced:
             self._change_own(self._own, now)
-        actions: list[MembershipAction] = [WakeAt(time=self._next_beat_at)]
+        actions: list[MembershipAction] = [WakeAt(time=self._next_heartbeat_at)]
         live = self._list_live()
-        fanout = SMALL_CELL_FANOUT if len(live) <= SMALL_CELL else FANOUT
+        fanout = SMALL_CELL_FANOUT if len(live) <= SMALL_CELL_PEERS else FANOUT
         chosen = self._random.sample(live, min(fanout, len(live)))
         if chosen and now >= self._next_sync_at:
             self._next_sync_at = now + FULL_SYNC_S * self._random.uniform(0.5, 1.5)
-            self._forget_gone(live)
-            self._sent.pop(chosen[0], None)
+            self._drop_gone_peers(live)
+            self._sent_changes.pop(chosen[0], None)
         actions += [self._send(address) for address in chosen]
         actions += self._probe(live)
         return actions
 
     def _probe(self, live: list[str]) -> list[MembershipAction]:
-        """Try one address where a process may be that this one doesn't know as live.
+        """Send a heartbeat to one address without a known live process.
 
-        This is how a process joins, and how parts of a cut network find each other.
+        This is how a process joins, and how the parts of a partitioned network find
+        each other again.
         """
         known = {*live, self._own.peer_address}
         silent = [
@@ -191,29 +201,35 @@
         if not candidates:
             return []
         address = self._random.choice(candidates)
-        self._sent.pop(address, None)
+        self._sent_changes.pop(address, None)
         return [self._send(address)]
 
     def _send(self, address: str) -> SendHeartbeat:
-        return SendHeartbeat(peer_address=address, members=self._list_news(address))
+        return SendHeartbeat(
+            peer_address=address, members=self._list_changed_members(address)
+        )
 
-    def _list_news(self, address: str | None) -> tuple[Member, ...]:
-        """Return the own entry, then all others changed since the last heartbeat."""
-        since = 0 if address is None else self._sent.get(address, 0)
-        news = self._table.list_changes(since, address)
+    def _list_changed_members(self, address: str | None) -> tuple[Member, ...]:
+        """Return the own entry and all others changed since the last heartbeat."""
+        since = 0 if address is None else self._sent_changes.get(address, 0)
+        changed = self._table.list_changes(since, address)
         if address is not None:
-            self._sent[address] = self._table.last_change
-        others = [member for member in news if name_key(member) != self._key]
-        replacing = [member for member in news if name_key(member) == self._key]
+            self._sent_changes[address] = self._table.last_change
+        others = [
+            member for member in changed if get_process_key(member) != self._own_key
+        ]
+        replacing = [
+            member for member in changed if get_process_key(member) == self._own_key
+        ]
         own = replacing if self.is_replaced else [self._own]
         return (*own, *others)
 
     def _list_live(self) -> list[str]:
-        """Return the peer addresses of processes that beat, leaving ones included."""
+        """Return the addresses of peers with heartbeats, including leaving ones."""
         return sorted(
             entry.member.peer_address
             for entry in self._table.list_entries()
             if not entry.is_silent
             and entry.member.state is not MemberState.GONE
-            and name_key(entry.member) != self._key
+            and get_process_key(entry.member) != self._own_key
         )
--- a/mangoway/policy/membership/events.py
+++ b/mangoway/policy/membership/events.py
@@ -1,4 +1,4 @@
-"""Events that the membership core takes."""
+"""Events that the membership core handles."""
 
 from attrs import frozen
 
@@ -8,24 +8,24 @@
 
 @frozen(kw_only=True)
 class HeartbeatReceived:
-    """A peer sent its own entry and news of others, or replied with them."""
+    """A heartbeat or a reply with the entry of a peer and changed entries of others."""
 
     sender: HostId
     members: tuple[Member, ...]
     wants_reply: bool = False
-    """Whether `ReplyHeartbeat` must follow."""
+    """Whether the core must return `ReplyHeartbeat`."""
 
 
 @frozen(kw_only=True)
 class SendFailed:
-    """A heartbeat could not be delivered in its time."""
+    """A heartbeat could not be delivered before its timeout."""
 
     peer: HostId
 
 
 @frozen(kw_only=True)
 class ListedHost:
-    """One process that the host list or the settings name as a seed."""
+    """One process in the host list, or a seed from the settings."""
 
     peer_address: str
     leaving: bool = False
@@ -33,14 +33,14 @@
 
 @frozen(kw_only=True)
 class HostListUpdated:
-    """The host list as it was read; it may lag."""
+    """The host list was read; it may be outdated."""
 
     hosts: tuple[ListedHost, ...]
 
 
 @frozen(kw_only=True)
 class OwnMemberChanged:
-    """This process's own version or readiness changed."""
+    """The configuration version or the readiness of this process changed."""
 
     config_version: ConfigVersion
     ready: bool
@@ -48,14 +48,14 @@
 
 @frozen(kw_only=True)
 class LeaveRequested:
-    """This process leaves in a planned way."""
+    """A planned departure of this process was requested."""
 
     successor: IncarnationId | None
 
 
 @frozen(kw_only=True)
 class Ticked:
-    """Time passed; sent at the time of the last `WakeAt`, or later."""
+    """The time of the last `WakeAt` has passed."""
 
 
 MembershipEvent = (
--- a/mangoway/policy/membership/listing.py
+++ b/mangoway/policy/membership/listing.py
@@ -1,4 +1,4 @@
-"""What the host list says; it seeds and confirms, but lags."""
+"""Content of the host list, which may be outdated."""
 
 from attrs import define, field
 
@@ -9,29 +9,29 @@
 
 @define
 class HostListing:
-    """Listed addresses, and the lives of processes that were listed as leaving."""
+    """Listed addresses, and the incarnations that were listed as leaving."""
 
     _addresses: tuple[str, ...] = ()
     _leaving: dict[str, IncarnationId | None] = field(factory=dict)
-    """By address, the life that leaves; None while no process is known there."""
+    """Leaving incarnation by address; None while no process is known there."""
 
     def update(
-        self, hosts: tuple[ListedHost, ...], lives: dict[str, IncarnationId]
+        self, hosts: tuple[ListedHost, ...], incarnations: dict[str, IncarnationId]
     ) -> None:
-        """Take the list as it was read; `lives` are the known ones by address.
+        """Update the listing; `incarnations` are the known ones by address.
 
-        A process that starts at an address after it was listed as leaving is not
-        the one that leaves, even if the list lags and goes on to say so.
+        A process that starts at an address that is listed as leaving is not the one
+        that leaves, even if an outdated list still contains the mark.
         """
         self._addresses = tuple(host.peer_address for host in hosts)
         leaving = {host.peer_address for host in hosts if host.leaving}
         self._leaving = {
-            address: self._leaving.get(address) or lives.get(address)
+            address: self._leaving.get(address) or incarnations.get(address)
             for address in leaving
         }
 
     def is_leaving(self, member: Member) -> bool:
-        """Return whether this life of a process was listed as leaving."""
+        """Return whether this incarnation of a process was listed as leaving."""
         address = member.peer_address
         if address not in self._leaving:
             return False
--- a/mangoway/policy/membership/table.py
+++ b/mangoway/policy/membership/table.py
@@ -1,4 +1,4 @@
-"""The entries that one process holds of all others."""
+"""Table of the members known to one process."""
 
 from collections.abc import Iterator
 
@@ -6,38 +6,38 @@
 
 from ...models.identifiers import HostId
 from ...models.member import Member, MemberState, ProcessRole
-from .const import GONE_KEPT_S, SILENCE_S
+from .const import GONE_RETENTION_S, SILENCE_S
 
 ProcessKey = tuple[HostId, ProcessRole]
-"""A gateway and a controller of one host are different processes."""
+"""Key of a process: a gateway and a controller of one host are different processes."""
 
 STATE_RANKS = {MemberState.LIVE: 0, MemberState.LEAVING: 1, MemberState.GONE: 2}
 
 
-def name_key(member: Member) -> ProcessKey:
-    """Return what stays the same when a process is restarted."""
+def get_process_key(member: Member) -> ProcessKey:
+    """Return the key of a process, which stays the same after a restart."""
     return member.host, member.role
 
 
 @define
 class Entry:
-    """A member with when and from whom its last news came."""
+    """A member, with the time and the source of its last update."""
 
     member: Member
-    heard_at: float
-    """Time at which its beat last rose."""
+    last_heartbeat_at: float
+    """When its heartbeat counter last increased."""
 
     change: int
     """Number of the last change of this entry."""
 
     source: str | None
-    """Peer address that the last change came from; None for own news."""
+    """Peer address that sent the last change; None for own changes."""
 
     is_silent: bool = False
-    """Whether its beats stayed away too long; a judgement of this process only."""
+    """Whether its heartbeats have been missing for too long; not shared with peers."""
 
-    def make_view(self) -> Member:
-        """Return the member as this process judges it."""
+    def get_view(self) -> Member:
+        """Return the member with its state as seen by this process."""
         if self.is_silent:
             return evolve(self.member, state=MemberState.GONE, ready=False)
         return self.member
@@ -45,34 +45,37 @@
 
 @define
 class MemberTable:
-    """Entries by process; only a process itself says that it leaves."""
+    """Entries by process; only a process itself reports that it leaves."""
 
     _entries: dict[ProcessKey, Entry] = field(factory=dict)
-    _changes: int = 0
+    _last_change: int = 0
 
     @property
     def last_change(self) -> int:
         """Return the number of the latest change."""
-        return self._changes
+        return self._last_change
 
     def merge(self, member: Member, source: str | None, now: float) -> bool:
-        """Take an entry if it is news; return whether anything but the beat changed."""
-        key = name_key(member)
+        """Merge an entry; return whether anything but the heartbeat counter changed."""
+        key = get_process_key(member)
         entry = self._entries.get(key)
         if entry is None:
-            self._entries[key] = Entry(member, now, self._count(), source)
+            self._entries[key] = Entry(member, now, self._next_change(), source)
             return True
         merged = merge_members(entry.member, member)
         if merged == entry.member:
             return False
-        before = entry.make_view()
-        if is_newer_life(merged, entry.member) or merged.beat > entry.member.beat:
-            entry.heard_at = now
+        previous = entry.get_view()
+        if (
+            is_newer_incarnation(merged, entry.member)
+            or merged.beat > entry.member.beat
+        ):
+            entry.last_heartbeat_at = now
             entry.is_silent = False
         entry.member = merged
-        entry.change = self._count()
+        entry.change = self._next_change()
         entry.source = source
-        return evolve(before, beat=0) != evolve(entry.make_view(), beat=0)
+        return evolve(previous, beat=0) != evolve(entry.get_view(), beat=0)
 
     def find(self, key: ProcessKey) -> Entry | None:
         """Return the entry of a process."""
@@ -82,56 +85,57 @@
         """Yield all entries."""
         yield from self._entries.values()
 
-    def list_changes(self, since: int, to: str | None) -> tuple[Member, ...]:
-        """Return the entries changed since a change that a peer doesn't know.
+    def list_changes(self, since: int, receiver: str | None) -> tuple[Member, ...]:
+        """Return the entries changed after change number `since`.
 
-        Silent entries are left out: a receiver would take them for live.
+        Those that came from the receiver itself are left out, and so are silent
+        entries, which it would consider live.
         """
         return tuple(
             entry.member
             for entry in self._entries.values()
             if entry.change > since
             and not entry.is_silent
-            and (to is None or entry.source != to)
+            and (receiver is None or entry.source != receiver)
         )
 
-    def judge(self, own: ProcessKey, now: float) -> bool:
-        """Mark silent entries and drop old ones; return whether any changed."""
+    def expire_silent(self, own: ProcessKey, now: float) -> bool:
+        """Mark silent entries and drop old ones; return whether any entry changed."""
         changed = False
         for key, entry in list(self._entries.items()):
             if key == own:
                 continue
-            quiet_s = now - entry.heard_at
-            if quiet_s >= GONE_KEPT_S:
+            silent_s = now - entry.last_heartbeat_at
+            if silent_s >= GONE_RETENTION_S:
                 del self._entries[key]
                 changed = True
-            elif quiet_s >= SILENCE_S and not entry.is_silent:
+            elif silent_s >= SILENCE_S and not entry.is_silent:
                 entry.is_silent = True
                 changed = True
         return changed
 
-    def forgive(self, frozen_s: float, now: float) -> None:
-        """Leave out of account the time in which the own process was frozen."""
+    def discount_freeze(self, frozen_s: float, now: float) -> None:
+        """Don't count time in which this process was frozen as silence of others."""
         for entry in self._entries.values():
             if not entry.is_silent:
-                entry.heard_at = min(now, entry.heard_at + frozen_s)
+                entry.last_heartbeat_at = min(now, entry.last_heartbeat_at + frozen_s)
 
-    def _count(self) -> int:
-        self._changes += 1
-        return self._changes
+    def _next_change(self) -> int:
+        self._last_change += 1
+        return self._last_change
 
 
-def is_newer_life(one: Member, other: Member) -> bool:
+def is_newer_incarnation(one: Member, other: Member) -> bool:
     """Return whether `one` is a later incarnation than `other`."""
     if one.incarnation == other.incarnation:
         return False
     return (one.started_at, one.incarnation) > (other.started_at, other.incarnation)
 
 
-def merge_members(held: Member, news: Member) -> Member:
-    """Return the newer of two entries of a process; a state never goes back."""
-    if held.incarnation != news.incarnation:
-        return news if is_newer_life(news, held) else held
-    newer = news if news.beat > held.beat else held
-    state = max(held.state, news.state, key=STATE_RANKS.__getitem__)
-    return evolve(newer, state=state, successor=news.successor or held.successor)
+def merge_members(known: Member, received: Member) -> Member:
+    """Return the newer of two entries of a process; its state is never reverted."""
+    if known.incarnation != received.incarnation:
+        return received if is_newer_incarnation(received, known) else known
+    newer = received if received.beat > known.beat else known
+    state = max(known.state, received.state, key=STATE_RANKS.__getitem__)
+    return evolve(newer, state=state, successor=received.successor or known.successor)
--- a/tests/policy/configuration/test_core.py
+++ b/tests/policy/configuration/test_core.py
@@ -25,11 +25,13 @@
 
 HOSTS = [HostId(f"host-{number}") for number in range(6)]
 SETTLE_S = 8.0
-"""Time after the end of all faults within which a version is in force everywhere."""
+"""Time after the end of all faults within which all processes apply the version."""
 
 
-def make_fleet(size: int, centres: int, seed: int = 0) -> Fleet:
-    hosts = {HostId(f"host-{number}"): number % centres for number in range(size)}
+def make_fleet(size: int, data_centre_count: int, seed: int = 0) -> Fleet:
+    hosts = {
+        HostId(f"host-{number}"): number % data_centre_count for number in range(size)
+    }
     return Fleet(hosts, Random(seed))
 
 
@@ -41,21 +43,21 @@
 
 
 class TestRelays:
-    """Choice of relays."""
+    """Selection of relays."""
 
     def test_loss_of_one_host_moves_one_relay(self) -> None:
         relays = choose_relays(HOSTS)
         for lost in relays:
-            rest = choose_relays(host for host in HOSTS if host != lost)
-            assert len(relays) == len(rest) == 2
-            assert len(relays & rest) == 1
+            remaining = choose_relays(host for host in HOSTS if host != lost)
+            assert len(relays) == len(remaining) == 2
+            assert len(relays & remaining) == 1
 
-    def test_one_host_relays_for_itself(self) -> None:
+    def test_single_host_is_relay(self) -> None:
         assert choose_relays(HOSTS[:1]) == {HOSTS[0]}
 
 
 class TestConfigurationCore:
-    """Fixed cases."""
+    """Fixed cases with one process."""
 
     def test_older_document_is_never_applied(self) -> None:
         core = ConfigurationCore(HOSTS[0], Random(0))
@@ -63,10 +65,10 @@
         core.handle(make_document(5, None), 0.1)
         for source in (None, "host-1"):
             actions = core.handle(make_document(4, source), 0.2)
-            assert not any(isinstance(act, ApplyConfiguration) for act in actions)
+            assert not any(isinstance(action, ApplyConfiguration) for action in actions)
         assert core.version == 5
 
-    def test_peer_document_waits_while_the_service_may_answer(self) -> None:
+    def test_peer_document_waits_while_service_may_respond(self) -> None:
         core = ConfigurationCore(HOSTS[0], Random(0))
         core.handle(PeersChanged(peers=(HOSTS[1],)), 0.0)
         core.handle(make_document(4, "host-1"), 0.1)
@@ -83,7 +85,7 @@
         actions = core.handle(HeadVersionReceived(version=ConfigVersion(4)), 0.2)
         assert not any(isinstance(action, FetchFromService) for action in actions)
 
-    def test_start_in_an_outage_waits_for_a_version_it_heard_of(self) -> None:
+    def test_start_in_outage_waits_for_advertised_version(self) -> None:
         core = ConfigurationCore(HOSTS[0], Random(0))
         core.handle(PeersChanged(peers=(HOSTS[1], HOSTS[2])), 0.0)
         core.handle(PeerAdvertised(peer=HOSTS[2], version=ConfigVersion(5)), 0.0)
@@ -103,29 +105,31 @@
 
 
 class TestFleet:
-    """Many cores together."""
+    """Many cores in one fleet."""
 
-    @pytest.mark.parametrize("stalled", [False, True])
-    def test_edit_is_in_force_everywhere_in_seconds(self, stalled: bool) -> None:
+    @pytest.mark.parametrize("is_stalled", [False, True])
+    def test_new_version_is_applied_everywhere_in_seconds(
+        self, is_stalled: bool
+    ) -> None:
         fleet = make_fleet(62, 1)
         fleet.run(10)
-        fleet.watch_stalled = stalled
+        fleet.watch_stalled = is_stalled
         fleet.edit()
-        fleet.run(5 if stalled else 3)
+        fleet.run(5 if is_stalled else 3)
         versions = {process.core.version for process in fleet.processes.values()}
         assert versions == {2}
 
-    def test_start_in_an_outage_takes_the_highest_of_several_peers(self) -> None:
+    def test_start_in_outage_applies_highest_version_of_several_peers(self) -> None:
         fleet = make_fleet(5, 1)
         fleet.run(10)
         fleet.service_down = True
         ahead = make_document(3, "host-1")
         fleet.head = 3
-        fleet.cut.update(HOSTS[2:5])
+        fleet.disconnected.update(HOSTS[2:5])
         fleet.deliver(HOSTS[1], ahead)
         fleet.stop(HOSTS[0])
         fleet.run(1)
-        fleet.cut.clear()
+        fleet.disconnected.clear()
         fleet.start(HOSTS[0])
         fleet.run(12)
         assert fleet.processes[HOSTS[0]].applied[0] == 3
@@ -139,27 +143,27 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Faults in any order; at the end all processes agree with the service."""
+    """Faults in any order; after their end all processes have the newest version."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = make_fleet(len(HOSTS), 2)
         self.fleet.run(5)
 
-    @rule(edits=st.integers(1, 3))
-    def edit(self, edits: int) -> None:
+    @rule(versions=st.integers(1, 3))
+    def edit(self, versions: int) -> None:
         if not self.fleet.service_down:
-            for _ in range(edits):
+            for _ in range(versions):
                 self.fleet.edit()
 
     @rule(seconds=st.sampled_from([0.02, 0.3, 1.0, 5.0, 20.0]))
     def run(self, seconds: float) -> None:
         self.fleet.run(seconds)
 
-    @rule(down=st.booleans(), stalled=st.booleans())
-    def disturb_service(self, down: bool, stalled: bool) -> None:
-        self.fleet.service_down = down
-        self.fleet.watch_stalled = stalled
+    @rule(is_down=st.booleans(), is_stalled=st.booleans())
+    def disturb_service(self, is_down: bool, is_stalled: bool) -> None:
+        self.fleet.service_down = is_down
+        self.fleet.watch_stalled = is_stalled
 
     @rule(
         loss=st.sampled_from([0.0, 0.3, 0.9]), lateness=st.sampled_from([0.0, 0.5, 5])
@@ -169,8 +173,8 @@
         self.fleet.lateness_s = lateness
 
     @rule(host=st.sampled_from(HOSTS))
-    def cut(self, host: HostId) -> None:
-        self.fleet.cut ^= {host}
+    def disconnect(self, host: HostId) -> None:
+        self.fleet.disconnected ^= {host}
 
     @rule(host=st.sampled_from(HOSTS))
     def kill_or_start(self, host: HostId) -> None:
@@ -180,7 +184,7 @@
             self.fleet.start(host)
 
     @rule(host=st.sampled_from(HOSTS))
-    def freeze_or_thaw(self, host: HostId) -> None:
+    def freeze_or_resume(self, host: HostId) -> None:
         process = self.fleet.processes[host]
         if process.frozen:
             self.fleet.resume(host)
--- a/tests/policy/membership/cell.py
+++ b/tests/policy/membership/cell.py
@@ -31,12 +31,12 @@
 LIST_PERIOD_S = 5.0
 
 
-def make_member(host: str, life: int = 0, **changes: object) -> Member:
+def make_member(host: str, start_number: int = 0, **changes: object) -> Member:
     values: dict[str, object] = {
         "host": HostId(host),
         "role": ProcessRole.GATEWAY,
-        "incarnation": IncarnationId(f"{host}.{life}"),
-        "started_at": float(life),
+        "incarnation": IncarnationId(f"{host}.{start_number}"),
+        "started_at": float(start_number),
         "data_centre": DataCentreId("dc-1"),
         "peer_address": f"{host}:1",
         "caller_address": f"{host}:2",
@@ -47,29 +47,29 @@
 
 @define(eq=False)
 class Process:
-    """One life of a process."""
+    """One incarnation of a process."""
 
     core: MembershipCore
-    frozen: bool = False
+    is_frozen: bool = False
     inbox: list[MembershipEvent] = field(factory=list)
 
 
 @define
 class Cell:
-    """The oracle: who runs, and who said when that it leaves."""
+    """A simulated cell, with the processes that run and the times when others left."""
 
     hosts: list[str]
     random: Random
     now: float = 0.0
-    loss: float = 0.0
-    cut: set[str] = field(factory=set)
-    list_lags: bool = False
-    """The host list stays as it was."""
+    loss_rate: float = 0.0
+    disconnected: set[str] = field(factory=set)
+    list_is_outdated: bool = False
+    """Whether the host list is no longer updated."""
 
     processes: dict[str, Process] = field(factory=dict)
     left_at: dict[str, float] = field(factory=dict)
-    lives: int = 0
-    sent: int = 0
+    start_count: int = 0
+    sent_heartbeats: int = 0
     _listed: tuple[ListedHost, ...] = ()
     _queue: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _order: "count[int]" = field(factory=count)
@@ -77,14 +77,14 @@
     def __attrs_post_init__(self) -> None:
         for host in self.hosts:
             self.start(host)
-        self._read_list()
+        self._update_list()
 
     def start(self, host: str) -> None:
-        """Start a new process on a host; it knows the host list."""
-        self.lives += 1
+        """Start a new process on a host, with the current host list."""
+        self.start_count += 1
         self.left_at.pop(host, None)
-        member = make_member(host, self.lives)
-        self.processes[host] = Process(MembershipCore(member, Random(self.lives)))
+        member = make_member(host, self.start_count)
+        self.processes[host] = Process(MembershipCore(member, Random(self.start_count)))
         self.deliver(host, HostListUpdated(hosts=self._listed))
 
     def stop(self, host: str) -> None:
@@ -93,58 +93,58 @@
 
     def leave(self, host: str) -> None:
         """Ask the process of a host to leave."""
-        if host in self.processes and not self.processes[host].frozen:
+        if host in self.processes and not self.processes[host].is_frozen:
             self.left_at.setdefault(host, self.now)
             self.deliver(host, LeaveRequested(successor=None))
 
-    def thaw(self, host: str) -> None:
-        """Let a frozen process go on with what it received meanwhile."""
+    def resume(self, host: str) -> None:
+        """Resume a frozen process, and deliver the events received meanwhile."""
         process = self.processes[host]
-        process.frozen = False
+        process.is_frozen = False
         inbox, process.inbox = process.inbox, []
         for event in [*inbox, Ticked()]:
             self.deliver(host, event)
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
-        self.loss = 0.0
-        self.cut.clear()
-        self.list_lags = False
+        self.loss_rate = 0.0
+        self.disconnected.clear()
+        self.list_is_outdated = False
         for host, process in list(self.processes.items()):
-            if process.frozen:
-                self.thaw(host)
+            if process.is_frozen:
+                self.resume(host)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
-            self.now, _, step = heappop(self._queue)
-            step()
+            self.now, _, callback = heappop(self._queue)
+            callback()
         self.now = end
 
-    def list_answered(self, host: str) -> set[str]:
-        """Return the hosts that a host's address answer names."""
+    def list_address_answer(self, host: str) -> set[str]:
+        """Return the hosts in the address answer of a host."""
         members = self.processes[host].core.members
         answer = build_address_answer(members, DataCentreId("dc-1"), 5.0)
         return {gateway.host for gateway in answer.gateways}
 
     def list_live(self, host: str) -> set[str]:
-        """Return the hosts that a host takes for live."""
+        """Return the hosts that a host considers live."""
         members = self.processes[host].core.members
         return {m.host for m in members if m.state is MemberState.LIVE}
 
     def deliver(self, host: str, event: MembershipEvent) -> None:
-        """Give an event to the process of a host."""
+        """Deliver an event to the process of a host."""
         process = self.processes.get(host)
         if process is None:
             return
-        if process.frozen:
+        if process.is_frozen:
             process.inbox.append(event)
             return
         for action in process.core.handle(event, self.now):
-            self._act(host, process, event, action)
+            self._perform(host, process, event, action)
 
-    def _act(
+    def _perform(
         self,
         host: str,
         process: Process,
@@ -153,42 +153,45 @@
     ) -> None:
         match action:
             case WakeAt():
-                self._at(action.time, lambda: self._wake(host, process))
+                self._call_at(action.time, lambda: self._wake_up(host, process))
             case SendHeartbeat():
-                self.sent += 1
-                to = action.peer_address.removesuffix(":1")
-                self._send(host, to, action.members, wants_reply=True)
+                self.sent_heartbeats += 1
+                receiver = action.peer_address.removesuffix(":1")
+                self._send(host, receiver, action.members, wants_reply=True)
             case ReplyHeartbeat():
                 assert isinstance(event, HeartbeatReceived)
                 self._send(host, event.sender, action.members, wants_reply=False)
 
-    def _wake(self, host: str, process: Process) -> None:
+    def _wake_up(self, host: str, process: Process) -> None:
         if self.processes.get(host) is process:
             self.deliver(host, Ticked())
 
     def _send(
-        self, sender: str, to: str, members: tuple[Member, ...], wants_reply: bool
+        self, sender: str, receiver: str, members: tuple[Member, ...], wants_reply: bool
     ) -> None:
-        is_lost = {sender, to} & self.cut or self.random.random() < self.loss
-        if is_lost or to not in self.processes:
-            failed = SendFailed(peer=HostId(to))
-            self._at(self.now + 1.0, lambda: self.deliver(sender, failed))
+        is_lost = {
+            sender,
+            receiver,
+        } & self.disconnected or self.random.random() < self.loss_rate
+        if is_lost or receiver not in self.processes:
+            failed = SendFailed(peer=HostId(receiver))
+            self._call_at(self.now + 1.0, lambda: self.deliver(sender, failed))
             return
         heartbeat = HeartbeatReceived(
             sender=HostId(sender), members=members, wants_reply=wants_reply
         )
         delay = DELAY_S * (1 + self.random.random())
-        self._at(self.now + delay, lambda: self.deliver(to, heartbeat))
+        self._call_at(self.now + delay, lambda: self.deliver(receiver, heartbeat))
 
-    def _read_list(self) -> None:
-        if not self.list_lags:
+    def _update_list(self) -> None:
+        if not self.list_is_outdated:
             self._listed = tuple(
                 ListedHost(peer_address=f"{host}:1", leaving=host in self.left_at)
                 for host in self.hosts
             )
         for host in list(self.processes):
             self.deliver(host, HostListUpdated(hosts=self._listed))
-        self._at(self.now + LIST_PERIOD_S, self._read_list)
+        self._call_at(self.now + LIST_PERIOD_S, self._update_list)
 
-    def _at(self, time: float, step: Callable[[], None]) -> None:
-        heappush(self._queue, (time, next(self._order), step))
+    def _call_at(self, time: float, callback: Callable[[], None]) -> None:
+        heappush(self._queue, (time, next(self._order), callback))
