--- a/mangoway/policy/configuration/actions.py
+++ b/mangoway/policy/configuration/actions.py
@@ -49,7 +49,7 @@
 
 @frozen(kw_only=True)
 class WakeAt:
-    """Pass in `Ticked` at this time; replaces any earlier request."""
+    """Send the event `Ticked` at this time; replaces any earlier `WakeAt`."""
 
     time: float
 
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -22,7 +22,7 @@
 """Points without a successful run from which a request is blocked: three crashes before
 its runs sent anything, four if any run had just begun to, five if any had run for
 longer. Operators allow such a request to crash three runners, and three more once all
-processes may have the statements. With equal points for all stages, many innocent
+processes may have the statements. With equal points for all stages, many harmless
 requests would be blocked where runners are killed one after the other."""
 
 CONTENT_BLOCK_POINTS: Final = 25
--- a/mangoway/policy/crashes/tracker.py
+++ b/mangoway/policy/crashes/tracker.py
@@ -102,8 +102,8 @@
             return False
         points: dict[str, int] = {}
         for crashes in self.charges.values():
-            for life, evidence in crashes.items():
-                points[life] = max(points.get(life, 0), evidence.points)
+            for incarnation, evidence in crashes.items():
+                points[incarnation] = max(points.get(incarnation, 0), evidence.points)
         return sum(points.values()) >= CONTENT_BLOCK_POINTS
 
     def compute_points(self, variant: str) -> int:
@@ -225,12 +225,12 @@
         return tuple(
             Charge(
                 RequestIdentity(content, variant),
-                life,
-                record.charges[variant][life].stage,
+                incarnation,
+                record.charges[variant][incarnation].stage,
                 alone=alone,
             )
             for variant in record.charges
-            for life in sorted(record.list_variant_crashes(variant))
+            for incarnation in sorted(record.list_variant_crashes(variant))
         )
 
     @property
--- a/mangoway/policy/edge/health.py
+++ b/mangoway/policy/edge/health.py
@@ -19,7 +19,7 @@
     """Consecutive failures since the last success."""
 
     avoided: bool = False
-    next_try_at: float = 0.0
+    next_attempt_at: float = 0.0
 
 
 @define(eq=False)
@@ -50,7 +50,7 @@
         record.failures += FAILURES_TO_AVOID if unreachable else 1
         if record.failures < FAILURES_TO_AVOID:
             return 0
-        record.next_try_at = now + AVOIDED_RETRY_INTERVAL_S
+        record.next_attempt_at = now + AVOIDED_RETRY_INTERVAL_S
         is_newly_avoided, record.avoided = not record.avoided, True
         return record.failures if is_newly_avoided else 0
 
@@ -78,17 +78,17 @@
         """Delay the next attempt at an avoided runner, since one has just been sent."""
         record = self._records.get(runner_id)
         if record is not None and record.avoided:
-            record.next_try_at = now + AVOIDED_RETRY_INTERVAL_S
+            record.next_attempt_at = now + AVOIDED_RETRY_INTERVAL_S
 
     def forget(self, runner_id: str) -> None:
         """Reset a runner that has restarted."""
         self._records.pop(runner_id, None)
 
     def keep_only(self, runner_ids: set[str]) -> None:
-        """Drop the runners that are not listed."""
+        """Drop all runners but these."""
         for runner_id in set(self._records) - runner_ids:
             del self._records[runner_id]
 
     def _is_usable(self, runner_id: str, now: float) -> bool:
         record = self._records.get(runner_id)
-        return record is None or not record.avoided or now >= record.next_try_at
+        return record is None or not record.avoided or now >= record.next_attempt_at
--- a/mangoway/policy/membership/actions.py
+++ b/mangoway/policy/membership/actions.py
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class SendHeartbeat:
-    """Send entries to a peer, whose reply is passed in as `HeartbeatReceived`."""
+    """Send entries to a peer; its reply becomes a `HeartbeatReceived` event."""
 
     peer_address: str
     members: tuple[Member, ...]
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class WakeAt:
-    """Pass in `Ticked` at this time; replaces any earlier request."""
+    """Send the event `Ticked` at this time; replaces any earlier `WakeAt`."""
 
     time: float
 
--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -55,7 +55,7 @@
     """A runner, over all its incarnations."""
 
     number: int
-    life: int = 0
+    incarnation: int = 0
     is_up: bool = True
     running: list[Request] = field(factory=list)
 
@@ -222,9 +222,9 @@
         runner.running.append(request)
         if request.crashes:
             self._count_late_run(request.identity.content)
-            life = runner.life
+            incarnation = runner.incarnation
             self._call_later(
-                CRASH_DELAY_S, partial(self._crash_by, runner, life, request)
+                CRASH_DELAY_S, partial(self._crash_by, runner, incarnation, request)
             )
         else:
             self._call_later(request.work_s, partial(self._finish, runner, request))
@@ -255,8 +255,8 @@
             late_runs_by_name = self.results.late_runs
             late_runs_by_name[name] = late_runs_by_name.get(name, 0) + 1
 
-    def _crash_by(self, runner: Runner, life: int, request: Request) -> None:
-        if not runner.is_up or runner.life != life:
+    def _crash_by(self, runner: Runner, incarnation: int, request: Request) -> None:
+        if not runner.is_up or runner.incarnation != incarnation:
             return
         name = request.identity.content
         self._crash_counts[name] = self._crash_counts.get(name, 0) + 1
@@ -277,7 +277,7 @@
         self.results.crashes += 1
         running, runner.running, runner.is_up = runner.running, [], False
         self._call_later(self.random.uniform(2.0, 4.0), partial(self._restart, runner))
-        life = RunnerLife(runner_id=f"r{runner.number}", started_ms=runner.life)
+        life = RunnerLife(runner_id=f"r{runner.number}", started_ms=runner.incarnation)
         for edge in {each.edge for each in running}:
             lost = [each for each in running if each.edge == edge]
             requests = tuple(
@@ -301,7 +301,7 @@
 
     def _restart(self, runner: Runner) -> None:
         runner.is_up = True
-        runner.life += 1
+        runner.incarnation += 1
 
     def _handle_failure(self, request: Request) -> None:
         """Let the caller retry the request if it has retries left."""
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -20,14 +20,18 @@
 HARMLESS = RequestIdentity("o", "v")
 
 
-def add_crash_of(tracker: CrashTracker, life: str, *requests: RequestIdentity) -> None:
-    tracker.add_crash(f"{life}/e1", [Charge(each, life) for each in requests])
+def add_crash_of(
+    tracker: CrashTracker, incarnation: str, *requests: RequestIdentity
+) -> None:
+    tracker.add_crash(
+        f"{incarnation}/e1", [Charge(each, incarnation) for each in requests]
+    )
 
 
 def add_clearance_of(
-    tracker: CrashTracker, identity: RequestIdentity, *lives: str
+    tracker: CrashTracker, identity: RequestIdentity, *incarnations: str
 ) -> None:
-    clearance = Clearance(identity=identity, lives=frozenset(lives))
+    clearance = Clearance(identity=identity, lives=frozenset(incarnations))
     tracker.add_clearance(f"cleared/{identity.text}", clearance)
 
 
@@ -36,8 +40,8 @@
 
     def test_third_crash_blocks(self) -> None:
         tracker = CrashTracker()
-        for life in ("l1", "l2"):
-            add_crash_of(tracker, life, CULPRIT, HARMLESS)
+        for incarnation in ("l1", "l2"):
+            add_crash_of(tracker, incarnation, CULPRIT, HARMLESS)
         assert not tracker.is_blocked(CULPRIT)
         add_crash_of(tracker, "l3", CULPRIT)
         assert tracker.is_blocked(CULPRIT)
@@ -53,14 +57,14 @@
         tracker = CrashTracker()
         add_crash_of(tracker, "l1", HARMLESS)
         add_clearance_of(tracker, HARMLESS, "l1")
-        for life in ("l2", "l3"):
-            add_crash_of(tracker, life, HARMLESS)
+        for incarnation in ("l2", "l3"):
+            add_crash_of(tracker, incarnation, HARMLESS)
         assert not tracker.is_blocked(HARMLESS)
 
     def test_clearance_unblocks(self) -> None:
         tracker = CrashTracker()
-        for life in ("l1", "l2", "l3"):
-            add_crash_of(tracker, life, HARMLESS)
+        for incarnation in ("l1", "l2", "l3"):
+            add_crash_of(tracker, incarnation, HARMLESS)
         add_clearance_of(tracker, HARMLESS, "l1", "l2", "l3")
         assert not tracker.is_blocked(HARMLESS)
         assert tracker.list_blocked() == ()
@@ -82,19 +86,19 @@
     def test_run_with_least_progress_decides_points_of_crash(self) -> None:
         """Equal requests of two edges may be in progress at one runner."""
         tracker = CrashTracker()
-        for life in ("l1", "l2", "l3"):
-            charge = Charge(HARMLESS, life, RunStage.GOING_ON)
-            tracker.add_crash(f"{life}/e1", [charge])
+        for incarnation in ("l1", "l2", "l3"):
+            charge = Charge(HARMLESS, incarnation, RunStage.GOING_ON)
+            tracker.add_crash(f"{incarnation}/e1", [charge])
             assert not tracker.is_blocked(HARMLESS)
-            tracker.add_crash(f"{life}/e2", [Charge(HARMLESS, life)])
+            tracker.add_crash(f"{incarnation}/e2", [Charge(HARMLESS, incarnation)])
         assert tracker.is_blocked(HARMLESS)
 
     def test_callback_is_called_once_for_each_blocked_content(self) -> None:
         blocked_contents: list[str] = []
         tracker = CrashTracker(on_blocked=[blocked_contents.append])
-        for life in ("l1", "l2", "l3", "l4"):
-            add_crash_of(tracker, life, CULPRIT)
-            add_crash_of(tracker, life, CULPRIT)
+        for incarnation in ("l1", "l2", "l3", "l4"):
+            add_crash_of(tracker, incarnation, CULPRIT)
+            add_crash_of(tracker, incarnation, CULPRIT)
         assert blocked_contents == ["c"]
 
 
@@ -103,8 +107,8 @@
 
     def test_blocked_variant_does_not_block_others(self) -> None:
         tracker = CrashTracker()
-        for life in ("l1", "l2", "l3"):
-            add_crash_of(tracker, life, CULPRIT)
+        for incarnation in ("l1", "l2", "l3"):
+            add_crash_of(tracker, incarnation, CULPRIT)
         assert not tracker.is_blocked(RequestIdentity("c", "w"))
 
     def test_content_that_crashes_for_all_is_blocked_for_all(self) -> None:
@@ -147,8 +151,8 @@
 
     def test_block_outlasts_its_charges(self) -> None:
         tracker = CrashTracker(max_charges=10)
-        for life in ("l1", "l2", "l3"):
-            add_crash_of(tracker, life, CULPRIT)
+        for incarnation in ("l1", "l2", "l3"):
+            add_crash_of(tracker, incarnation, CULPRIT)
         tracker.add_block("held/c", tracker.list_charges("c"))
         for number in range(50):
             add_crash_of(tracker, f"m{number}", RequestIdentity(f"d{number}", "v"))
@@ -161,10 +165,10 @@
         for number in range(MAX_CLEARANCES + 50):
             add_clearance_of(tracker, RequestIdentity(f"c{number}", "v"), "l")
         for number in range(MAX_BLOCKED + 50):
-            lives = [f"l{number}-{each}" for each in range(CRASHES_TO_BLOCK)]
+            incarnations = [f"l{number}-{each}" for each in range(CRASHES_TO_BLOCK)]
             identity = RequestIdentity(f"h{number}", "v")
             tracker.add_block(
-                f"held/{number}", [Charge(identity, each) for each in lives]
+                f"held/{number}", [Charge(identity, each) for each in incarnations]
             )
         assert len(tracker.list_blocked()) == MAX_BLOCKED
         assert len(tracker._records) <= MAX_CLEARANCES + MAX_BLOCKED
