--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -74,7 +74,7 @@
 class Receiver(Protocol):
     """Takes what the mirror reads."""
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading."""
         ...
 
@@ -193,7 +193,7 @@
             return None
         return Snapshot(items=tuple(self.items.values()), revision=self.revision)
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading, unless nothing in it is new.
 
         One of a revision that is known must not be passed on: two processes that follow
@@ -203,7 +203,7 @@
             return
         self.items = {item.key: item for item in snapshot.items}
         self.revision = snapshot.revision
-        self.receiver.take_snapshot(snapshot)
+        self.receiver.apply_snapshot(snapshot)
         if self.follower is not None:
             self.follower.pass_snapshot(snapshot)
         self.on_synced()
@@ -220,7 +220,7 @@
         """
         known = {**self.items, **{item.key: item for item in items}}
         present = tuple(known[key] for key in keys if key in known)
-        self.take_snapshot(Snapshot(items=present, revision=revision))
+        self.apply_snapshot(Snapshot(items=present, revision=revision))
 
     def take_changes(self, changes: Changes) -> None:
         """Take the changes that are new."""
@@ -250,7 +250,7 @@
             snapshot = await self.store.async_list("", exact=exact)
             self._relist = False
             self._note_answer()
-            self.take_snapshot(snapshot)
+            self.apply_snapshot(snapshot)
             if exact:
                 self.note_known(asked_at)
             return
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -41,7 +41,7 @@
     _unreadable: dict[str, int] = field(factory=dict, init=False)
     """Keys whose value can't be read, with the readings that showed so."""
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading: what it doesn't show is gone."""
         with self.view.gather():
             self._take_snapshot(snapshot)
--- a/tests/coordination/test_knowledge.py
+++ b/tests/coordination/test_knowledge.py
@@ -12,7 +12,7 @@
 class Sink:
     """Takes what a mirror reads."""
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Nothing depends on it here."""
 
     def take_changes(self, changes: Changes) -> None:
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -27,7 +27,7 @@
     def __init__(self, view: FleetView) -> None:
         self.view = view
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         self.view.take_leader(None)
         for item in snapshot.items:
             self._take(item)
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -21,7 +21,7 @@
         self.outages = 0
         self.processes = 1
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         self.snapshots += 1
         self.values = {item.key: item.value for item in snapshot.items}
 
@@ -63,7 +63,7 @@
     def pass_snapshot(self, snapshot: Snapshot) -> None:
         self.passed += 1
         if self.passed < 100:
-            self.mirror.take_snapshot(snapshot)
+            self.mirror.apply_snapshot(snapshot)
 
     def pass_changes(self, changes: Changes) -> None:
         self.mirror.take_changes(changes)
@@ -153,7 +153,7 @@
         feed = StubFeed(True)
         mirror = Mirror(store, recorder, loop_clock(), feed=feed)
         task = start(mirror)
-        mirror.take_snapshot(await store.async_list(""))
+        mirror.apply_snapshot(await store.async_list(""))
         store.calls.clear()
         store.put("b", b"2")
         feed.fresh = False
@@ -167,8 +167,8 @@
         mirror = Mirror(FakeCoordinationStore(), recorder, lambda: 0.0)
         new = Item(key="a", value=b"new", revision=9)
         old = Item(key="a", value=b"old", revision=4)
-        mirror.take_snapshot(Snapshot(items=(new,), revision=9))
-        mirror.take_snapshot(Snapshot(items=(old,), revision=5))
+        mirror.apply_snapshot(Snapshot(items=(new,), revision=9))
+        mirror.apply_snapshot(Snapshot(items=(old,), revision=5))
         assert recorder.values == {"a": b"new"}
 
     def test_two_that_follow_each_other_come_to_rest(self) -> None:
@@ -177,7 +177,7 @@
         other = Mirror(FakeCoordinationStore(), Recorder(), lambda: 0.0)
         one.follower, other.follower = PassOn(other), PassOn(one)
         item = Item(key="a", value=b"1", revision=4)
-        one.take_snapshot(Snapshot(items=(item,), revision=4))
+        one.apply_snapshot(Snapshot(items=(item,), revision=4))
         assert other.revision == 4
         assert one.follower.passed + other.follower.passed <= 2
 
@@ -186,7 +186,7 @@
         mirror = Mirror(FakeCoordinationStore(), recorder, lambda: 0.0)
         kept = Item(key="a", value=b"1", revision=2)
         gone = Item(key="b", value=b"2", revision=3)
-        mirror.take_snapshot(Snapshot(items=(kept, gone), revision=3))
+        mirror.apply_snapshot(Snapshot(items=(kept, gone), revision=3))
         added = Item(key="c", value=b"3", revision=5)
         mirror.take_reading(("a", "c"), (added,), 6)
         assert recorder.values == {"a": b"1", "c": b"3"}
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -122,16 +122,16 @@
             for number in range(runners)
         )
         receiver = StoreReceiver(view, lambda: 0.0)
-        receiver.take_snapshot(Snapshot(items=items, revision=runners))
+        receiver.apply_snapshot(Snapshot(items=items, revision=runners))
         assert told == [runners]
 
     def test_reading_without_news_is_not_told(self) -> None:
         view, told = FleetView(), list[int]()
         item = Item(key="servers/r0", value=make_entry(0), revision=1)
         receiver = StoreReceiver(view, lambda: 0.0)
-        receiver.take_snapshot(Snapshot(items=(item,), revision=1))
+        receiver.apply_snapshot(Snapshot(items=(item,), revision=1))
         view.on_change.append(lambda: told.append(1))
-        receiver.take_snapshot(Snapshot(items=(item,), revision=2))
+        receiver.apply_snapshot(Snapshot(items=(item,), revision=2))
         assert told == []
 
     def test_change_outside_of_a_reading_is_told_at_once(self) -> None:
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         self.values = {item.key: item.value for item in snapshot.items}
 
     def take_changes(self, changes: Changes) -> None:
@@ -78,7 +78,7 @@
         self.orders: list[SendOrder] = []
         clock = asyncio.get_running_loop().time
         self.mirror = Mirror(FakeCoordinationStore(), Recorder(), clock)
-        self.mirror.take_snapshot(
+        self.mirror.apply_snapshot(
             Snapshot(items=(Item(key="k", value=b"1", revision=5),), revision=5)
         )
         self.mirror.answered_at = clock()
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -72,7 +72,7 @@
         Item(key=f"m/{number}", value=b"v" * 200, revision=5)
         for number in range(EDGE_COUNT)
     )
-    scheduler.mirror.take_snapshot(Snapshot(items=items, revision=6))
+    scheduler.mirror.apply_snapshot(Snapshot(items=items, revision=6))
 
 
 def add_announcement(scheduler: Scheduler, revision: int) -> Item:
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -57,7 +57,7 @@
             Item(key=f"runners/{number}", value=b"v" * 300, revision=5)
             for number in range(450)
         )
-        scheduler.mirror.take_snapshot(Snapshot(items=items, revision=6))
+        scheduler.mirror.apply_snapshot(Snapshot(items=items, revision=6))
         change = Change(key="runners/1", revision=7, item=None)
         scheduler.mirror.take_changes(Changes(changes=(change,), revision=7))
         snapshot = scheduler.mirror.make_snapshot()
@@ -73,7 +73,7 @@
             item = Item(key="l", value=b"2", revision=6)
             snapshot = Snapshot(items=(item,), revision=6)
             for each in (leader, standby):
-                each.mirror.take_snapshot(snapshot)
+                each.mirror.apply_snapshot(snapshot)
             await async_wait_until(lambda: edge.recorder.values == {"l": b"2"})
             newer = Item(key="n", value=b"3", revision=7)
             change = Change(key="n", revision=7, item=newer)
