--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -78,7 +78,7 @@
         """Take a full reading."""
         ...
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take changes in order."""
         ...
 
@@ -222,7 +222,7 @@
         present = tuple(known[key] for key in keys if key in known)
         self.apply_snapshot(Snapshot(items=present, revision=revision))
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take the changes that are new."""
         known = self.revision or 0
         new = tuple(each for each in changes.changes if each.revision > known)
@@ -230,7 +230,7 @@
             self._store_change(change)
         self.revision = max(known, changes.revision)
         news = tuple(each for each in new if self.receiver.is_news(each))
-        self.receiver.take_changes(Changes(changes=new, revision=changes.revision))
+        self.receiver.apply_changes(Changes(changes=new, revision=changes.revision))
         if self.follower is not None and new:
             # Runners write their entries each second, mostly as they were.
             passed = Changes(changes=news, revision=changes.revision)
@@ -263,7 +263,7 @@
         asked_at = self.boot_clock()
         changes = await self.store.async_watch("", self.revision, wait_s)
         self._note_answer()
-        self.take_changes(changes)
+        self.apply_changes(changes)
         self.note_known(asked_at)
 
     def _choose_wait(self) -> float:
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -64,7 +64,7 @@
         for key in self._statements - keys:
             self._withdraw_statement(key)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take changes in their order."""
         now = self.clock()
         with self.view.gather():
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -310,7 +310,7 @@
         elif self._has_state or self.mirror.revision is not None:
             # The first changes on a connection start at the revision of the hello.
             self._has_state = True
-            self.mirror.take_changes(message.changes)
+            self.mirror.apply_changes(message.changes)
 
     def _handle_connection_lost(self, link: Link, reason: str) -> None:
         if link is not self.link:
--- a/tests/coordination/test_knowledge.py
+++ b/tests/coordination/test_knowledge.py
@@ -15,7 +15,7 @@
     def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Nothing depends on it here."""
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Nothing depends on it here."""
 
     def is_news(self, change: Change) -> bool:
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -32,7 +32,7 @@
         for item in snapshot.items:
             self._take(item)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.item is not None:
                 self._take(change.item)
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -25,7 +25,7 @@
         self.snapshots += 1
         self.values = {item.key: item.value for item in snapshot.items}
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.item is None:
                 self.values.pop(change.key, None)
@@ -66,7 +66,7 @@
             self.mirror.apply_snapshot(snapshot)
 
     def pass_changes(self, changes: Changes) -> None:
-        self.mirror.take_changes(changes)
+        self.mirror.apply_changes(changes)
 
 
 def start(mirror: Mirror) -> "asyncio.Task[None]":
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -48,7 +48,7 @@
     def apply_snapshot(self, snapshot: Snapshot) -> None:
         self.values = {item.key: item.value for item in snapshot.items}
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.item is not None:
                 self.values[change.key] = change.item.value
@@ -394,12 +394,12 @@
     async def test_simultaneous_changes_are_relayed_together(self) -> None:
         async with connect() as (scheduler, edge):
             received_changes: list[Changes] = []
-            edge.recorder.take_changes = received_changes.append  # type: ignore[method-assign]
+            edge.recorder.apply_changes = received_changes.append  # type: ignore[method-assign]
             for revision in (6, 7, 8):
                 key = "k" if revision < 8 else "l"
                 item = Item(key=key, value=b"%d" % revision, revision=revision)
                 change = Change(key=key, revision=revision, item=item)
-                scheduler.mirror.take_changes(
+                scheduler.mirror.apply_changes(
                     Changes(changes=(change,), revision=revision)
                 )
             await async_wait_until(lambda: bool(received_changes))
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -79,7 +79,7 @@
     """Add the announcement of one more process to the store."""
     item = Item(key=f"n/{revision}", value=b"new", revision=revision)
     change = Change(key=item.key, revision=revision, item=item)
-    scheduler.mirror.take_changes(Changes(changes=(change,), revision=revision))
+    scheduler.mirror.apply_changes(Changes(changes=(change,), revision=revision))
     return item
 
 
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -59,7 +59,7 @@
         )
         scheduler.mirror.apply_snapshot(Snapshot(items=items, revision=6))
         change = Change(key="runners/1", revision=7, item=None)
-        scheduler.mirror.take_changes(Changes(changes=(change,), revision=7))
+        scheduler.mirror.apply_changes(Changes(changes=(change,), revision=7))
         snapshot = scheduler.mirror.make_snapshot()
         assert snapshot is not None
         update = scheduler.server.feed.make_update(snapshot, 6)
@@ -77,7 +77,7 @@
             await async_wait_until(lambda: edge.recorder.values == {"l": b"2"})
             newer = Item(key="n", value=b"3", revision=7)
             change = Change(key="n", revision=7, item=newer)
-            standby.mirror.take_changes(Changes(changes=(change,), revision=7))
+            standby.mirror.apply_changes(Changes(changes=(change,), revision=7))
             leader.stop()
             standby.leading = True
             await async_wait_until(lambda: len(edge.recorder.values) == 2)
--- a/tests/scheduling/test_state_age.py
+++ b/tests/scheduling/test_state_age.py
@@ -85,7 +85,7 @@
             await async_wait_until(lambda: get_age(edge) < 1e6)
             item = Item(key="op/config", value=b"2", revision=9)
             change = Change(key=item.key, revision=9, item=item)
-            scheduler.mirror.take_changes(Changes(changes=(change,), revision=9))
+            scheduler.mirror.apply_changes(Changes(changes=(change,), revision=9))
             set_state_age(scheduler, 0.0)
             scheduler.server.send_heartbeats()
             await asyncio.sleep(0.05)
