--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -208,7 +208,7 @@
             self.follower.pass_snapshot(snapshot)
         self.on_synced()
 
-    def take_reading(
+    def apply_partial_snapshot(
         self, keys: tuple[str, ...], items: tuple[Item, ...], revision: int
     ) -> None:
         """Take a full reading of another process.
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -305,7 +305,9 @@
         if message.retention_s > 0:
             self.mirror.receiver.note_outage_ended(message.retention_s)
         if isinstance(message, StoreSnapshot):
-            self.mirror.take_reading(message.keys, message.items, message.revision)
+            self.mirror.apply_partial_snapshot(
+                message.keys, message.items, message.revision
+            )
             self._has_state = True
         elif self._has_state or self.mirror.revision is not None:
             # The first changes on a connection start at the revision of the hello.
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -188,7 +188,7 @@
         gone = Item(key="b", value=b"2", revision=3)
         mirror.apply_snapshot(Snapshot(items=(kept, gone), revision=3))
         added = Item(key="c", value=b"3", revision=5)
-        mirror.take_reading(("a", "c"), (added,), 6)
+        mirror.apply_partial_snapshot(("a", "c"), (added,), 6)
         assert recorder.values == {"a": b"1", "c": b"3"}
 
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -387,7 +387,7 @@
         async with connect() as (scheduler, edge):
             assert edge.recorder.values == {"k": b"1"}
             item = Item(key="l", value=b"2", revision=6)
-            scheduler.mirror.take_reading(("k", "l"), (item,), 6)
+            scheduler.mirror.apply_partial_snapshot(("k", "l"), (item,), 6)
             await async_wait_until(lambda: len(edge.recorder.values) == 2)
             assert edge.recorder.values == {"k": b"1", "l": b"2"}
 
