--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -92,7 +92,7 @@
         """Return for how much longer entries that vanish are kept."""
         return max(0.0, self._kept_until - now)
 
-    def take_table(self, table: RoutingTable) -> bool:
+    def apply_table(self, table: RoutingTable) -> bool:
         """Put a newer configuration in force; an older one is ignored."""
         if self.table is not None and table.version <= self.table.version:
             return False
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -134,7 +134,7 @@
 
     def _decode(self, item: Item, now: float) -> None:
         if item.key == CONFIGURATION_KEY:
-            self.view.take_table(decode_configuration(item.value))
+            self.view.apply_table(decode_configuration(item.value))
         elif item.key.startswith(RUNNER_PREFIX):
             self.view.take_runner(decode_runner(item.key, item.value))
         elif item.key.startswith(OWN_MEMBER_KEYS):
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -73,7 +73,7 @@
     ) -> None:
         self.clock_offset = 0.0
         view = FleetView()
-        view.take_table(make_table())
+        view.apply_table(make_table())
         member = Member(
             host=name,
             role=Role.SCHEDULER,
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -15,15 +15,15 @@
 
     def test_newer_version_is_taken(self) -> None:
         view = FleetView()
-        assert view.take_table(make_table(version=3))
-        assert view.take_table(make_table(version=7))
+        assert view.apply_table(make_table(version=3))
+        assert view.apply_table(make_table(version=7))
         assert view.table is not None
         assert view.table.version == 7
 
     def test_older_version_is_ignored(self) -> None:
         view = FleetView()
-        view.take_table(make_table(version=7))
-        assert not view.take_table(make_table(version=3))
+        view.apply_table(make_table(version=7))
+        assert not view.apply_table(make_table(version=3))
         assert view.table is not None
         assert view.table.version == 7
 
--- a/tests/daemons/test_report_reader.py
+++ b/tests/daemons/test_report_reader.py
@@ -80,7 +80,7 @@
 async def start(runners: int) -> AsyncIterator[tuple[ReportReader, FakeControl]]:
     """Let a scheduler lead that knows the state of none of its runners."""
     view, control = FleetView(), FakeControl()
-    view.take_table(make_table())
+    view.apply_table(make_table())
     for number in range(runners):
         view.take_runner(make_runner(f"r{number:04}"))
     errors: list[BaseException] = []
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -109,7 +109,7 @@
 
     async def test_core_grants_and_plans_without_it(self) -> None:
         scheduler = SchedulerProcess(make_settings())
-        scheduler.process.view.take_table(make_table())
+        scheduler.process.view.apply_table(make_table())
         scheduler.process.view.take_runner(make_runner("r1", ("a",)))
         state = scheduler.server.core.state
         assert "r1" in state.runners
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -46,7 +46,7 @@
     table = make_table(
         version=version, routes=(*ROUTES, PUBLIC), customers=make_registry(*keys)
     )
-    edge.view.take_table(table)
+    edge.view.apply_table(table)
 
 
 def refuse_after(edge: EdgeWorld) -> Script:
@@ -145,7 +145,7 @@
     async def test_rank_of_the_customer_goes_before_the_routes(self) -> None:
         stream = answer(b"".join(make_stream(make_event(1))))
         async with RawServer(stream) as runner, start_edge() as edge:
-            edge.view.take_table(
+            edge.view.apply_table(
                 make_table(2, ROUTES, customers=make_registry(KEY, priority=4))
             )
             edge.add("r1", runner, "llm")
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -270,7 +270,7 @@
     """Start an edge without runners, which the test adds."""
     view = FleetView()
     if routes:
-        view.take_table(make_table(routes=routes))
+        view.apply_table(make_table(routes=routes))
     grant_provider = StubGrantProvider([])
     clock: Callable[[], float] = asyncio.get_running_loop().time
     share = FleetShare(limits.window_s)
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -247,7 +247,7 @@
         standby, edge = Scheduler(), Edge()
         standby.leading = False
         try:
-            edge.view.take_table(make_table())
+            edge.view.apply_table(make_table())
             member = make_member("a", await standby.async_start())
             edge.view.take_member(member.key, member)
             await async_wait_until(lambda: edge.link.link is not None)
@@ -298,7 +298,7 @@
         seed, edge = Scheduler(), Edge()
         try:
             edge.link.seeds = (await seed.async_start(),)
-            edge.view.take_table(make_table())
+            edge.view.apply_table(make_table())
             await asyncio.sleep(SEED_WAIT_S + 0.3)
             assert seed.server.edge_count == 0
         finally:
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -32,7 +32,7 @@
     leader, standby, edge = Scheduler(), Scheduler(), Edge()
     standby.leading = False
     try:
-        edge.view.take_table(make_table())
+        edge.view.apply_table(make_table())
         addresses = [await each.async_start() for each in (leader, standby)]
         for name, address in zip("ab", addresses, strict=True):
             member = make_member(name, address)
