--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -101,7 +101,7 @@
         self._notify()
         return True
 
-    def take_runner(self, entry: RunnerEntry) -> None:
+    def update_runner(self, entry: RunnerEntry) -> None:
         """Take a runner's entry as it is now."""
         self._missing.discard(entry.runner_id)
         known = self.runners.get(entry.runner_id)
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -136,7 +136,7 @@
         if item.key == CONFIGURATION_KEY:
             self.view.apply_table(decode_configuration(item.value))
         elif item.key.startswith(RUNNER_PREFIX):
-            self.view.take_runner(decode_runner(item.key, item.value))
+            self.view.update_runner(decode_runner(item.key, item.value))
         elif item.key.startswith(OWN_MEMBER_KEYS):
             self.view.take_member(item.key, decode_member(item.value))
         elif item.key == OWN_LEADER_KEY:
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -33,37 +33,37 @@
 
     def test_draining_runner_gets_nothing_more(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1"))
-        view.take_runner(make_runner("r2"))
-        view.take_runner(make_runner("r1", draining=True))
+        view.update_runner(make_runner("r1"))
+        view.update_runner(make_runner("r2"))
+        view.update_runner(make_runner("r1", draining=True))
         assert [each.runner_id for each in view.list_runners("llm")] == ["r2"]
         assert view.find_open_runner("r1") is None
 
     def test_late_entry_of_an_earlier_life_is_ignored(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1", started_ms=2000))
-        view.take_runner(make_runner("r1", ("a",), started_ms=1000))
+        view.update_runner(make_runner("r1", started_ms=2000))
+        view.update_runner(make_runner("r1", ("a",), started_ms=1000))
         assert view.runners["r1"].started_ms == 2000
 
     def test_runner_with_an_unreadable_entry_is_not_used(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1"))
-        view.take_runner(make_runner("r2"))
+        view.update_runner(make_runner("r1"))
+        view.update_runner(make_runner("r2"))
         view.note_outage_ended(10.0)
         view.withdraw_runner("r1")
         assert [each.runner_id for each in view.list_runners("llm")] == ["r2"]
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         assert len(view.list_runners("llm")) == 2
 
     def test_removed_runner_is_gone_at_once(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         view.remove_runner("r1", now=10.0)
         assert view.list_runners("llm") == []
 
     def test_entry_that_lapsed_in_an_outage_is_kept_until_it_can_be_back(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         view.note_outage_ended(now=10.0)
         view.remove_runner("r1", now=10.1)
         view.expire_missing(now=10.0 + RETURN_TIME_S - 0.1)
@@ -74,7 +74,7 @@
     def test_entry_removed_late_after_an_outage_is_not_kept_longer(self) -> None:
         """What goes 1.5 s after an outage must be obeyed within two seconds."""
         view = FleetView()
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         view.note_outage_ended(now=10.0)
         view.remove_runner("r1", now=11.5)
         view.expire_missing(now=10.0 + RETURN_TIME_S)
@@ -82,26 +82,26 @@
 
     def test_entry_that_comes_back_stays(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         view.note_outage_ended(now=10.0)
         view.remove_runner("r1", now=11.0)
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         view.expire_missing(now=60.0)
         assert view.find_open_runner("r1") is not None
 
     def test_full_reading_takes_away_what_it_does_not_show(self) -> None:
         view = FleetView()
-        view.take_runner(make_runner("r1"))
-        view.take_runner(make_runner("r2"))
+        view.update_runner(make_runner("r1"))
+        view.update_runner(make_runner("r2"))
         view.keep_only_runners(frozenset({"r2"}), now=10.0)
         assert set(view.runners) == {"r2"}
 
     def test_heartbeat_without_change_notifies_nobody(self) -> None:
         view = FleetView()
         told: list[int] = []
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         view.on_change.append(lambda: told.append(1))
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         assert told == []
 
 
@@ -137,7 +137,7 @@
     def test_change_outside_of_a_reading_is_told_at_once(self) -> None:
         view, told = FleetView(), list[int]()
         view.on_change.append(lambda: told.append(1))
-        view.take_runner(make_runner("r1"))
+        view.update_runner(make_runner("r1"))
         assert told == [1]
 
 
--- a/tests/daemons/test_report_reader.py
+++ b/tests/daemons/test_report_reader.py
@@ -82,7 +82,7 @@
     view, control = FleetView(), FakeControl()
     view.apply_table(make_table())
     for number in range(runners):
-        view.take_runner(make_runner(f"r{number:04}"))
+        view.update_runner(make_runner(f"r{number:04}"))
     errors: list[BaseException] = []
     tasks = Tasks(errors.append)
     reader = ReportReader(
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -96,21 +96,21 @@
 
     async def test_answer_to_a_report_counts(self) -> None:
         scheduler = SchedulerProcess(make_settings())
-        scheduler.process.view.take_runner(make_runner("r1"))
+        scheduler.process.view.update_runner(make_runner("r1"))
         scheduler.control.on_signals("r1", RunnerSignals(leaving=True))
         assert scheduler.process.view.find_open_runner("r1") is None
         assert scheduler.server.list_leaving() == [self.SAID]
 
     async def test_standby_takes_what_the_leader_passes_on(self) -> None:
         scheduler = SchedulerProcess(make_settings())
-        scheduler.process.view.take_runner(make_runner("r1"))
+        scheduler.process.view.update_runner(make_runner("r1"))
         scheduler.process.leader_link.on_message(self.SAID)
         assert scheduler.process.view.find_open_runner("r1") is None
 
     async def test_core_grants_and_plans_without_it(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         scheduler.process.view.apply_table(make_table())
-        scheduler.process.view.take_runner(make_runner("r1", ("a",)))
+        scheduler.process.view.update_runner(make_runner("r1", ("a",)))
         state = scheduler.server.core.state
         assert "r1" in state.runners
         scheduler.server.handle_leaving(self.SAID)
@@ -122,7 +122,7 @@
 
     async def test_answer_to_a_report_counts_but_ends_none(self) -> None:
         scheduler = SchedulerProcess(make_settings())
-        scheduler.process.view.take_runner(make_runner("r1"))
+        scheduler.process.view.update_runner(make_runner("r1"))
         limits = scheduler.server.core.state.limits
         scheduler.control.on_signals("r1", RunnerSignals(limit=1.5))
         assert limits.get_limit("r1") == 1.5
--- a/tests/edge/test_crash_detector.py
+++ b/tests/edge/test_crash_detector.py
@@ -56,7 +56,7 @@
     watching = Watching()
     async with RawServer(cut(b"")) as runner:
         address = runner.address
-        watching.view.take_runner(make_runner("r1", address=address))
+        watching.view.update_runner(make_runner("r1", address=address))
         if not crashed:
             yield watching, address
     if crashed:
@@ -102,7 +102,9 @@
 
     async def test_runner_that_drains_ends_as_planned(self) -> None:
         async with start_watching(crashed=True) as (watching, address):
-            watching.view.take_runner(make_runner("r1", address=address, draining=True))
+            watching.view.update_runner(
+                make_runner("r1", address=address, draining=True)
+            )
             watching.lose(address)
             await watching.async_rest()
         assert watching.crashes == []
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -62,11 +62,11 @@
     async def test_new_life_at_the_address_owes_nothing(self) -> None:
         async with RawServer(answer(make_ok())) as server, start_edge() as edge:
             entry = make_runner("r1", service="plain", address=server.address)
-            edge.view.take_runner(evolve(entry, started_ms=1000))
+            edge.view.update_runner(evolve(entry, started_ms=1000))
             said = LeavingReport(runner_id="r1", started_ms=1000)
             edge.forwarder.signal_tracker.handle_relayed_leaving(said)
             assert edge.view.find_open_runner("r1") is None
-            edge.view.take_runner(evolve(entry, started_ms=2000))
+            edge.view.update_runner(evolve(entry, started_ms=2000))
             reply = await edge.async_call("/once/x")
         assert reply.status == 200
 
--- a/tests/edge/test_plain_grant_provider.py
+++ b/tests/edge/test_plain_grant_provider.py
@@ -24,7 +24,7 @@
     def test_failures_of_a_runner_that_is_gone_are_forgotten(self) -> None:
         view = FleetView()
         view.apply_table(make_table())
-        view.take_runner(make_runner("p1", service="plain"))
+        view.update_runner(make_runner("p1", service="plain"))
         grant_provider = make_placer(view)
         grant_provider.note("p1", EndKind.UNREACHABLE)
         grant_provider.forget_removed_runners()
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -175,7 +175,7 @@
     def add(self, runner_id: str, server: RawServer, service: str) -> None:
         """Add a runner to the edge's fleet."""
         entry = make_runner(runner_id, service=service, address=server.address)
-        self.view.take_runner(entry)
+        self.view.update_runner(entry)
         if service == "llm":
             self.grant_provider.runner_ids.append(runner_id)
 
