--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -183,7 +183,7 @@
         for runner_id in set(self.runners) - present:
             self.remove_runner(runner_id, now)
 
-    def take_member(self, key: str, member: Member) -> None:
+    def update_member(self, key: str, member: Member) -> None:
         """Take a member's announcement."""
         self.members[key] = member
 
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -138,7 +138,7 @@
         elif item.key.startswith(RUNNER_PREFIX):
             self.view.update_runner(decode_runner(item.key, item.value))
         elif item.key.startswith(OWN_MEMBER_KEYS):
-            self.view.take_member(item.key, decode_member(item.value))
+            self.view.update_member(item.key, decode_member(item.value))
         elif item.key == OWN_LEADER_KEY:
             leader = Leader(
                 member=decode_member(item.value),
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -61,7 +61,7 @@
         scheduler = SchedulerProcess(make_settings())
         for number in range(8):
             member = make_member(f"h{number}", "")
-            scheduler.process.view.take_member(
+            scheduler.process.view.update_member(
                 f"m/{number}", evolve(member, role=Role.EDGE)
             )
         assert scheduler._measure_share() == 1 / 8
@@ -75,7 +75,7 @@
         scheduler = SchedulerProcess(make_settings())
         for number in range(8):
             member = make_member(f"h{number}", "")
-            scheduler.process.view.take_member(
+            scheduler.process.view.update_member(
                 f"m/{number}", evolve(member, role=Role.EDGE)
             )
         scheduler._began_at = scheduler.process.clock()
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -221,7 +221,7 @@
                     peer_address="",
                     caller_address="",
                 )
-                edge.view.take_member(f"m/{number}", member)
+                edge.view.update_member(f"m/{number}", member)
             edge.follow(await scheduler.async_start())
             await async_wait_until(lambda: edge.link.leading)
             assert scheduler.connections == 1
@@ -249,7 +249,7 @@
         try:
             edge.view.apply_table(make_table())
             member = make_member("a", await standby.async_start())
-            edge.view.take_member(member.key, member)
+            edge.view.update_member(member.key, member)
             await async_wait_until(lambda: edge.link.link is not None)
             link = edge.link.link
             await asyncio.sleep(2.5)
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -36,7 +36,7 @@
         addresses = [await each.async_start() for each in (leader, standby)]
         for name, address in zip("ab", addresses, strict=True):
             member = make_member(name, address)
-            edge.view.take_member(member.key, member)
+            edge.view.update_member(member.key, member)
         edge.follow(addresses[0])
         await edge.async_wait_leading()
         yield leader, standby, edge
