--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -191,7 +191,7 @@
         """Take a member away."""
         self.members.pop(key, None)
 
-    def take_leader(self, leader: Leader | None) -> None:
+    def update_leader(self, leader: Leader | None) -> None:
         """Take who holds the scheduler's key; None: nobody."""
         if leader == self.leader:
             return
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -60,7 +60,7 @@
         for key in set(self.view.members) - keys:
             self.view.remove_member(key)
         if OWN_LEADER_KEY not in keys:
-            self.view.take_leader(None)
+            self.view.update_leader(None)
         for key in self._statements - keys:
             self._withdraw_statement(key)
 
@@ -111,7 +111,7 @@
         elif change.key.startswith(OWN_MEMBER_KEYS):
             self.view.remove_member(change.key)
         elif change.key == OWN_LEADER_KEY:
-            self.view.take_leader(None)
+            self.view.update_leader(None)
         elif change.key.startswith(OWN_STATEMENT_KEYS):
             self._withdraw_statement(change.key)
 
@@ -145,7 +145,7 @@
                 fence=item.revision,
                 lease_id=item.lease_id,
             )
-            self.view.take_leader(leader)
+            self.view.update_leader(leader)
         elif item.key.startswith(OWN_STATEMENT_KEYS):
             self._statements.add(item.key)
             key = item.key.removeprefix(OWN_PREFIX)
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -28,7 +28,7 @@
         self.view = view
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        self.view.take_leader(None)
+        self.view.update_leader(None)
         for item in snapshot.items:
             self._take(item)
 
@@ -37,7 +37,7 @@
             if change.item is not None:
                 self._take(change.item)
             elif change.key == PREFIX + LEADER_KEY:
-                self.view.take_leader(None)
+                self.view.update_leader(None)
 
     def is_news(self, change: Change) -> bool:
         return True
@@ -50,7 +50,7 @@
 
     def _take(self, item: Item) -> None:
         if item.key == PREFIX + LEADER_KEY:
-            self.view.take_leader(
+            self.view.update_leader(
                 Leader(
                     member=decode_member(item.value),
                     fence=item.revision,
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -132,7 +132,7 @@
             peer_address=address,
             caller_address="",
         )
-        self.view.take_leader(Leader(member=member, fence=fence, lease_id=1))
+        self.view.update_leader(Leader(member=member, fence=fence, lease_id=1))
 
     async def async_wait_leading(self) -> None:
         await async_wait_until(lambda: self.link.leading)
@@ -207,7 +207,7 @@
         async with connect() as (_, edge):
             other, received = Edge("e2"), list[LimitReport]()
             other.client.on_limit = received.append
-            other.link.view.take_leader(edge.view.leader)
+            other.link.view.update_leader(edge.view.leader)
             await other.async_wait_leading()
             for _ in range(3):
                 edge.client.report_signal(LIMIT_REPORT)
@@ -225,7 +225,7 @@
             )
             other, received = Edge("e2"), list[LimitReport]()
             other.client.on_limit = received.append
-            other.link.view.take_leader(edge.view.leader)
+            other.link.view.update_leader(edge.view.leader)
             await async_wait_until(lambda: bool(received))
             other.task.cancel()
             other.link.close()
@@ -291,12 +291,12 @@
             others = [Edge("e2"), Edge("e3")]
             for other, received_reports in zip(others, received, strict=True):
                 other.client.on_leaving = received_reports.append
-            others[0].link.view.take_leader(edge.view.leader)
+            others[0].link.view.update_leader(edge.view.leader)
             await others[0].async_wait_leading()
             for _ in range(3):
                 edge.client.report_signal(self.LEAVING_REPORT)
             await async_wait_until(lambda: bool(received[0]))
-            others[1].link.view.take_leader(edge.view.leader)
+            others[1].link.view.update_leader(edge.view.leader)
             await async_wait_until(lambda: bool(received[1]))
             for other in others:
                 other.task.cancel()
