--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -90,7 +90,7 @@
         """Return the processes of the system that are known, this one included."""
         ...
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Note that the store answers again after an outage in which keys may lapse.
 
         Args:
@@ -290,6 +290,6 @@
             log_event(log.StoreRegained(revision=self.revision or 0))
         last = max(self.answered_at, self._fed_at)
         if since is not None and now - min(since, last) > OUTAGE_S:
-            self.receiver.note_outage_ended()
+            self.receiver.record_outage_end()
         self.answered_at = now
         self._backoff.reset()
--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -79,7 +79,7 @@
             if self._changed:
                 self._notify()
 
-    def note_outage_ended(self, now: float, retention_s: float = RETURN_TIME_S) -> None:
+    def record_outage_end(self, now: float, retention_s: float = RETURN_TIME_S) -> None:
         """Note that the store answers again after an outage in which keys lapsed.
 
         Args:
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -89,7 +89,7 @@
         """Return the processes of the system that are known, this one included."""
         return max(1, len(self.view.members))
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Note that the store answers again after an outage.
 
         Args:
@@ -97,9 +97,9 @@
                 usual.
         """
         if retention_s is None:
-            self.view.note_outage_ended(self.clock())
+            self.view.record_outage_end(self.clock())
         else:
-            self.view.note_outage_ended(self.clock(), retention_s)
+            self.view.record_outage_end(self.clock(), retention_s)
 
     def _take_change(self, change: Change, now: float) -> None:
         if change.item is None:
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -303,7 +303,7 @@
         if self.mirror is None:
             return
         if message.retention_s > 0:
-            self.mirror.receiver.note_outage_ended(message.retention_s)
+            self.mirror.receiver.record_outage_end(message.retention_s)
         if isinstance(message, StoreSnapshot):
             self.mirror.apply_partial_snapshot(
                 message.keys, message.items, message.revision
--- a/tests/coordination/test_knowledge.py
+++ b/tests/coordination/test_knowledge.py
@@ -24,7 +24,7 @@
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Nothing depends on it here."""
 
 
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -45,7 +45,7 @@
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Nothing depends on it here."""
 
     def _take(self, item: Item) -> None:
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -39,7 +39,7 @@
     def count_processes(self) -> int:
         return self.processes
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         self.outages += 1
 
 
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -49,7 +49,7 @@
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.update_runner(make_runner("r2"))
-        view.note_outage_ended(10.0)
+        view.record_outage_end(10.0)
         view.withdraw_runner("r1")
         assert [each.runner_id for each in view.list_runners("llm")] == ["r2"]
         view.update_runner(make_runner("r1"))
@@ -64,7 +64,7 @@
     def test_entry_that_lapsed_in_an_outage_is_kept_until_it_can_be_back(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
-        view.note_outage_ended(now=10.0)
+        view.record_outage_end(now=10.0)
         view.remove_runner("r1", now=10.1)
         view.expire_missing(now=10.0 + RETURN_TIME_S - 0.1)
         assert view.find_open_runner("r1") is not None
@@ -75,7 +75,7 @@
         """What goes 1.5 s after an outage must be obeyed within two seconds."""
         view = FleetView()
         view.update_runner(make_runner("r1"))
-        view.note_outage_ended(now=10.0)
+        view.record_outage_end(now=10.0)
         view.remove_runner("r1", now=11.5)
         view.expire_missing(now=10.0 + RETURN_TIME_S)
         assert view.find_open_runner("r1") is None
@@ -83,7 +83,7 @@
     def test_entry_that_comes_back_stays(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
-        view.note_outage_ended(now=10.0)
+        view.record_outage_end(now=10.0)
         view.remove_runner("r1", now=11.0)
         view.update_runner(make_runner("r1"))
         view.expire_missing(now=60.0)
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -59,7 +59,7 @@
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Do nothing."""
 
 
