--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -124,7 +124,7 @@
             )
         self._notify()
 
-    def note_leaving(self, said: LeavingReport) -> bool:
+    def record_leaving(self, said: LeavingReport) -> bool:
         """Take that a life of a runner leaves, whatever its entry says.
 
         Returns:
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -145,7 +145,7 @@
         )
         self.server.on_edge_connection = self._note_edge
         self.server.on_statement = process.take_told
-        self.server.on_leaving = process.view.note_leaving
+        self.server.on_leaving = process.view.record_leaving
         self.server.list_leaving = process.view.list_leaving
         process.leader_link.on_message = self._take_passed_on
         self.control.on_signals = self._note_signals
--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -164,7 +164,7 @@
 
     def _believe_leaving(self, said: LeavingReport, told_by: str | None) -> bool:
         """Take that a runner leaves; returns whether that was not known."""
-        if not self.view.note_leaving(said):
+        if not self.view.record_leaving(said):
             return False
         log_event(log.RunnerLeavingSeen(runner_id=said.runner_id, told_by=told_by))
         return True
