--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -82,7 +82,7 @@
         """Take changes in order."""
         ...
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         """Return whether a change will show in what was taken so far."""
         ...
 
@@ -229,7 +229,7 @@
         for change in new:
             self._store_change(change)
         self.revision = max(known, changes.revision)
-        news = tuple(each for each in new if self.receiver.is_news(each))
+        news = tuple(each for each in new if self.receiver.has_effect(each))
         self.receiver.apply_changes(Changes(changes=new, revision=changes.revision))
         if self.follower is not None and new:
             # Runners write their entries each second, mostly as they were.
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -71,7 +71,7 @@
             for change in changes.changes:
                 self._take_change(change, now)
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         """Return whether a change will show in the view.
 
         Runners write their entries about once a second, most as they were but for a
--- a/tests/coordination/test_knowledge.py
+++ b/tests/coordination/test_knowledge.py
@@ -18,7 +18,7 @@
     def apply_changes(self, changes: Changes) -> None:
         """Nothing depends on it here."""
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         return True
 
     def count_processes(self) -> int:
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -39,7 +39,7 @@
             elif change.key == PREFIX + LEADER_KEY:
                 self.view.update_leader(None)
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         return True
 
     def count_processes(self) -> int:
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -32,7 +32,7 @@
             else:
                 self.values[change.key] = change.item.value
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         item = change.item
         return item is None or self.values.get(change.key) != item.value
 
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -53,7 +53,7 @@
             if change.item is not None:
                 self.values[change.key] = change.item.value
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         return True
 
     def count_processes(self) -> int:
