--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -153,7 +153,7 @@
         left_ms = self._leaving.get(entry.runner_id)
         return left_ms is None or is_later_life(entry.started_ms, left_ms)
 
-    def shows_runner(self, entry: RunnerEntry) -> bool:
+    def contains_entry(self, entry: RunnerEntry) -> bool:
         """Return whether an entry is in the view as it is, and for sure."""
         known = self.runners.get(entry.runner_id)
         return known == entry and entry.runner_id not in self._missing
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -83,7 +83,7 @@
             entry = decode_runner(change.key, change.item.value)
         except DocumentError:
             return True
-        return not self.view.shows_runner(entry)
+        return not self.view.contains_entry(entry)
 
     def count_processes(self) -> int:
         """Return the processes of the system that are known, this one included."""
