--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -62,7 +62,7 @@
     """Whether something changed that was not told yet."""
 
     @contextmanager
-    def gather(self) -> Iterator[None]:
+    def defer_notifications(self) -> Iterator[None]:
         """Tell the changes of one reading together.
 
         Who is told looks at all runners: told of each of thousands, a scheduler that
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -43,7 +43,7 @@
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading: what it doesn't show is gone."""
-        with self.view.gather():
+        with self.view.defer_notifications():
             self._take_snapshot(snapshot)
 
     def _take_snapshot(self, snapshot: Snapshot) -> None:
@@ -67,7 +67,7 @@
     def apply_changes(self, changes: Changes) -> None:
         """Take changes in their order."""
         now = self.clock()
-        with self.view.gather():
+        with self.view.defer_notifications():
             for change in changes.changes:
                 self._take_change(change, now)
 
