--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -24,7 +24,7 @@
     CRASH_KEYS,
     HELD_KEYS,
     STATEMENT_KEYS,
-    HeldStatement,
+    BlockStatement,
     encode_statement,
 )
 from .mirror import Mirror
@@ -117,7 +117,7 @@
         """Return what is to be written of requests that are held back."""
         missing = []
         for content in self.book.list_blocked()[-MAX_BLOCKED:]:
-            statement = HeldStatement(
+            statement = BlockStatement(
                 content=content, charges=self.book.list_charges(content)
             )
             key, value = self.prefix + statement.key, encode_statement(statement)
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -60,7 +60,7 @@
 
 
 @frozen(kw_only=True)
-class HeldStatement:
+class BlockStatement:
     """A request is held back, and for which crashes."""
 
     content: str
@@ -76,7 +76,7 @@
         book.add_block(self.key, self.charges)
 
 
-Statement = CrashStatement | ClearedStatement | HeldStatement
+Statement = CrashStatement | ClearedStatement | BlockStatement
 
 
 def encode_statement(statement: Statement) -> bytes:
@@ -117,7 +117,7 @@
                 for row in rows
             )
             content = key.removeprefix(HELD_KEYS)
-            return HeldStatement(content=content, charges=charges)
+            return BlockStatement(content=content, charges=charges)
         life, edge = key.removeprefix(CRASH_KEYS).split("/")
         charges = tuple(_read_charge(row, life) for row in document)
         return CrashStatement(life=life, edge=edge, charges=charges)
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -13,9 +13,9 @@
     CrashReporter,
 )
 from mangoway.coordination.crashes import (
+    BlockStatement,
     ClearedStatement,
     CrashStatement,
-    HeldStatement,
     Statement,
     StatementError,
     decode_statement,
@@ -54,7 +54,7 @@
         [
             make_crash("i-1@0"),
             make_cleared("i-1@0", "i-2@5"),
-            HeldStatement(
+            BlockStatement(
                 content=CULPRIT.content,
                 charges=(Charge(CULPRIT, "i-1@0", RunStage.BEGUN, True),),
             ),
@@ -288,7 +288,7 @@
         async with start_nodes(store, 1) as [node]:
             await self.async_hold(node)
             await node.keeper.async_check()
-            held = PREFIX + HeldStatement(content=CULPRIT.content, charges=()).key
+            held = PREFIX + BlockStatement(content=CULPRIT.content, charges=()).key
             await async_wait_until(lambda: held in store.items)
             store.remove(held)
             await async_wait_until(lambda: held not in node.mirror.items)
