--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -20,9 +20,9 @@
 )
 from ..policy.crashes.tracker import CrashTracker
 from .crashes import (
+    BLOCK_KEYS,
     CLEARED_KEYS,
     CRASH_KEYS,
-    HELD_KEYS,
     STATEMENT_KEYS,
     BlockStatement,
     encode_statement,
@@ -45,14 +45,14 @@
 
 MOST: Final = {
     CRASH_KEYS: MAX_CRASH_KEYS,
-    HELD_KEYS: MAX_BLOCKED,
+    BLOCK_KEYS: MAX_BLOCKED,
     CLEARED_KEYS: MAX_CLEARANCES,
 }
 """Keys of each kind that are kept."""
 
 STAY_S: Final = {
     CRASH_KEYS: CRASH_RETENTION_S,
-    HELD_KEYS: BLOCK_S,
+    BLOCK_KEYS: BLOCK_S,
     CLEARED_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
 }
 """Time for which a key of each kind is kept after this process has seen it."""
@@ -128,14 +128,14 @@
 
     def _list_old(self, keys: list[str], now: float) -> list[str]:
         """Return the keys that are too old, too many, or hold nothing any more."""
-        held = {HELD_KEYS + each for each in self.book.list_blocked()}
+        held = {BLOCK_KEYS + each for each in self.book.list_blocked()}
         old = []
         for kind in STATEMENT_KEYS:
             alike = [each for each in keys if each.startswith(kind)]
             beyond = len(alike) - MOST[kind]
             for number, key in enumerate(alike):
                 expired = now - self._seen_at[key] > STAY_S[kind]
-                idle = kind == HELD_KEYS and key not in held
+                idle = kind == BLOCK_KEYS and key not in held
                 if number < beyond or expired or idle:
                     old.append(key)
         return old
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -17,8 +17,8 @@
 
 CRASH_KEYS: Final = "crashes/"
 CLEARED_KEYS: Final = "cleared/"
-HELD_KEYS: Final = "held/"
-STATEMENT_KEYS: Final = (CRASH_KEYS, CLEARED_KEYS, HELD_KEYS)
+BLOCK_KEYS: Final = "held/"
+STATEMENT_KEYS: Final = (CRASH_KEYS, CLEARED_KEYS, BLOCK_KEYS)
 
 
 class StatementError(Exception):
@@ -69,7 +69,7 @@
     @property
     def key(self) -> str:
         """Return its key, without the prefix of the system's keys."""
-        return HELD_KEYS + self.content
+        return BLOCK_KEYS + self.content
 
     def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
@@ -110,13 +110,13 @@
             identity = _read_identity(key.removeprefix(CLEARED_KEYS))
             lives = frozenset(str(each) for each in document)
             return ClearedStatement(clearance=Clearance(identity=identity, lives=lives))
-        if key.startswith(HELD_KEYS):
+        if key.startswith(BLOCK_KEYS):
             charges = tuple(
                 _read_charge(row, life)
                 for life, rows in document.items()
                 for row in rows
             )
-            content = key.removeprefix(HELD_KEYS)
+            content = key.removeprefix(BLOCK_KEYS)
             return BlockStatement(content=content, charges=charges)
         life, edge = key.removeprefix(CRASH_KEYS).split("/")
         charges = tuple(_read_charge(row, life) for row in document)
