--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -44,7 +44,7 @@
 
 
 @frozen(kw_only=True)
-class ClearedStatement:
+class ClearanceStatement:
     """A request has ended well, so it has not caused some crashes."""
 
     clearance: Clearance
@@ -76,12 +76,12 @@
         book.add_block(self.key, self.charges)
 
 
-Statement = CrashStatement | ClearedStatement | BlockStatement
+Statement = CrashStatement | ClearanceStatement | BlockStatement
 
 
 def encode_statement(statement: Statement) -> bytes:
     """Encode a statement for the store."""
-    if isinstance(statement, ClearedStatement):
+    if isinstance(statement, ClearanceStatement):
         return orjson.dumps(sorted(statement.clearance.lives))
     if isinstance(statement, CrashStatement):
         return orjson.dumps(_list_rows(statement.charges))
@@ -109,7 +109,9 @@
         if key.startswith(CLEARED_KEYS):
             identity = _read_identity(key.removeprefix(CLEARED_KEYS))
             lives = frozenset(str(each) for each in document)
-            return ClearedStatement(clearance=Clearance(identity=identity, lives=lives))
+            return ClearanceStatement(
+                clearance=Clearance(identity=identity, lives=lives)
+            )
         if key.startswith(BLOCK_KEYS):
             charges = tuple(
                 _read_charge(row, life)
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from ..coordination.crashes import ClearedStatement, CrashStatement, Statement
+from ..coordination.crashes import ClearanceStatement, CrashStatement, Statement
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
@@ -114,7 +114,7 @@
     def _clear(
         self, identity: RequestIdentity, lives: frozenset[str], *, told: bool
     ) -> None:
-        statement = ClearedStatement(
+        statement = ClearanceStatement(
             clearance=Clearance(identity=identity, lives=lives)
         )
         if told:
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -14,7 +14,7 @@
 )
 from mangoway.coordination.crashes import (
     BlockStatement,
-    ClearedStatement,
+    ClearanceStatement,
     CrashStatement,
     Statement,
     StatementError,
@@ -41,9 +41,9 @@
     return CrashStatement(life=life, edge=edge, charges=(Charge(identity, life),))
 
 
-def make_cleared(*lives: str) -> ClearedStatement:
+def make_cleared(*lives: str) -> ClearanceStatement:
     clearance = Clearance(identity=CULPRIT, lives=frozenset(lives))
-    return ClearedStatement(clearance=clearance)
+    return ClearanceStatement(clearance=clearance)
 
 
 class TestCodec:
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from mangoway.coordination.crashes import (
-    ClearedStatement,
+    ClearanceStatement,
     CrashStatement,
     Statement,
 )
@@ -112,15 +112,15 @@
         world.crash("l1", OTHER)
         world.crash_filter.record_success(OTHER)
         assert world.book.list_crashes(OTHER) == frozenset()
-        assert world.list_told(ClearedStatement) == []
+        assert world.list_told(ClearanceStatement) == []
 
     def test_two_charges_are_cleared_for_all(self) -> None:
         world = Screening()
         for life in ("l1", "l2"):
             world.crash(life, OTHER)
         world.crash_filter.record_success(OTHER)
-        [told] = world.list_told(ClearedStatement)
-        assert isinstance(told, ClearedStatement)
+        [told] = world.list_told(ClearanceStatement)
+        assert isinstance(told, ClearanceStatement)
         assert told.clearance.lives == {"l1@0", "l2@0"}
 
     def test_edge_that_knows_better_objects(self) -> None:
@@ -130,7 +130,7 @@
         for life in ("l1", "l2", "l3"):
             world.book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
         assert not world.crash_filter.is_blocked(OTHER)
-        assert len(world.list_told(ClearedStatement)) >= 1
+        assert len(world.list_told(ClearanceStatement)) >= 1
 
     def test_edge_that_serves_others_says_nothing_of_one_that_crashes(self) -> None:
         """At 195 edges each would tell all others."""
