--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -21,7 +21,7 @@
 from ..policy.crashes.tracker import CrashTracker
 from .crashes import (
     BLOCK_KEYS,
-    CLEARED_KEYS,
+    CLEARANCE_KEYS,
     CRASH_KEYS,
     STATEMENT_KEYS,
     BlockStatement,
@@ -46,14 +46,14 @@
 MOST: Final = {
     CRASH_KEYS: MAX_CRASH_KEYS,
     BLOCK_KEYS: MAX_BLOCKED,
-    CLEARED_KEYS: MAX_CLEARANCES,
+    CLEARANCE_KEYS: MAX_CLEARANCES,
 }
 """Keys of each kind that are kept."""
 
 STAY_S: Final = {
     CRASH_KEYS: CRASH_RETENTION_S,
     BLOCK_KEYS: BLOCK_S,
-    CLEARED_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
+    CLEARANCE_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
 }
 """Time for which a key of each kind is kept after this process has seen it."""
 
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -16,9 +16,9 @@
 from ..policy.crashes.tracker import CrashTracker
 
 CRASH_KEYS: Final = "crashes/"
-CLEARED_KEYS: Final = "cleared/"
+CLEARANCE_KEYS: Final = "cleared/"
 BLOCK_KEYS: Final = "held/"
-STATEMENT_KEYS: Final = (CRASH_KEYS, CLEARED_KEYS, BLOCK_KEYS)
+STATEMENT_KEYS: Final = (CRASH_KEYS, CLEARANCE_KEYS, BLOCK_KEYS)
 
 
 class StatementError(Exception):
@@ -52,7 +52,7 @@
     @property
     def key(self) -> str:
         """Return its key, without the prefix of the system's keys."""
-        return CLEARED_KEYS + self.clearance.identity.text
+        return CLEARANCE_KEYS + self.clearance.identity.text
 
     def take(self, book: CrashTracker) -> None:
         """Enter it in a book."""
@@ -106,8 +106,8 @@
     """
     try:
         document = orjson.loads(value)
-        if key.startswith(CLEARED_KEYS):
-            identity = _read_identity(key.removeprefix(CLEARED_KEYS))
+        if key.startswith(CLEARANCE_KEYS):
+            identity = _read_identity(key.removeprefix(CLEARANCE_KEYS))
             lives = frozenset(str(each) for each in document)
             return ClearanceStatement(
                 clearance=Clearance(identity=identity, lives=lives)
