--- a/mangoway/coordination/presence.py
+++ b/mangoway/coordination/presence.py
@@ -108,7 +108,7 @@
         """Return whether the lease certainly stands now."""
         return self.lease_id != 0 and self.clock() < self.valid_until
 
-    def note_key_lost(self, revision: int) -> None:
+    def handle_key_lost(self, revision: int) -> None:
         """Write the key again, since the store shows that it is gone.
 
         Args:
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -165,7 +165,7 @@
     def _check_presence(self) -> None:
         """Announce the process again if the store does not show it."""
         if not self.is_announced():
-            self.presence.note_key_lost(self.mirror.revision or 0)
+            self.presence.handle_key_lost(self.mirror.revision or 0)
 
 
 def run_process(
--- a/tests/coordination/test_presence.py
+++ b/tests/coordination/test_presence.py
@@ -39,7 +39,7 @@
         presence = make_presence(store)
         task = asyncio.get_running_loop().create_task(presence.async_run())
         await asyncio.sleep(0.1)
-        presence.note_key_lost(store.revision - 1)
+        presence.handle_key_lost(store.revision - 1)
         assert presence.announced
         task.cancel()
 
@@ -49,7 +49,7 @@
         task = asyncio.get_running_loop().create_task(presence.async_run())
         await asyncio.sleep(0.1)
         revision = store.revision
-        presence.note_key_lost(revision)
+        presence.handle_key_lost(revision)
         assert not presence.announced
         await asyncio.sleep(RENEW_S + 0.1)
         assert presence.announced
@@ -61,7 +61,7 @@
         presence = make_presence(store, renew_s=EDGE_RENEW_S)
         task = asyncio.get_running_loop().create_task(presence.async_run())
         await asyncio.sleep(0.1)
-        presence.note_key_lost(store.revision)
+        presence.handle_key_lost(store.revision)
         await asyncio.sleep(ANNOUNCE_SPREAD_S + 0.1)
         assert presence.announced
         task.cancel()
