--- a/mangoway/coordination/absence.py
+++ b/mangoway/coordination/absence.py
@@ -49,7 +49,7 @@
         """Note that the connection to an edge broke."""
         self._lost_at[incarnation] = self.clock()
 
-    def note_back(self, incarnation: str) -> None:
+    def record_reconnected(self, incarnation: str) -> None:
         """Note that an edge is connected again."""
         self._lost_at.pop(incarnation, None)
 
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -263,7 +263,7 @@
 
     def _note_edge(self, incarnation: str, connected: bool) -> None:
         if connected:
-            self.absent.note_back(incarnation)
+            self.absent.record_reconnected(incarnation)
         else:
             self.absent.note_lost(incarnation)
 
--- a/tests/coordination/test_absence.py
+++ b/tests/coordination/test_absence.py
@@ -75,7 +75,7 @@
         await asyncio.sleep(0.1)
         fleet.absent.note_lost("inc1")
         await asyncio.sleep(0.5)
-        fleet.absent.note_back("inc1")
+        fleet.absent.record_reconnected("inc1")
         await asyncio.sleep(WAIT_S)
         assert len(fleet.list_hosts()) == 4
         fleet.stop()
