--- a/mangoway/coordination/leadership.py
+++ b/mangoway/coordination/leadership.py
@@ -103,7 +103,7 @@
         waited = self.clock() >= self._orders_from
         return fence is not None and waited and fence > self._refused_fence
 
-    def note_refused(self, fence: int) -> None:
+    def handle_fence_refused(self, fence: int) -> None:
         """Note that a runner has seen a higher fence number; this one is over."""
         self._refused_fence = max(self._refused_fence, fence)
         log_event(log.FenceRefused(fence=fence))
--- a/mangoway/daemons/order_sender.py
+++ b/mangoway/daemons/order_sender.py
@@ -79,7 +79,7 @@
             self._log_unanswered(order, str(error))
             return OrderOutcome.IN_DOUBT
         if answer is OrderAnswer.FENCED:
-            self.leadership.note_refused(fence)
+            self.leadership.handle_fence_refused(fence)
         self._log_answer(order, answer, began)
         return OUTCOMES[answer]
 
