--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -179,7 +179,7 @@
         """Return the seconds for which something may have changed unknown to us."""
         return self.boot_clock() - self.known_at
 
-    def note_known(self, at: float) -> None:
+    def advance_known_at(self, at: float) -> None:
         """Note that all is known here that the store acknowledged before a time.
 
         Args:
@@ -252,7 +252,7 @@
             self._note_answer()
             self.apply_snapshot(snapshot)
             if exact:
-                self.note_known(asked_at)
+                self.advance_known_at(asked_at)
             return
         await asyncio.sleep(max(0.0, self._watch_from - self.clock()))
         unsure = self.measure_age() > UNSURE_AGE_S
@@ -264,7 +264,7 @@
         changes = await self.store.async_watch("", self.revision, wait_s)
         self._note_answer()
         self.apply_changes(changes)
-        self.note_known(asked_at)
+        self.advance_known_at(asked_at)
 
     def _choose_wait(self) -> float:
         """Return how long a watch waits for a change."""
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -295,7 +295,7 @@
             return
         at = clock.convert(known_at)
         if at is not None:
-            self.mirror.note_known(at)
+            self.mirror.advance_known_at(at)
         if clock.should_request():
             link.send(clock.make_request())
 
