--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -65,7 +65,7 @@
         if self.passed < 100:
             self.mirror.apply_snapshot(snapshot)
 
-    def pass_changes(self, changes: Changes) -> None:
+    def forward_changes(self, changes: Changes) -> None:
         self.mirror.apply_changes(changes)
 
 
@@ -202,7 +202,7 @@
             def forward_snapshot(self, snapshot: Snapshot) -> None:
                 pass
 
-            def pass_changes(self, changes: Changes) -> None:
+            def forward_changes(self, changes: Changes) -> None:
                 passed.append(changes)
 
         store.put("a", b"1")
