--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -64,7 +64,7 @@
 
     store: CoordinationStore
     mirror: Mirror
-    book: CrashTracker
+    tracker: CrashTracker
     clock: Callable[[], float]
     may_write: Callable[[], bool]
     """Whether this process leads."""
@@ -83,7 +83,7 @@
 
     async def async_check(self) -> None:
         """Write what is missing, and remove what is old."""
-        if self.book.is_empty:
+        if self.tracker.is_empty:
             # Every statement in the store is in the book; most days there are none.
             self._seen_at.clear()
             return
@@ -116,9 +116,9 @@
     def _list_missing(self) -> tuple[Write, ...]:
         """Return what is to be written of requests that are held back."""
         missing = []
-        for content in self.book.list_blocked()[-MAX_BLOCKED:]:
+        for content in self.tracker.list_blocked()[-MAX_BLOCKED:]:
             statement = BlockStatement(
-                content=content, charges=self.book.list_charges(content)
+                content=content, charges=self.tracker.list_charges(content)
             )
             key, value = self.prefix + statement.key, encode_statement(statement)
             written = self.mirror.items.get(key)
@@ -128,7 +128,7 @@
 
     def _list_old(self, keys: list[str], now: float) -> list[str]:
         """Return the keys that are too old, too many, or hold nothing any more."""
-        held = {BLOCK_KEYS + each for each in self.book.list_blocked()}
+        held = {BLOCK_KEYS + each for each in self.tracker.list_blocked()}
         old = []
         for kind in STATEMENT_KEYS:
             alike = [each for each in keys if each.startswith(kind)]
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -38,9 +38,9 @@
         """Return its key, without the prefix of the system's keys."""
         return f"{CRASH_KEYS}{self.life}/{self.edge}"
 
-    def take(self, book: CrashTracker) -> None:
+    def apply_to(self, tracker: CrashTracker) -> None:
         """Enter it in a book."""
-        book.add_crash(self.key, self.charges)
+        tracker.add_crash(self.key, self.charges)
 
 
 @frozen(kw_only=True)
@@ -54,9 +54,9 @@
         """Return its key, without the prefix of the system's keys."""
         return CLEARANCE_KEYS + self.clearance.identity.text
 
-    def take(self, book: CrashTracker) -> None:
+    def apply_to(self, tracker: CrashTracker) -> None:
         """Enter it in a book."""
-        book.add_clearance(self.key, self.clearance)
+        tracker.add_clearance(self.key, self.clearance)
 
 
 @frozen(kw_only=True)
@@ -71,9 +71,9 @@
         """Return its key, without the prefix of the system's keys."""
         return BLOCK_KEYS + self.content
 
-    def take(self, book: CrashTracker) -> None:
+    def apply_to(self, tracker: CrashTracker) -> None:
         """Enter it in a book."""
-        book.add_block(self.key, self.charges)
+        tracker.add_block(self.key, self.charges)
 
 
 Statement = CrashStatement | ClearanceStatement | BlockStatement
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -122,7 +122,7 @@
     def take_told(self, message: RelayedStatement) -> None:
         """Take a statement on a crash that another process tells."""
         try:
-            decode_statement(message.key, message.value).take(self.crashes)
+            decode_statement(message.key, message.value).apply_to(self.crashes)
         except StatementError as error:
             log_event(log.HandlerFailed(error=repr(error)))
 
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -138,7 +138,7 @@
         self.keeper = CrashKeeper(
             store=process.store,
             mirror=process.mirror,
-            book=process.crashes,
+            tracker=process.crashes,
             clock=process.clock,
             may_write=lambda: self.leadership.fence is not None,
             prefix=OWN_PREFIX,
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -120,12 +120,12 @@
         if told:
             self._tell(statement)
         else:
-            statement.take(self.book)
+            statement.apply_to(self.book)
 
     def _tell(self, statement: Statement) -> None:
         """Take a statement here, and tell it to all others."""
         self.statement_sender.post(statement)
-        statement.take(self.book)
+        statement.apply_to(self.book)
 
     def _note_held(self, content: str) -> None:
         """Object if this edge knows better; else answer what waits."""
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -149,7 +149,7 @@
         elif item.key.startswith(OWN_STATEMENT_KEYS):
             self._statements.add(item.key)
             key = item.key.removeprefix(OWN_PREFIX)
-            decode_statement(key, item.value).take(self.crashes)
+            decode_statement(key, item.value).apply_to(self.crashes)
 
     def _withdraw_statement(self, key: str) -> None:
         self._statements.discard(key)
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -86,8 +86,8 @@
 
     def __init__(self, store: FakeCoordinationStore) -> None:
         self.clock = asyncio.get_running_loop().time
-        self.book = CrashTracker()
-        receiver = StoreReceiver(FleetView(), self.clock, self.book)
+        self.tracker = CrashTracker()
+        receiver = StoreReceiver(FleetView(), self.clock, self.tracker)
         self.mirror = Mirror(store, receiver, self.clock)
         self.reporter = CrashReporter(store, PREFIX)
         self.shift_s = 0.0
@@ -95,7 +95,7 @@
         self.keeper = CrashKeeper(
             store=store,
             mirror=self.mirror,
-            book=self.book,
+            tracker=self.tracker,
             clock=lambda: self.clock() + self.shift_s,
             may_write=lambda: self.leads,
             prefix=PREFIX,
@@ -131,7 +131,7 @@
             for number, node in enumerate(nodes[:3]):
                 node.reporter.post(make_crash(f"i-{number}@0", f"e{number}"))
             await async_wait_until(
-                lambda: all(each.book.is_blocked(CULPRIT) for each in nodes)
+                lambda: all(each.tracker.is_blocked(CULPRIT) for each in nodes)
             )
             assert nodes[0].clock() - began < 1.0
 
@@ -141,15 +141,15 @@
             statement = make_crash(f"i-{number}@0")
             store.put(PREFIX + statement.key, encode_statement(statement))
         async with start_nodes(store, 1) as [node]:
-            await async_wait_until(lambda: node.book.is_blocked(CULPRIT))
+            await async_wait_until(lambda: node.tracker.is_blocked(CULPRIT))
 
     async def test_clearance_reaches_all(self) -> None:
         async with start_nodes(FakeCoordinationStore(), 2) as nodes:
             for number in range(3):
                 nodes[0].reporter.post(make_crash(f"i-{number}@0"))
-            await async_wait_until(lambda: nodes[1].book.is_blocked(CULPRIT))
+            await async_wait_until(lambda: nodes[1].tracker.is_blocked(CULPRIT))
             nodes[0].reporter.post(make_cleared("i-0@0", "i-1@0", "i-2@0"))
-            await async_wait_until(lambda: not nodes[1].book.is_blocked(CULPRIT))
+            await async_wait_until(lambda: not nodes[1].tracker.is_blocked(CULPRIT))
 
     async def test_unreadable_statement_leaves_the_others(self) -> None:
         store = FakeCoordinationStore()
@@ -157,7 +157,7 @@
         async with start_nodes(store, 1) as [node]:
             for number in range(3):
                 node.reporter.post(make_crash(f"i-{number}@0"))
-            await async_wait_until(lambda: node.book.is_blocked(CULPRIT))
+            await async_wait_until(lambda: node.tracker.is_blocked(CULPRIT))
 
 
 class TestReporter:
@@ -255,7 +255,7 @@
     async def async_hold(self, node: Node) -> None:
         for number in range(3):
             node.reporter.post(make_crash(f"i-{number}@0"))
-        await async_wait_until(lambda: node.book.is_blocked(CULPRIT))
+        await async_wait_until(lambda: node.tracker.is_blocked(CULPRIT))
         await async_wait_until(lambda: len(node.mirror.items) == 3)
 
     async def test_leader_looks_by_itself(self) -> None:
@@ -277,11 +277,11 @@
             node.shift_s = CRASH_RETENTION_S + 1
             await node.keeper.async_check()
             await async_wait_until(lambda: len(node.mirror.items) == 1)
-            assert node.book.is_blocked(CULPRIT)
+            assert node.tracker.is_blocked(CULPRIT)
             node.shift_s = BLOCK_S + CRASH_RETENTION_S + 2
             await node.keeper.async_check()
             await async_wait_until(lambda: not node.mirror.items)
-            assert not node.book.is_blocked(CULPRIT)
+            assert not node.tracker.is_blocked(CULPRIT)
 
     async def test_charges_stay_until_what_they_hold_is_written(self) -> None:
         store = FakeCoordinationStore()
@@ -325,8 +325,8 @@
             node.shift_s = CRASH_RETENTION_S + 1
             await node.keeper.async_check()
             await async_wait_until(lambda: len(node.mirror.items) == 1)
-            assert node.book.is_blocked(CULPRIT)
-            assert node.book.is_blocked(other)
+            assert node.tracker.is_blocked(CULPRIT)
+            assert node.tracker.is_blocked(other)
 
     async def test_only_a_leader_changes_the_store(self) -> None:
         store = FakeCoordinationStore()
--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -171,7 +171,7 @@
         def apply_statement() -> None:
             for number, crash_filter in enumerate(self.crash_filters):
                 if number != edge:
-                    statement.take(crash_filter.book)
+                    statement.apply_to(crash_filter.book)
 
         self._call_later(STATEMENT_DELAY_S, apply_statement)
 
