--- a/mangoway/coordination/absence.py
+++ b/mangoway/coordination/absence.py
@@ -45,11 +45,11 @@
     _lost_at: dict[str, float] = field(factory=dict, init=False)
     """When the connection to each lost edge broke, by its incarnation."""
 
-    def note_lost(self, incarnation: str) -> None:
+    def record_lost(self, incarnation: str) -> None:
         """Note that the connection to an edge broke."""
         self._lost_at[incarnation] = self.clock()
 
-    def note_back(self, incarnation: str) -> None:
+    def record_reconnected(self, incarnation: str) -> None:
         """Note that an edge is connected again."""
         self._lost_at.pop(incarnation, None)
 
--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -20,11 +20,11 @@
 )
 from ..policy.crashes.tracker import CrashTracker
 from .crashes import (
-    CLEARED_KEYS,
+    BLOCK_KEYS,
+    CLEARANCE_KEYS,
     CRASH_KEYS,
-    HELD_KEYS,
     STATEMENT_KEYS,
-    HeldStatement,
+    BlockStatement,
     encode_statement,
 )
 from .mirror import Mirror
@@ -45,15 +45,15 @@
 
 MOST: Final = {
     CRASH_KEYS: MAX_CRASH_KEYS,
-    HELD_KEYS: MAX_BLOCKED,
-    CLEARED_KEYS: MAX_CLEARANCES,
+    BLOCK_KEYS: MAX_BLOCKED,
+    CLEARANCE_KEYS: MAX_CLEARANCES,
 }
 """Keys of each kind that are kept."""
 
 STAY_S: Final = {
     CRASH_KEYS: CRASH_RETENTION_S,
-    HELD_KEYS: BLOCK_S,
-    CLEARED_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
+    BLOCK_KEYS: BLOCK_S,
+    CLEARANCE_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
 }
 """Time for which a key of each kind is kept after this process has seen it."""
 
@@ -64,7 +64,7 @@
 
     store: CoordinationStore
     mirror: Mirror
-    book: CrashTracker
+    tracker: CrashTracker
     clock: Callable[[], float]
     may_write: Callable[[], bool]
     """Whether this process leads."""
@@ -83,7 +83,7 @@
 
     async def async_check(self) -> None:
         """Write what is missing, and remove what is old."""
-        if self.book.is_empty:
+        if self.tracker.is_empty:
             # Every statement in the store is in the book; most days there are none.
             self._seen_at.clear()
             return
@@ -116,9 +116,9 @@
     def _list_missing(self) -> tuple[Write, ...]:
         """Return what is to be written of requests that are held back."""
         missing = []
-        for content in self.book.list_blocked()[-MAX_BLOCKED:]:
-            statement = HeldStatement(
-                content=content, charges=self.book.list_charges(content)
+        for content in self.tracker.list_blocked()[-MAX_BLOCKED:]:
+            statement = BlockStatement(
+                content=content, charges=self.tracker.list_charges(content)
             )
             key, value = self.prefix + statement.key, encode_statement(statement)
             written = self.mirror.items.get(key)
@@ -128,14 +128,14 @@
 
     def _list_old(self, keys: list[str], now: float) -> list[str]:
         """Return the keys that are too old, too many, or hold nothing any more."""
-        held = {HELD_KEYS + each for each in self.book.list_blocked()}
+        held = {BLOCK_KEYS + each for each in self.tracker.list_blocked()}
         old = []
         for kind in STATEMENT_KEYS:
             alike = [each for each in keys if each.startswith(kind)]
             beyond = len(alike) - MOST[kind]
             for number, key in enumerate(alike):
                 expired = now - self._seen_at[key] > STAY_S[kind]
-                idle = kind == HELD_KEYS and key not in held
+                idle = kind == BLOCK_KEYS and key not in held
                 if number < beyond or expired or idle:
                     old.append(key)
         return old
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -16,9 +16,9 @@
 from ..policy.crashes.tracker import CrashTracker
 
 CRASH_KEYS: Final = "crashes/"
-CLEARED_KEYS: Final = "cleared/"
-HELD_KEYS: Final = "held/"
-STATEMENT_KEYS: Final = (CRASH_KEYS, CLEARED_KEYS, HELD_KEYS)
+CLEARANCE_KEYS: Final = "cleared/"
+BLOCK_KEYS: Final = "held/"
+STATEMENT_KEYS: Final = (CRASH_KEYS, CLEARANCE_KEYS, BLOCK_KEYS)
 
 
 class StatementError(Exception):
@@ -38,13 +38,13 @@
         """Return its key, without the prefix of the system's keys."""
         return f"{CRASH_KEYS}{self.life}/{self.edge}"
 
-    def take(self, book: CrashTracker) -> None:
+    def apply_to(self, tracker: CrashTracker) -> None:
         """Enter it in a book."""
-        book.add_crash(self.key, self.charges)
+        tracker.add_crash(self.key, self.charges)
 
 
 @frozen(kw_only=True)
-class ClearedStatement:
+class ClearanceStatement:
     """A request has ended well, so it has not caused some crashes."""
 
     clearance: Clearance
@@ -52,15 +52,15 @@
     @property
     def key(self) -> str:
         """Return its key, without the prefix of the system's keys."""
-        return CLEARED_KEYS + self.clearance.identity.text
+        return CLEARANCE_KEYS + self.clearance.identity.text
 
-    def take(self, book: CrashTracker) -> None:
+    def apply_to(self, tracker: CrashTracker) -> None:
         """Enter it in a book."""
-        book.add_clearance(self.key, self.clearance)
+        tracker.add_clearance(self.key, self.clearance)
 
 
 @frozen(kw_only=True)
-class HeldStatement:
+class BlockStatement:
     """A request is held back, and for which crashes."""
 
     content: str
@@ -69,19 +69,19 @@
     @property
     def key(self) -> str:
         """Return its key, without the prefix of the system's keys."""
-        return HELD_KEYS + self.content
+        return BLOCK_KEYS + self.content
 
-    def take(self, book: CrashTracker) -> None:
+    def apply_to(self, tracker: CrashTracker) -> None:
         """Enter it in a book."""
-        book.add_block(self.key, self.charges)
+        tracker.add_block(self.key, self.charges)
 
 
-Statement = CrashStatement | ClearedStatement | HeldStatement
+Statement = CrashStatement | ClearanceStatement | BlockStatement
 
 
 def encode_statement(statement: Statement) -> bytes:
     """Encode a statement for the store."""
-    if isinstance(statement, ClearedStatement):
+    if isinstance(statement, ClearanceStatement):
         return orjson.dumps(sorted(statement.clearance.lives))
     if isinstance(statement, CrashStatement):
         return orjson.dumps(_list_rows(statement.charges))
@@ -106,18 +106,20 @@
     """
     try:
         document = orjson.loads(value)
-        if key.startswith(CLEARED_KEYS):
-            identity = _read_identity(key.removeprefix(CLEARED_KEYS))
+        if key.startswith(CLEARANCE_KEYS):
+            identity = _read_identity(key.removeprefix(CLEARANCE_KEYS))
             lives = frozenset(str(each) for each in document)
-            return ClearedStatement(clearance=Clearance(identity=identity, lives=lives))
-        if key.startswith(HELD_KEYS):
+            return ClearanceStatement(
+                clearance=Clearance(identity=identity, lives=lives)
+            )
+        if key.startswith(BLOCK_KEYS):
             charges = tuple(
                 _read_charge(row, life)
                 for life, rows in document.items()
                 for row in rows
             )
-            content = key.removeprefix(HELD_KEYS)
-            return HeldStatement(content=content, charges=charges)
+            content = key.removeprefix(BLOCK_KEYS)
+            return BlockStatement(content=content, charges=charges)
         life, edge = key.removeprefix(CRASH_KEYS).split("/")
         charges = tuple(_read_charge(row, life) for row in document)
         return CrashStatement(life=life, edge=edge, charges=charges)
--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -74,15 +74,15 @@
 class Receiver(Protocol):
     """Takes what the mirror reads."""
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading."""
         ...
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take changes in order."""
         ...
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         """Return whether a change will show in what was taken so far."""
         ...
 
@@ -90,7 +90,7 @@
         """Return the processes of the system that are known, this one included."""
         ...
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Note that the store answers again after an outage in which keys may lapse.
 
         Args:
@@ -110,11 +110,11 @@
 class Follower(Protocol):
     """Is told what a mirror reads."""
 
-    def pass_snapshot(self, snapshot: Snapshot) -> None:
+    def forward_snapshot(self, snapshot: Snapshot) -> None:
         """Pass a full reading on."""
         ...
 
-    def pass_changes(self, changes: Changes) -> None:
+    def forward_changes(self, changes: Changes) -> None:
         """Pass changes on; without any, that the store has reached a revision."""
         ...
 
@@ -179,7 +179,7 @@
         """Return the seconds for which something may have changed unknown to us."""
         return self.boot_clock() - self.known_at
 
-    def note_known(self, at: float) -> None:
+    def advance_known_at(self, at: float) -> None:
         """Note that all is known here that the store acknowledged before a time.
 
         Args:
@@ -193,7 +193,7 @@
             return None
         return Snapshot(items=tuple(self.items.values()), revision=self.revision)
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading, unless nothing in it is new.
 
         One of a revision that is known must not be passed on: two processes that follow
@@ -203,12 +203,12 @@
             return
         self.items = {item.key: item for item in snapshot.items}
         self.revision = snapshot.revision
-        self.receiver.take_snapshot(snapshot)
+        self.receiver.apply_snapshot(snapshot)
         if self.follower is not None:
-            self.follower.pass_snapshot(snapshot)
+            self.follower.forward_snapshot(snapshot)
         self.on_synced()
 
-    def take_reading(
+    def apply_partial_snapshot(
         self, keys: tuple[str, ...], items: tuple[Item, ...], revision: int
     ) -> None:
         """Take a full reading of another process.
@@ -220,21 +220,21 @@
         """
         known = {**self.items, **{item.key: item for item in items}}
         present = tuple(known[key] for key in keys if key in known)
-        self.take_snapshot(Snapshot(items=present, revision=revision))
+        self.apply_snapshot(Snapshot(items=present, revision=revision))
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take the changes that are new."""
         known = self.revision or 0
         new = tuple(each for each in changes.changes if each.revision > known)
         for change in new:
             self._store_change(change)
         self.revision = max(known, changes.revision)
-        news = tuple(each for each in new if self.receiver.is_news(each))
-        self.receiver.take_changes(Changes(changes=new, revision=changes.revision))
+        news = tuple(each for each in new if self.receiver.has_effect(each))
+        self.receiver.apply_changes(Changes(changes=new, revision=changes.revision))
         if self.follower is not None and new:
             # Runners write their entries each second, mostly as they were.
             passed = Changes(changes=news, revision=changes.revision)
-            self.follower.pass_changes(passed)
+            self.follower.forward_changes(passed)
         self.on_synced()
 
     def _store_change(self, change: Change) -> None:
@@ -250,9 +250,9 @@
             snapshot = await self.store.async_list("", exact=exact)
             self._relist = False
             self._note_answer()
-            self.take_snapshot(snapshot)
+            self.apply_snapshot(snapshot)
             if exact:
-                self.note_known(asked_at)
+                self.advance_known_at(asked_at)
             return
         await asyncio.sleep(max(0.0, self._watch_from - self.clock()))
         unsure = self.measure_age() > UNSURE_AGE_S
@@ -263,8 +263,8 @@
         asked_at = self.boot_clock()
         changes = await self.store.async_watch("", self.revision, wait_s)
         self._note_answer()
-        self.take_changes(changes)
-        self.note_known(asked_at)
+        self.apply_changes(changes)
+        self.advance_known_at(asked_at)
 
     def _choose_wait(self) -> float:
         """Return how long a watch waits for a change."""
@@ -290,6 +290,6 @@
             log_event(log.StoreRegained(revision=self.revision or 0))
         last = max(self.answered_at, self._fed_at)
         if since is not None and now - min(since, last) > OUTAGE_S:
-            self.receiver.note_outage_ended()
+            self.receiver.record_outage_end()
         self.answered_at = now
         self._backoff.reset()
--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -62,7 +62,7 @@
     """Whether something changed that was not told yet."""
 
     @contextmanager
-    def gather(self) -> Iterator[None]:
+    def defer_notifications(self) -> Iterator[None]:
         """Tell the changes of one reading together.
 
         Who is told looks at all runners: told of each of thousands, a scheduler that
@@ -79,7 +79,7 @@
             if self._changed:
                 self._notify()
 
-    def note_outage_ended(self, now: float, retention_s: float = RETURN_TIME_S) -> None:
+    def record_outage_end(self, now: float, retention_s: float = RETURN_TIME_S) -> None:
         """Note that the store answers again after an outage in which keys lapsed.
 
         Args:
@@ -92,7 +92,7 @@
         """Return for how much longer entries that vanish are kept."""
         return max(0.0, self._kept_until - now)
 
-    def take_table(self, table: RoutingTable) -> bool:
+    def apply_table(self, table: RoutingTable) -> bool:
         """Put a newer configuration in force; an older one is ignored."""
         if self.table is not None and table.version <= self.table.version:
             return False
@@ -101,7 +101,7 @@
         self._notify()
         return True
 
-    def take_runner(self, entry: RunnerEntry) -> None:
+    def update_runner(self, entry: RunnerEntry) -> None:
         """Take a runner's entry as it is now."""
         self._missing.discard(entry.runner_id)
         known = self.runners.get(entry.runner_id)
@@ -124,7 +124,7 @@
             )
         self._notify()
 
-    def note_leaving(self, said: LeavingReport) -> bool:
+    def record_leaving(self, said: LeavingReport) -> bool:
         """Take that a life of a runner leaves, whatever its entry says.
 
         Returns:
@@ -153,7 +153,7 @@
         left_ms = self._leaving.get(entry.runner_id)
         return left_ms is None or is_later_life(entry.started_ms, left_ms)
 
-    def shows_runner(self, entry: RunnerEntry) -> bool:
+    def contains_entry(self, entry: RunnerEntry) -> bool:
         """Return whether an entry is in the view as it is, and for sure."""
         known = self.runners.get(entry.runner_id)
         return known == entry and entry.runner_id not in self._missing
@@ -183,7 +183,7 @@
         for runner_id in set(self.runners) - present:
             self.remove_runner(runner_id, now)
 
-    def take_member(self, key: str, member: Member) -> None:
+    def update_member(self, key: str, member: Member) -> None:
         """Take a member's announcement."""
         self.members[key] = member
 
@@ -191,7 +191,7 @@
         """Take a member away."""
         self.members.pop(key, None)
 
-    def take_leader(self, leader: Leader | None) -> None:
+    def update_leader(self, leader: Leader | None) -> None:
         """Take who holds the scheduler's key; None: nobody."""
         if leader == self.leader:
             return
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -122,7 +122,7 @@
     def take_told(self, message: RelayedStatement) -> None:
         """Take a statement on a crash that another process tells."""
         try:
-            decode_statement(message.key, message.value).take(self.crashes)
+            decode_statement(message.key, message.value).apply_to(self.crashes)
         except StatementError as error:
             log_event(log.HandlerFailed(error=repr(error)))
 
@@ -165,7 +165,7 @@
     def _check_presence(self) -> None:
         """Announce the process again if the store does not show it."""
         if not self.is_announced():
-            self.presence.note_key_lost(self.mirror.revision or 0)
+            self.presence.handle_key_lost(self.mirror.revision or 0)
 
 
 def run_process(
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -138,14 +138,14 @@
         self.keeper = CrashKeeper(
             store=process.store,
             mirror=process.mirror,
-            book=process.crashes,
+            tracker=process.crashes,
             clock=process.clock,
             may_write=lambda: self.leadership.fence is not None,
             prefix=OWN_PREFIX,
         )
         self.server.on_edge_connection = self._note_edge
         self.server.on_statement = process.take_told
-        self.server.on_leaving = process.view.note_leaving
+        self.server.on_leaving = process.view.record_leaving
         self.server.list_leaving = process.view.list_leaving
         process.leader_link.on_message = self._take_passed_on
         self.control.on_signals = self._note_signals
@@ -263,9 +263,9 @@
 
     def _note_edge(self, incarnation: str, connected: bool) -> None:
         if connected:
-            self.absent.note_back(incarnation)
+            self.absent.record_reconnected(incarnation)
         else:
-            self.absent.note_lost(incarnation)
+            self.absent.record_lost(incarnation)
 
     async def _async_follow_lead(self) -> None:
         """Tell the core and the edges when this process begins or ceases to lead."""
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from ..coordination.crashes import ClearedStatement, CrashStatement, Statement
+from ..coordination.crashes import ClearanceStatement, CrashStatement, Statement
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
@@ -114,18 +114,18 @@
     def _clear(
         self, identity: RequestIdentity, lives: frozenset[str], *, told: bool
     ) -> None:
-        statement = ClearedStatement(
+        statement = ClearanceStatement(
             clearance=Clearance(identity=identity, lives=lives)
         )
         if told:
             self._tell(statement)
         else:
-            statement.take(self.book)
+            statement.apply_to(self.book)
 
     def _tell(self, statement: Statement) -> None:
         """Take a statement here, and tell it to all others."""
         self.statement_sender.post(statement)
-        statement.take(self.book)
+        statement.apply_to(self.book)
 
     def _note_held(self, content: str) -> None:
         """Object if this edge knows better; else answer what waits."""
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -41,9 +41,9 @@
     _unreadable: dict[str, int] = field(factory=dict, init=False)
     """Keys whose value can't be read, with the readings that showed so."""
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a full reading: what it doesn't show is gone."""
-        with self.view.gather():
+        with self.view.defer_notifications():
             self._take_snapshot(snapshot)
 
     def _take_snapshot(self, snapshot: Snapshot) -> None:
@@ -60,18 +60,18 @@
         for key in set(self.view.members) - keys:
             self.view.remove_member(key)
         if OWN_LEADER_KEY not in keys:
-            self.view.take_leader(None)
+            self.view.update_leader(None)
         for key in self._statements - keys:
             self._withdraw_statement(key)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take changes in their order."""
         now = self.clock()
-        with self.view.gather():
+        with self.view.defer_notifications():
             for change in changes.changes:
                 self._take_change(change, now)
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         """Return whether a change will show in the view.
 
         Runners write their entries about once a second, most as they were but for a
@@ -83,13 +83,13 @@
             entry = decode_runner(change.key, change.item.value)
         except DocumentError:
             return True
-        return not self.view.shows_runner(entry)
+        return not self.view.contains_entry(entry)
 
     def count_processes(self) -> int:
         """Return the processes of the system that are known, this one included."""
         return max(1, len(self.view.members))
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Note that the store answers again after an outage.
 
         Args:
@@ -97,9 +97,9 @@
                 usual.
         """
         if retention_s is None:
-            self.view.note_outage_ended(self.clock())
+            self.view.record_outage_end(self.clock())
         else:
-            self.view.note_outage_ended(self.clock(), retention_s)
+            self.view.record_outage_end(self.clock(), retention_s)
 
     def _take_change(self, change: Change, now: float) -> None:
         if change.item is None:
@@ -111,7 +111,7 @@
         elif change.key.startswith(OWN_MEMBER_KEYS):
             self.view.remove_member(change.key)
         elif change.key == OWN_LEADER_KEY:
-            self.view.take_leader(None)
+            self.view.update_leader(None)
         elif change.key.startswith(OWN_STATEMENT_KEYS):
             self._withdraw_statement(change.key)
 
@@ -134,22 +134,22 @@
 
     def _decode(self, item: Item, now: float) -> None:
         if item.key == CONFIGURATION_KEY:
-            self.view.take_table(decode_configuration(item.value))
+            self.view.apply_table(decode_configuration(item.value))
         elif item.key.startswith(RUNNER_PREFIX):
-            self.view.take_runner(decode_runner(item.key, item.value))
+            self.view.update_runner(decode_runner(item.key, item.value))
         elif item.key.startswith(OWN_MEMBER_KEYS):
-            self.view.take_member(item.key, decode_member(item.value))
+            self.view.update_member(item.key, decode_member(item.value))
         elif item.key == OWN_LEADER_KEY:
             leader = Leader(
                 member=decode_member(item.value),
                 fence=item.revision,
                 lease_id=item.lease_id,
             )
-            self.view.take_leader(leader)
+            self.view.update_leader(leader)
         elif item.key.startswith(OWN_STATEMENT_KEYS):
             self._statements.add(item.key)
             key = item.key.removeprefix(OWN_PREFIX)
-            decode_statement(key, item.value).take(self.crashes)
+            decode_statement(key, item.value).apply_to(self.crashes)
 
     def _withdraw_statement(self, key: str) -> None:
         self._statements.discard(key)
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -295,7 +295,7 @@
             return
         at = clock.convert(known_at)
         if at is not None:
-            self.mirror.note_known(at)
+            self.mirror.advance_known_at(at)
         if clock.should_request():
             link.send(clock.make_request())
 
@@ -303,14 +303,16 @@
         if self.mirror is None:
             return
         if message.retention_s > 0:
-            self.mirror.receiver.note_outage_ended(message.retention_s)
+            self.mirror.receiver.record_outage_end(message.retention_s)
         if isinstance(message, StoreSnapshot):
-            self.mirror.take_reading(message.keys, message.items, message.revision)
+            self.mirror.apply_partial_snapshot(
+                message.keys, message.items, message.revision
+            )
             self._has_state = True
         elif self._has_state or self.mirror.revision is not None:
             # The first changes on a connection start at the revision of the hello.
             self._has_state = True
-            self.mirror.take_changes(message.changes)
+            self.mirror.apply_changes(message.changes)
 
     def _handle_connection_lost(self, link: Link, reason: str) -> None:
         if link is not self.link:
--- a/tests/coordination/test_knowledge.py
+++ b/tests/coordination/test_knowledge.py
@@ -12,19 +12,19 @@
 class Sink:
     """Takes what a mirror reads."""
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Nothing depends on it here."""
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Nothing depends on it here."""
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         return True
 
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Nothing depends on it here."""
 
 
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -27,30 +27,30 @@
     def __init__(self, view: FleetView) -> None:
         self.view = view
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
-        self.view.take_leader(None)
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
+        self.view.update_leader(None)
         for item in snapshot.items:
             self._take(item)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.item is not None:
                 self._take(change.item)
             elif change.key == PREFIX + LEADER_KEY:
-                self.view.take_leader(None)
+                self.view.update_leader(None)
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         return True
 
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Nothing depends on it here."""
 
     def _take(self, item: Item) -> None:
         if item.key == PREFIX + LEADER_KEY:
-            self.view.take_leader(
+            self.view.update_leader(
                 Leader(
                     member=decode_member(item.value),
                     fence=item.revision,
@@ -73,7 +73,7 @@
     ) -> None:
         self.clock_offset = 0.0
         view = FleetView()
-        view.take_table(make_table())
+        view.apply_table(make_table())
         member = Member(
             host=name,
             role=Role.SCHEDULER,
@@ -264,7 +264,7 @@
         await asyncio.sleep(5)
         fence = one.leadership.fence
         assert fence is not None
-        one.leadership.note_refused(fence)
+        one.leadership.handle_fence_refused(fence)
         assert not one.leadership.may_order
         store.down = True
         await asyncio.sleep(LEASE_S + 2)
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -45,21 +45,21 @@
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         self.values = {item.key: item.value for item in snapshot.items}
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.item is not None:
                 self.values[change.key] = change.item.value
 
-    def is_news(self, change: Change) -> bool:
+    def has_effect(self, change: Change) -> bool:
         return True
 
     def count_processes(self) -> int:
         return 1
 
-    def note_outage_ended(self, retention_s: float | None = None) -> None:
+    def record_outage_end(self, retention_s: float | None = None) -> None:
         """Do nothing."""
 
 
@@ -78,7 +78,7 @@
         self.orders: list[SendOrder] = []
         clock = asyncio.get_running_loop().time
         self.mirror = Mirror(FakeCoordinationStore(), Recorder(), clock)
-        self.mirror.take_snapshot(
+        self.mirror.apply_snapshot(
             Snapshot(items=(Item(key="k", value=b"1", revision=5),), revision=5)
         )
         self.mirror.answered_at = clock()
@@ -132,7 +132,7 @@
             peer_address=address,
             caller_address="",
         )
-        self.view.take_leader(Leader(member=member, fence=fence, lease_id=1))
+        self.view.update_leader(Leader(member=member, fence=fence, lease_id=1))
 
     async def async_wait_leading(self) -> None:
         await async_wait_until(lambda: self.link.leading)
@@ -207,7 +207,7 @@
         async with connect() as (_, edge):
             other, received = Edge("e2"), list[LimitReport]()
             other.client.on_limit = received.append
-            other.link.view.take_leader(edge.view.leader)
+            other.link.view.update_leader(edge.view.leader)
             await other.async_wait_leading()
             for _ in range(3):
                 edge.client.report_signal(LIMIT_REPORT)
@@ -225,7 +225,7 @@
             )
             other, received = Edge("e2"), list[LimitReport]()
             other.client.on_limit = received.append
-            other.link.view.take_leader(edge.view.leader)
+            other.link.view.update_leader(edge.view.leader)
             await async_wait_until(lambda: bool(received))
             other.task.cancel()
             other.link.close()
@@ -291,12 +291,12 @@
             others = [Edge("e2"), Edge("e3")]
             for other, received_reports in zip(others, received, strict=True):
                 other.client.on_leaving = received_reports.append
-            others[0].link.view.take_leader(edge.view.leader)
+            others[0].link.view.update_leader(edge.view.leader)
             await others[0].async_wait_leading()
             for _ in range(3):
                 edge.client.report_signal(self.LEAVING_REPORT)
             await async_wait_until(lambda: bool(received[0]))
-            others[1].link.view.take_leader(edge.view.leader)
+            others[1].link.view.update_leader(edge.view.leader)
             await async_wait_until(lambda: bool(received[1]))
             for other in others:
                 other.task.cancel()
@@ -387,19 +387,19 @@
         async with connect() as (scheduler, edge):
             assert edge.recorder.values == {"k": b"1"}
             item = Item(key="l", value=b"2", revision=6)
-            scheduler.mirror.take_reading(("k", "l"), (item,), 6)
+            scheduler.mirror.apply_partial_snapshot(("k", "l"), (item,), 6)
             await async_wait_until(lambda: len(edge.recorder.values) == 2)
             assert edge.recorder.values == {"k": b"1", "l": b"2"}
 
     async def test_simultaneous_changes_are_relayed_together(self) -> None:
         async with connect() as (scheduler, edge):
             received_changes: list[Changes] = []
-            edge.recorder.take_changes = received_changes.append  # type: ignore[method-assign]
+            edge.recorder.apply_changes = received_changes.append  # type: ignore[method-assign]
             for revision in (6, 7, 8):
                 key = "k" if revision < 8 else "l"
                 item = Item(key=key, value=b"%d" % revision, revision=revision)
                 change = Change(key=key, revision=revision, item=item)
-                scheduler.mirror.take_changes(
+                scheduler.mirror.apply_changes(
                     Changes(changes=(change,), revision=revision)
                 )
             await async_wait_until(lambda: bool(received_changes))
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -72,14 +72,14 @@
         Item(key=f"m/{number}", value=b"v" * 200, revision=5)
         for number in range(EDGE_COUNT)
     )
-    scheduler.mirror.take_snapshot(Snapshot(items=items, revision=6))
+    scheduler.mirror.apply_snapshot(Snapshot(items=items, revision=6))
 
 
 def add_announcement(scheduler: Scheduler, revision: int) -> Item:
     """Add the announcement of one more process to the store."""
     item = Item(key=f"n/{revision}", value=b"new", revision=revision)
     change = Change(key=item.key, revision=revision, item=item)
-    scheduler.mirror.take_changes(Changes(changes=(change,), revision=revision))
+    scheduler.mirror.apply_changes(Changes(changes=(change,), revision=revision))
     return item
 
 
@@ -221,7 +221,7 @@
                     peer_address="",
                     caller_address="",
                 )
-                edge.view.take_member(f"m/{number}", member)
+                edge.view.update_member(f"m/{number}", member)
             edge.follow(await scheduler.async_start())
             await async_wait_until(lambda: edge.link.leading)
             assert scheduler.connections == 1
@@ -247,9 +247,9 @@
         standby, edge = Scheduler(), Edge()
         standby.leading = False
         try:
-            edge.view.take_table(make_table())
+            edge.view.apply_table(make_table())
             member = make_member("a", await standby.async_start())
-            edge.view.take_member(member.key, member)
+            edge.view.update_member(member.key, member)
             await async_wait_until(lambda: edge.link.link is not None)
             link = edge.link.link
             await asyncio.sleep(2.5)
@@ -298,7 +298,7 @@
         seed, edge = Scheduler(), Edge()
         try:
             edge.link.seeds = (await seed.async_start(),)
-            edge.view.take_table(make_table())
+            edge.view.apply_table(make_table())
             await asyncio.sleep(SEED_WAIT_S + 0.3)
             assert seed.server.edge_count == 0
         finally:
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -32,11 +32,11 @@
     leader, standby, edge = Scheduler(), Scheduler(), Edge()
     standby.leading = False
     try:
-        edge.view.take_table(make_table())
+        edge.view.apply_table(make_table())
         addresses = [await each.async_start() for each in (leader, standby)]
         for name, address in zip("ab", addresses, strict=True):
             member = make_member(name, address)
-            edge.view.take_member(member.key, member)
+            edge.view.update_member(member.key, member)
         edge.follow(addresses[0])
         await edge.async_wait_leading()
         yield leader, standby, edge
@@ -57,9 +57,9 @@
             Item(key=f"runners/{number}", value=b"v" * 300, revision=5)
             for number in range(450)
         )
-        scheduler.mirror.take_snapshot(Snapshot(items=items, revision=6))
+        scheduler.mirror.apply_snapshot(Snapshot(items=items, revision=6))
         change = Change(key="runners/1", revision=7, item=None)
-        scheduler.mirror.take_changes(Changes(changes=(change,), revision=7))
+        scheduler.mirror.apply_changes(Changes(changes=(change,), revision=7))
         snapshot = scheduler.mirror.make_snapshot()
         assert snapshot is not None
         update = scheduler.server.feed.make_update(snapshot, 6)
@@ -73,11 +73,11 @@
             item = Item(key="l", value=b"2", revision=6)
             snapshot = Snapshot(items=(item,), revision=6)
             for each in (leader, standby):
-                each.mirror.take_snapshot(snapshot)
+                each.mirror.apply_snapshot(snapshot)
             await async_wait_until(lambda: edge.recorder.values == {"l": b"2"})
             newer = Item(key="n", value=b"3", revision=7)
             change = Change(key="n", revision=7, item=newer)
-            standby.mirror.take_changes(Changes(changes=(change,), revision=7))
+            standby.mirror.apply_changes(Changes(changes=(change,), revision=7))
             leader.stop()
             standby.leading = True
             await async_wait_until(lambda: len(edge.recorder.values) == 2)
