--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -57,10 +57,10 @@
     prefill_s_per_token: float
     first_event_s: float
     step_s: float
-    chunk: int
+    chunk_tokens: int
     """Maximum prompt tokens that one step prefills."""
 
-    stride: int
+    tokens_per_event: int
     """Tokens per event."""
 
     load_s: float
@@ -103,8 +103,12 @@
     # An engine on which each long prompt stalls all streams beyond the objective would
     # not be run with that objective.
     longest = 0.6 * gap_objective_s / prefill_s_per_token
-    chunk = random.choice([each for each in (256, 512, 1024, 2048) if each <= longest])
-    stride = max(1, int(random.uniform(0.2, 0.5) * gap_objective_s / step_s / 3))
+    chunk_tokens = random.choice(
+        [each for each in (256, 512, 1024, 2048) if each <= longest]
+    )
+    tokens_per_event = max(
+        1, int(random.uniform(0.2, 0.5) * gap_objective_s / step_s / 3)
+    )
     return Draw(
         seed=seed,
         runners=runners,
@@ -117,12 +121,12 @@
         prefill_s_per_token=prefill_s_per_token,
         first_event_s=random.choice([0.0, random.uniform(0.0, 0.15)]),
         step_s=step_s,
-        chunk=chunk,
-        stride=stride,
+        chunk_tokens=chunk_tokens,
+        tokens_per_event=tokens_per_event,
         load_s=math.exp(random.uniform(math.log(0.5), math.log(8.0))),
         has_disk_copies=random.random() < 0.5,
         prompt_tokens=random.randint(500, 1800),
-        output_tokens=random.randint(20, 60) * stride,
+        output_tokens=random.randint(20, 60) * tokens_per_event,
         utilization=random.uniform(0.2, 0.5),
         gap_objective_s=gap_objective_s,
     )
@@ -133,8 +137,8 @@
     """A request at an engine."""
 
     grant: Grant
-    unread: int
-    left: int
+    prefill_tokens_left: int
+    tokens_left: int
     """Output tokens that remain."""
 
     first_event_sent: bool = False
@@ -165,47 +169,49 @@
         if not self.prompts and not self.streams:
             self.stepping = False
             return
-        room, read = self.drawn.chunk, []
+        room, prefilled = self.drawn.chunk_tokens, []
         while self.prompts and room:
-            if len(self.streams) + len(read) >= self.drawn.slots:
+            if len(self.streams) + len(prefilled) >= self.drawn.slots:
                 break
-            part = min(room, self.prompts[0].unread)
-            self.prompts[0].unread -= part
-            room -= part
-            if self.prompts[0].unread:
+            tokens_in_step = min(room, self.prompts[0].prefill_tokens_left)
+            self.prompts[0].prefill_tokens_left -= tokens_in_step
+            room -= tokens_in_step
+            if self.prompts[0].prefill_tokens_left:
                 break
-            read.append(self.prompts.popleft())
-        tokens = self.drawn.chunk - room
+            prefilled.append(self.prompts.popleft())
+        tokens = self.drawn.chunk_tokens - room
         duration_s = self.drawn.step_s + tokens * self.drawn.prefill_s_per_token
-        self.world.after(duration_s, lambda: self._end_step(read))
+        self.world.call_later(duration_s, lambda: self._end_step(prefilled))
 
-    def _end_step(self, read: list[Stream]) -> None:
+    def _end_step(self, prefilled: list[Stream]) -> None:
         for stream in self.streams:
             self._make_token(stream)
-        self.streams = [each for each in self.streams if each.left > 0]
-        for stream in read:
+        self.streams = [each for each in self.streams if each.tokens_left > 0]
+        for stream in prefilled:
             self.streams.append(stream)
-            self.world.after(self.drawn.first_event_s, self._show_first(stream))
+            self.world.call_later(
+                self.drawn.first_event_s, self._make_first_event_sender(stream)
+            )
         self.step()
 
-    def _show_first(self, stream: Stream) -> Callable[[], None]:
-        def show() -> None:
+    def _make_first_event_sender(self, stream: Stream) -> Callable[[], None]:
+        def send() -> None:
             stream.first_event_sent = True
             stream.last_event_at = self.world.now
             self.world.report_first_event(stream.grant)
 
-        return show
+        return send
 
     def _make_token(self, stream: Stream) -> None:
         if not stream.first_event_sent:
             return
-        stream.left -= 1
+        stream.tokens_left -= 1
         stream.tokens += 1
-        if stream.tokens % self.drawn.stride == 0 or stream.left == 0:
+        if stream.tokens % self.drawn.tokens_per_event == 0 or stream.tokens_left == 0:
             gap_s = self.world.now - stream.last_event_at
             stream.longest_gap_s = max(stream.longest_gap_s, gap_s)
             stream.last_event_at = self.world.now
-        if stream.left == 0:
+        if stream.tokens_left == 0:
             self.world.end_stream(stream)
 
 
@@ -219,18 +225,20 @@
 
     engines: dict[str, Engine] = field(factory=dict, init=False)
 
-    def after(self, seconds: float, call: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, call: Callable[[], None]) -> None:
         """Call a function after a time."""
-        self._at(self.now + seconds, call)
+        self._call_at(self.now + seconds, call)
 
     def report_first_event(self, grant: Grant) -> None:
         """Send the first event of a request to the core."""
 
-        def show() -> None:
+        def send() -> None:
             self.outcomes[grant.request_id].first_at = self.now
-            self.feed(FirstEventSeen(edge=grant.edge, request_id=grant.request_id))
+            self.send_event(
+                FirstEventSeen(edge=grant.edge, request_id=grant.request_id)
+            )
 
-        self.after(NETWORK_DELAY_S, show)
+        self.call_later(NETWORK_DELAY_S, send)
 
     def end_stream(self, stream: Stream) -> None:
         """End a stream and report whether it paused for too long."""
@@ -268,19 +276,19 @@
     """Return the fleet of a draw; spare memory holds copies of the first models."""
     names = [f"m{number}" for number in range(drawn.models)]
     slots = drawn.runners * drawn.models_per_runner
-    held: list[list[str]] = [[] for _ in range(drawn.runners)]
-    wanted = names[:slots] + names[:2] * drawn.runners
-    for name in wanted:
-        free = [
+    placed: list[list[str]] = [[] for _ in range(drawn.runners)]
+    desired = names[:slots] + names[:2] * drawn.runners
+    for name in desired:
+        with_room = [
             each
-            for each in held
+            for each in placed
             if len(each) < drawn.models_per_runner and name not in each
         ]
-        if free:
-            min(free, key=len).append(name)
+        if with_room:
+            min(with_room, key=len).append(name)
     world = DrawnWorld(
         models=names,
-        runner_models=held,
+        runner_models=placed,
         load_s=drawn.load_s,
         disk_mb=1e6 if drawn.has_disk_copies else 0.0,
         seed=drawn.seed,
@@ -298,12 +306,12 @@
         name: configure_model(profile, drawn)
         for name, profile in service.engine.models.items()
     }
-    some = next(iter(models.values()))
+    any_model = next(iter(models.values()))
     engine = evolve(
         service.engine,
         slots=drawn.slots,
-        weights_mb=drawn.models_per_runner * some.weights_mb
-        + 8 * some.adapter_mb
+        weights_mb=drawn.models_per_runner * any_model.weights_mb
+        + 8 * any_model.adapter_mb
         + 1.0,
         loads_per_s=max(1.0, drawn.runners / 4),
         models=models,
@@ -317,9 +325,12 @@
 
 def configure_model(profile: ModelProfile, drawn: Draw) -> ModelProfile:
     """Return a model with the sampled load times."""
-    near_s = min(drawn.load_s, 0.3 + 0.1 * drawn.load_s)
+    local_load_s = min(drawn.load_s, 0.3 + 0.1 * drawn.load_s)
     return evolve(
-        profile, load_s=drawn.load_s, disk_load_s=near_s, memory_load_s=near_s
+        profile,
+        load_s=drawn.load_s,
+        disk_load_s=local_load_s,
+        memory_load_s=local_load_s,
     )
 
 
@@ -413,9 +424,9 @@
         return min(holders, key=lambda each: counts.count(each.runner_id), default=None)
 
     def _load(self, now: float) -> list[Action]:
-        wanted = {grant_request.model for grant_request in self.waiting}
+        desired = {grant_request.model for grant_request in self.waiting}
         loading = {each.loading for each in self.world.runners.values()}
-        for model in sorted(wanted - loading):
+        for model in sorted(desired - loading):
             for runner in self.world.runners.values():
                 idle = now >= runner.busy_until and not runner.loading
                 if idle and runner.runner_id not in self.busy:
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -122,8 +122,8 @@
         prefill_s_per_token=1 / 29_400,
         first_event_s=0.012,
         step_s=0.0051,
-        chunk=2048,
-        stride=8,
+        chunk_tokens=2048,
+        tokens_per_event=8,
         load_s=LOAD_S,
         has_disk_copies=True,
         prompt_tokens=1100,
@@ -138,17 +138,17 @@
         name: evolve(profile, disk_load_s=DISK_S, memory_load_s=0.45)
         for name, profile in service.engine.models.items()
     }
-    some = next(iter(models.values()))
+    any_model = next(iter(models.values()))
     # A runner's disk has room for six models.
     engine = evolve(
         service.engine,
         models=models,
         loads_per_s=0.3 * workload.runners,
-        disk_mb=6.4 * some.weights_mb,
+        disk_mb=6.4 * any_model.weights_mb,
     )
     world.table.services["llm"] = evolve(service, engine=engine)
-    held = _spread_models(workload)
-    for runner, names in zip(world.runners.values(), held, strict=True):
+    placed = _spread_models(workload)
+    for runner, names in zip(world.runners.values(), placed, strict=True):
         runner.engine = engine
         runner.models = {name: set() for name in names}
         runner.on_disk = list(names)
@@ -166,12 +166,12 @@
         )
         copies += [f"m{position}"] * count
     copies += [f"m{index}" for index in range(workload.popular, workload.models)]
-    held: list[list[str]] = [[] for _ in range(workload.runners)]
+    placed: list[list[str]] = [[] for _ in range(workload.runners)]
     for name in copies:
-        free = [each for each in held if len(each) < 3 and name not in each]
-        if free:
-            min(free, key=len).append(name)
-    return held
+        with_room = [each for each in placed if len(each) < 3 and name not in each]
+        if with_room:
+            min(with_room, key=len).append(name)
+    return placed
 
 
 def _list_popular_weights(workload: MixedWorkload) -> list[float]:
--- a/tests/policy/scheduling/test_cooldowns.py
+++ b/tests/policy/scheduling/test_cooldowns.py
@@ -16,7 +16,7 @@
     """Return a world in which r0 has a cooldown for an edge from 1 s on."""
     world = World(models=list(models), runner_models=runner_models)
     world.run(1.0)
-    world.feed(make_cooldown_report(edge))
+    world.send_event(make_cooldown_report(edge))
     return world
 
 
@@ -52,7 +52,7 @@
         add_requests(world, "a", 10.0, 1.0, 3.0)
         world.run(4.0)
         assert count_at(world, "r0") == 0
-        assert world.count_first_in(0.4) == 20
+        assert world.count_first_events_within(0.4) == 20
 
     def test_other_edges_use_it(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc", edge="e2")
@@ -77,7 +77,7 @@
             world.add_request(grant_request, at=1.0)
         world.run(1.02)
         before = count_at(world, "r0")
-        world.feed(make_cooldown_report())
+        world.send_event(make_cooldown_report())
         world.run(1.0 + COOLDOWN_S - 0.1)
         assert count_at(world, "r0") <= before + 1
 
@@ -91,7 +91,7 @@
 
     def test_disconnected_edge_has_no_cooldown(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
-        world.feed(EdgeDisconnected(edge="e1"))
+        world.send_event(EdgeDisconnected(edge="e1"))
         world.add_request(make_asked("q1", "a"), at=1.1)
         world.run(1.3)
         assert world.outcomes["q1"].runner_id == "r0"
@@ -114,7 +114,7 @@
         add_requests(world, "a", 10.0, 1.0, 8.0)
         for number in range(1, 5):
             world.run(1.0 + number)
-            world.feed(make_cooldown_report())
+            world.send_event(make_cooldown_report())
         world.run(8.0)
         loads = [each.runner_id for each in world.orders if each.load]
         assert loads[:1] == ["r1"]
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -25,8 +25,8 @@
     missed: list[tuple[float, str, str]] = field(factory=list, init=False)
     """Requests that a runner could have served: time, request and runner."""
 
-    def feed(self, event: Event) -> None:
-        super().feed(event)
+    def send_event(self, event: Event) -> None:
+        super().send_event(event)
         if isinstance(event, GrantRequest | Tick):
             self.check()
 
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -29,7 +29,7 @@
     """Return a world in which r0 is limited from 1 s on."""
     world = World(models=list(models), runner_models=runner_models)
     world.run(1.0)
-    world.feed(make_limit_report(LIMIT))
+    world.send_event(make_limit_report(LIMIT))
     return world
 
 
@@ -64,15 +64,15 @@
         add_requests(world, "a", 12.0, 1.0, 5.0)
         world.run(8.0)
         assert count_at(world, "r0") <= 4 * LIMIT + 2
-        assert world.count_first_in(0.4) >= 45
+        assert world.count_first_events_within(0.4) >= 45
 
     def test_end_of_the_limit_releases_the_queue(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         add_requests(world, "a", 8.0, 1.0, 1.5)
         world.run(1.5)
-        world.feed(make_limit_report(None))
+        world.send_event(make_limit_report(None))
         world.run(2.5)
-        assert world.count_first_in(1.0) == 4
+        assert world.count_first_events_within(1.0) == 4
 
     def test_retries_count_as_well(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
@@ -87,13 +87,13 @@
         add_requests(world, "a", 20.0, 1.0, 9.0)
         world.run(5.0)
         world.replace_core()
-        world.feed(make_limit_report(LIMIT))
+        world.send_event(make_limit_report(LIMIT))
         world.run(9.0)
         assert count_at(world, "r0") <= 8 * LIMIT + 3
 
     def test_limit_outlasts_a_missing_entry(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
-        world.feed(FleetUpdated(table=world.table, runners=()))
+        world.send_event(FleetUpdated(table=world.table, runners=()))
         world.update_fleet()
         add_requests(world, "a", 20.0, 1.0, 5.0)
         world.run(5.0)
@@ -135,7 +135,7 @@
         world = simulate([["a", "b", "c"], ["d", "e", "f"]])
         add_requests(world, "a", 1.0, 1.0, 5.0)
         world.run(1.0 + MIN_LIMITED_S / 2)
-        world.feed(make_limit_report(None))
+        world.send_event(make_limit_report(None))
         world.run(5.0)
         assert not any(each.load for each in world.orders)
 
@@ -151,7 +151,7 @@
         world.run(1.0 + MIN_LIMITED_S)
         add_requests(world, "a", 1.0, 2.0, 6.0)
         world.run(6.0)
-        assert world.count_first_in(1.0) == 4
+        assert world.count_first_events_within(1.0) == 4
 
 
 class TestPermits:
@@ -186,6 +186,6 @@
 
     def test_new_incarnation_has_no_limit(self) -> None:
         world = simulate([["a"]], models="a")
-        world.feed(evolve(make_limit_report(LIMIT), started_ms=1000))
+        world.send_event(evolve(make_limit_report(LIMIT), started_ms=1000))
         [action] = world.core.handle(evolve(self.PERMIT_REQUEST, started_ms=2000), 1.0)
         assert isinstance(action, Grant)
--- a/tests/policy/scheduling/test_load.py
+++ b/tests/policy/scheduling/test_load.py
@@ -14,7 +14,7 @@
             world.add_request(make_asked(f"q{number}", "a"), at=1.0)
         world.run(4.0)
         # Two runners prefill 20 prompts of 27 ms in 0.4 s, network delays included.
-        assert world.count_first_in(0.45) >= 18
+        assert world.count_first_events_within(0.45) >= 18
 
 
 class TestOverload:
@@ -31,7 +31,7 @@
     def test_throughput_on_time_stays_near_the_capacity(self) -> None:
         world = self.simulate()
         # A runner prefills at most 187 prompts of 27 ms in 5 s.
-        assert world.count_first_in(0.45) >= 100
+        assert world.count_first_events_within(0.45) >= 100
 
     def test_no_request_waits_until_its_caller_leaves(self) -> None:
         world = self.simulate()
@@ -69,7 +69,7 @@
         world.run(16.0)
         # 30 prompts of 13 ms per second take a share of 0.4 of the runner. Waiting for
         # the first event of each prompt would take 2.9 s per second.
-        assert world.count_first_in(0.8) >= 285
+        assert world.count_first_events_within(0.8) >= 285
 
 
 class TestShift:
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -88,7 +88,7 @@
         world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
         world.add_request(make_asked("q2", "g", patience_s=5.0), at=1.1)
         world.run(6.0)
-        assert world.count_first_in(2.5) == 2
+        assert world.count_first_events_within(2.5) == 2
         assert sum(each.store_loads for each in world.runners.values()) == 0
 
     def test_rare_models_leave_a_runner_for_a_rising_one(self) -> None:
@@ -181,7 +181,7 @@
     def list_orders_for_request(self, world: World) -> list[SendOrder]:
         grant_request = make_asked("q1", "f", patience_s=30.0)
         world.outcomes["q1"] = Outcome(grant_request, world.now)
-        world.feed(grant_request)
+        world.send_event(grant_request)
         return world.orders
 
     def test_no_order_before_a_report(self) -> None:
@@ -191,30 +191,36 @@
     def test_no_order_after_a_busy_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 6, busy=True)
-        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.0))
+        world.send_event(
+            ReportReceived(runner_id="r0", report=report, requested_at=0.0)
+        )
         assert self.list_orders_for_request(world) == []
 
     def test_refused_order_waits_for_a_fresh_report(self) -> None:
         world = World(models=list("abcdefg"), runner_models=[["a", "b"]])
         report = make_report(make_residents(("a", "b")), 0)
-        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.0))
+        world.send_event(
+            ReportReceived(runner_id="r0", report=report, requested_at=0.0)
+        )
         first = len(self.list_orders_for_request(world))
         assert first == 1
         world.now = 0.1
         outcome = OrderOutcome.NOT_NOW
-        world.feed(OrderEnded(runner_id="r0", outcome=outcome))
-        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=0.15))
-        world.feed(Tick())
+        world.send_event(OrderEnded(runner_id="r0", outcome=outcome))
+        world.send_event(
+            ReportReceived(runner_id="r0", report=report, requested_at=0.15)
+        )
+        world.send_event(Tick())
         assert len(world.orders) == 1
         newer = make_report(make_residents(("a", "b")), 1)
         world.now = 0.6
-        world.feed(ReportReceived(runner_id="r0", report=newer, requested_at=0.6))
-        world.feed(Tick())
+        world.send_event(ReportReceived(runner_id="r0", report=newer, requested_at=0.6))
+        world.send_event(Tick())
         assert [each.order_count for each in world.orders] == [0, 1]
 
     def test_no_order_unless_allowed(self) -> None:
         world = make_world(["a", "b", "c"])
-        world.feed(OrdersAllowed(allowed=False))
+        world.send_event(OrdersAllowed(allowed=False))
         world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
         world.run(3.0)
         assert world.orders == []
@@ -222,7 +228,7 @@
     def test_runner_that_left_the_fleet_gets_no_order(self) -> None:
         world = make_world(["a", "b", "c"], ["a", "d", "e"])
         entries = (make_runner("r1", ("a", "d", "e")),)
-        world.feed(FleetUpdated(table=world.table, runners=entries))
+        world.send_event(FleetUpdated(table=world.table, runners=entries))
         world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
         world.run(3.0)
         assert {each.runner_id for each in world.orders} == {"r1"}
@@ -293,7 +299,9 @@
         report = make_report((resident,), world.runners["r0"].order_count)
         loaded = world.core.state.runners["r0"].models["a"]
         assert "a7" in loaded.adapters
-        world.feed(ReportReceived(runner_id="r0", report=report, requested_at=1.2))
+        world.send_event(
+            ReportReceived(runner_id="r0", report=report, requested_at=1.2)
+        )
         assert "a7" in loaded.adapters
 
 
@@ -305,11 +313,11 @@
         world = World(models=list("abcdef"), runner_models=[["a"]], disk_mb=1e6)
         # The weight store doesn't limit loads from a disk.
         world.runners["r0"].on_disk = list("abcd")
-        world.feed(OrdersAllowed(allowed=False))
+        world.send_event(OrdersAllowed(allowed=False))
         for name in "bcd":
             world.add_request(make_asked(f"q-{name}", name, patience_s=9.0), at=0.4)
         world.run(0.5)
-        world.feed(OrdersAllowed(allowed=True))
+        world.send_event(OrdersAllowed(allowed=True))
         world.run(8.0)
         orders = [(each.runner_id, each.order_count) for each in world.orders]
         assert len(orders) == len(set(orders))
--- a/tests/policy/scheduling/test_prefetching.py
+++ b/tests/policy/scheduling/test_prefetching.py
@@ -37,7 +37,7 @@
             at = 20.0 + 4 * number
             world.add_request(make_asked(f"q{number}", model, patience_s=2.4), at=at)
         world.run(50.0)
-        assert world.count_first_in(2.4) == 6
+        assert world.count_first_events_within(2.4) == 6
 
     def test_popular_model_keeps_its_copies(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
@@ -95,7 +95,7 @@
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         world.add_request(make_asked("q0", "a"), at=0.0)
         world.run(4.0)
-        world.feed(
+        world.send_event(
             FleetUpdated(
                 table=world.table,
                 runners=tuple(
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -54,7 +54,7 @@
     models: dict[str, set[str]]
     order_count: int = 0
     busy_until: float = 0.0
-    read_until: float = 0.0
+    prefilled_until: float = 0.0
     running: dict[str, str] = field(factory=dict)
     overfilled: int = 0
     loading: str = ""
@@ -209,9 +209,9 @@
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
         self.update_fleet()
-        self.feed(OrdersAllowed(allowed=True))
-        self._at(0.0, self._tick)
-        self._at(0.0, self._report)
+        self.send_event(OrdersAllowed(allowed=True))
+        self._call_at(0.0, self._tick)
+        self._call_at(0.0, self._report)
 
     def update_fleet(self) -> None:
         """Send the current list of runners to the core."""
@@ -219,18 +219,18 @@
             make_runner(each.runner_id, tuple(each.models))
             for each in self.runners.values()
         ]
-        self.feed(FleetUpdated(table=self.table, runners=tuple(entries)))
+        self.send_event(FleetUpdated(table=self.table, runners=tuple(entries)))
 
     def replace_core(self) -> None:
         """Start a new scheduler, which knows only the reports of the runners."""
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
         self.update_fleet()
-        self.feed(OrdersAllowed(allowed=True))
+        self.send_event(OrdersAllowed(allowed=True))
 
     def add_request(self, grant_request: GrantRequest, at: float) -> None:
         """Schedule the arrival of a request."""
-        self._at(at, lambda: self._arrive(grant_request))
+        self._call_at(at, lambda: self._handle_arrival(grant_request))
 
     def run(self, until: float) -> None:
         """Simulate until a time."""
@@ -242,12 +242,12 @@
             call()
         self.now = until
 
-    def feed(self, event: Event) -> None:
+    def send_event(self, event: Event) -> None:
         """Send an event to the core and execute its actions."""
         for action in self.core.handle(event, self.now):
             self._execute(action)
 
-    def count_first_in(self, seconds: float) -> int:
+    def count_first_events_within(self, seconds: float) -> int:
         """Return the number of requests whose first event arrived within a time."""
         return sum(
             1
@@ -256,18 +256,18 @@
             and each.first_at - each.requested_at <= seconds
         )
 
-    def _arrive(self, grant_request: GrantRequest) -> None:
+    def _handle_arrival(self, grant_request: GrantRequest) -> None:
         self.outcomes[grant_request.request_id] = Outcome(grant_request, self.now)
-        self.feed(grant_request)
+        self.send_event(grant_request)
 
     def _execute(self, action: Action) -> None:
         if isinstance(action, Grant):
-            self._at(self.now + NETWORK_DELAY_S, lambda: self._send(action))
+            self._call_at(self.now + NETWORK_DELAY_S, lambda: self._send(action))
         elif isinstance(action, Refuse):
             outcome = self.outcomes[action.request_id]
             outcome.refused_at, outcome.refusal = self.now, action
         else:
-            self._order(action)
+            self._send_order(action)
 
     def _send(self, grant: Grant) -> None:
         runner = self.runners.get(grant.runner_id)
@@ -278,42 +278,48 @@
         outcome = self.outcomes[grant.request_id]
         outcome.runner_id = grant.runner_id
         runner.running[grant.request_id] = grant_request.model
-        start = max(self.now, runner.read_until)
-        runner.read_until = (
+        start = max(self.now, runner.prefilled_until)
+        runner.prefilled_until = (
             start + grant_request.prompt.tokens * self.prefill_s_per_token
         )
-        first_at = runner.read_until + self.first_event_s
+        first_at = runner.prefilled_until + self.first_event_s
 
         def show_first() -> None:
             outcome.first_at = self.now
-            self.feed(FirstEventSeen(edge=grant.edge, request_id=grant.request_id))
+            self.send_event(
+                FirstEventSeen(edge=grant.edge, request_id=grant.request_id)
+            )
 
-        self._at(first_at + NETWORK_DELAY_S, show_first)
-        self._at(first_at + STREAM_S, lambda: self._end(grant, EndKind.SERVED))
+        self._call_at(first_at + NETWORK_DELAY_S, show_first)
+        self._call_at(first_at + STREAM_S, lambda: self._end(grant, EndKind.SERVED))
 
     def _end(self, grant: Grant, kind: EndKind) -> None:
         runner = self.runners.get(grant.runner_id)
         if runner is not None:
             runner.running.pop(grant.request_id, None)
-        self.feed(RequestEnded(edge=grant.edge, request_id=grant.request_id, kind=kind))
+        self.send_event(
+            RequestEnded(edge=grant.edge, request_id=grant.request_id, kind=kind)
+        )
 
-    def _order(self, order: SendOrder) -> None:
+    def _send_order(self, order: SendOrder) -> None:
         self.orders.append(order)
         fault = self.faults.pop(0) if self.faults else ""
         runner = self.runners.get(order.runner_id)
         if fault == "lose" or runner is None:
-            self._answer(order, OrderOutcome.IN_DOUBT, 0.8)
+            self._schedule_answer(order, OrderOutcome.IN_DOUBT, 0.8)
         elif fault == "late":
             delay = self.rng.uniform(2.0, 6.0)
-            self._at(self.now + delay, lambda: self._apply(runner, order))
-            self._answer(order, OrderOutcome.IN_DOUBT, 0.8)
+            self._call_at(self.now + delay, lambda: self._apply(runner, order))
+            self._schedule_answer(order, OrderOutcome.IN_DOUBT, 0.8)
         elif fault == "no_answer":
-            self._at(self.now + NETWORK_DELAY_S, lambda: self._apply(runner, order))
-            self._answer(order, OrderOutcome.IN_DOUBT, 0.8)
+            self._call_at(
+                self.now + NETWORK_DELAY_S, lambda: self._apply(runner, order)
+            )
+            self._schedule_answer(order, OrderOutcome.IN_DOUBT, 0.8)
         else:
-            self._at(
+            self._call_at(
                 self.now + NETWORK_DELAY_S,
-                lambda: self._answer(
+                lambda: self._schedule_answer(
                     order, self._apply(runner, order), NETWORK_DELAY_S
                 ),
             )
@@ -321,12 +327,14 @@
     def _apply(self, runner: FakeRunner, order: SendOrder) -> OrderOutcome:
         return runner.execute(order, self.now)
 
-    def _answer(self, order: SendOrder, outcome: OrderOutcome, after: float) -> None:
+    def _schedule_answer(
+        self, order: SendOrder, outcome: OrderOutcome, after: float
+    ) -> None:
         core = self.core
 
         def deliver() -> None:
             if self.core is core:
-                self.feed(
+                self.send_event(
                     OrderEnded(
                         runner_id=order.runner_id,
                         outcome=outcome,
@@ -334,23 +342,23 @@
                     )
                 )
 
-        self._at(self.now + after, deliver)
+        self._call_at(self.now + after, deliver)
 
     def _tick(self) -> None:
-        self.feed(Tick())
-        self._at(self.now + TICK_S, self._tick)
+        self.send_event(Tick())
+        self._call_at(self.now + TICK_S, self._tick)
 
     def _report(self) -> None:
         for runner in self.runners.values():
             runner.record_state(self.now)
             report = runner.read_report(self.now)
             if report is not None:
-                self.feed(
+                self.send_event(
                     ReportReceived(
                         runner_id=runner.runner_id, report=report, requested_at=self.now
                     )
                 )
-        self._at(self.now + REPORT_S, self._report)
+        self._call_at(self.now + REPORT_S, self._report)
 
-    def _at(self, time: float, call: Callable[[], None]) -> None:
+    def _call_at(self, time: float, call: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (time, next(self._numbers), call))
