--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -234,7 +234,7 @@
             view=self.process.view,
             edge=self.process.incarnation,
             cooldowns=self.client.local.core.state.cooldowns,
-            tell=self.client.tell,
+            report_signal=self.client.report_signal,
         )
         self.client.on_limit = watch.handle_relayed_limit
         self.client.on_leaving = watch.handle_relayed_leaving
@@ -271,7 +271,7 @@
                 metrics=process.metrics,
                 clock=process.clock,
                 start_task=process.tasks.async_start,
-                on_crash=crash_filter.note_crash,
+                on_crash=crash_filter.record_crash,
             ),
             crash_filter=crash_filter,
             signal_tracker=self.signal_tracker,
@@ -279,7 +279,9 @@
         )
 
     def _tell(self, key: str, value: bytes) -> bool:
-        return self.process.leader_link.tell(RelayedStatement(key=key, value=value))
+        return self.process.leader_link.send_statement(
+            RelayedStatement(key=key, value=value)
+        )
 
     def _note_view(self) -> None:
         """Note that the fleet changed; the first configuration makes the edge ready."""
@@ -346,7 +348,7 @@
     async def _async_sum_up(self) -> None:
         while True:
             await async_sleep_to_tick(SUMMARY_S)
-            self.retry_budgets.sum_up()
+            self.retry_budgets.log_summary()
 
 
 def _log_error(error: BaseException) -> None:
--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -247,7 +247,7 @@
         runner.running.remove(request)
         self.results.served += 1
         self._blocked.discard(request.identity)
-        self.crash_filters[request.edge].note_served(request.identity)
+        self.crash_filters[request.edge].record_success(request.identity)
 
     def _count_late_run(self, name: str) -> None:
         third_at = self._third_crash.get(name)
@@ -288,7 +288,7 @@
                 )
                 for each in lost
             )
-            self.crash_filters[edge].note_crash(
+            self.crash_filters[edge].record_crash(
                 RunnerCrash(life=life, requests=requests)
             )
         for request in running:
