--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mangoway.edge.responses import make_refusal
+from mangoway.edge.responses import make_error_response
 from mangoway.http1.messages import Request
 from mangoway.http1.server import Exchange, ServerOptions, async_listen
 from mangoway.models.routing import CallerLimits
@@ -25,7 +25,7 @@
         self.options = ServerOptions(
             handle=self._handle,
             limits=lambda: limits,
-            refuse=make_refusal,
+            refuse=make_error_response,
             on_error=self.errors.append,
         )
 
