--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -244,7 +244,7 @@
 
     def _make_forwarder(self) -> Forwarder:
         process = self.process
-        plain = PlainGrantProvider(
+        plain_grant_provider = PlainGrantProvider(
             data_centre=self.settings.data_centre,
             view=process.view,
             clock=process.clock,
@@ -252,7 +252,7 @@
         )
         crash_filter = CrashFilter(
             edge=process.incarnation,
-            book=process.crashes,
+            tracker=process.crashes,
             statement_sender=self.reporter,
             clock=process.clock,
         )
@@ -261,7 +261,7 @@
             incarnation=process.incarnation,
             view=process.view,
             grant_provider=self.client,
-            plain=plain,
+            plain_grant_provider=plain_grant_provider,
             retry_budgets=self.retry_budgets,
             admission=self.admission,
             pool=ConnectionPool(MAX_IDLE_PER_RUNNER),
@@ -326,7 +326,7 @@
         while True:
             await async_sleep_to_tick(SWEEP_S)
             self.forwarder.pool.sweep(self.process.clock())
-            self.forwarder.plain.forget_removed_runners()
+            self.forwarder.plain_grant_provider.forget_removed_runners()
             self.signal_tracker.keep_only(set(self.process.view.runners))
 
     async def _async_look_at_members(self) -> None:
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -40,10 +40,10 @@
     edge: str
     """Incarnation of this edge."""
 
-    book: CrashTracker
+    tracker: CrashTracker
     statement_sender: StatementSender
     clock: Callable[[], float]
-    memory: ServedRequests = field(factory=ServedRequests)
+    served_requests: ServedRequests = field(factory=ServedRequests)
     _own: dict[str, dict[RequestIdentity, Charge]] = field(factory=dict, init=False)
     """What this edge had at each life that crashed, oldest first."""
 
@@ -53,15 +53,15 @@
     """Requests that wait for a runner, by content."""
 
     def __attrs_post_init__(self) -> None:
-        self.book.on_blocked.append(self._note_held)
+        self.tracker.on_blocked.append(self._note_held)
 
     def is_blocked(self, identity: RequestIdentity) -> bool:
         """Return whether a request must go to no runner."""
-        return self.book.is_blocked(identity)
+        return self.tracker.is_blocked(identity)
 
     def is_suspected(self, identity: RequestIdentity) -> bool:
         """Return whether one more crash holds a request back."""
-        return self.book.is_suspected(identity)
+        return self.tracker.is_suspected(identity)
 
     @contextmanager
     def call_if_held(
@@ -94,13 +94,13 @@
 
     def record_success(self, identity: RequestIdentity) -> None:
         """Clear a request that has ended well."""
-        self.memory.note(identity, self.clock())
-        lives = self.book.list_crashes(identity)
+        self.served_requests.note(identity, self.clock())
+        lives = self.tracker.list_crashes(identity)
         if lives:
             self._clear(identity, lives, told=len(lives) >= TOLD_FROM)
 
     def _has_just_ended_well(self, identity: RequestIdentity) -> bool:
-        return self.memory.knows(identity, self.clock())
+        return self.served_requests.knows(identity, self.clock())
 
     def _make_charge(self, lost: InterruptedRequest, life: str) -> Charge:
         content = lost.identity.content
@@ -108,7 +108,7 @@
             lost.identity,
             life,
             _get_stage(lost.ran_s),
-            alone=self.memory.contains_content(content, self.clock()),
+            alone=self.served_requests.contains_content(content, self.clock()),
         )
 
     def _clear(
@@ -120,25 +120,25 @@
         if told:
             self._tell(statement)
         else:
-            statement.take(self.book)
+            statement.take(self.tracker)
 
     def _tell(self, statement: Statement) -> None:
         """Take a statement here, and tell it to all others."""
         self.statement_sender.post(statement)
-        statement.take(self.book)
+        statement.take(self.tracker)
 
     def _note_held(self, content: str) -> None:
         """Object if this edge knows better; else answer what waits."""
-        charges = self.book.list_charges(content)
+        charges = self.tracker.list_charges(content)
         identities = {each.identity for each in charges}
         for identity in identities:
             if self._has_just_ended_well(identity):
-                self._clear(identity, self.book.list_crashes(identity), told=True)
-        served = self.memory.contains_content(content, self.clock())
-        if served and self.book.holds_all(content):
+                self._clear(identity, self.tracker.list_crashes(identity), told=True)
+        served = self.served_requests.contains_content(content, self.clock())
+        if served and self.tracker.holds_all(content):
             # Others with this content are served, so it takes one of them by itself.
             self._clear(RequestIdentity(content, ""), frozenset(), told=True)
-        held = [each for each in identities if self.book.is_blocked(each)]
+        held = [each for each in identities if self.tracker.is_blocked(each)]
         if not held:
             return
         log_event(
@@ -148,7 +148,7 @@
             )
         )
         for identity, call in tuple(self._waiting.get(content, ())):
-            if self.book.is_blocked(identity):
+            if self.tracker.is_blocked(identity):
                 call()
 
 
--- a/mangoway/edge/forwarder.py
+++ b/mangoway/edge/forwarder.py
@@ -46,7 +46,7 @@
     grant_provider: GrantProvider
     """Places requests for services with a model engine."""
 
-    plain: PlainGrantProvider
+    plain_grant_provider: PlainGrantProvider
     """Places requests for all others."""
 
     retry_budgets: RetryBudgets
--- a/mangoway/edge/handling.py
+++ b/mangoway/edge/handling.py
@@ -159,7 +159,7 @@
             on_first_event=self._note_first_event,
             on_head=lambda head: self._note_head(runner, head, sent_at),
         )
-        self.tools.plain.in_flight.add(runner.runner_id)
+        self.tools.plain_grant_provider.in_flight.add(runner.runner_id)
         self._in_attempt = True
         self._finder.payment.begin_try()
         self._first_event_at = None
@@ -167,7 +167,7 @@
         try:
             result = await attempt.async_run()
         finally:
-            self.tools.plain.in_flight.remove(runner.runner_id)
+            self.tools.plain_grant_provider.in_flight.remove(runner.runner_id)
         if result.connection_lost:
             await self._async_note_lost(runner, sent_at)
         self._in_attempt = False
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -33,7 +33,7 @@
     incarnation: str
     view: FleetView
     grant_provider: GrantProvider
-    plain: PlainGrantProvider
+    plain_grant_provider: PlainGrantProvider
     retry_budgets: RetryBudgets
     crash_filter: CrashFilter
     signal_tracker: SignalTracker
@@ -159,7 +159,7 @@
         self.end(kind)
         self.payment.settle_try(was_sent=was_sent)
         if self.service.engine is None:
-            self.tools.plain.note(runner_id, kind)
+            self.tools.plain_grant_provider.note(runner_id, kind)
         if was_sent:
             self.reached.add(runner_id)
         if kind in (EndKind.NOT_HELD, EndKind.NOT_RUN):
@@ -251,7 +251,7 @@
         """Choose a plain runner; a limited one only with a permit."""
         waits = self._list_rests()
         while True:
-            placed = self.tools.plain.place(
+            placed = self.tools.plain_grant_provider.place(
                 self.service.name, excluded, only, self._refused, waits
             )
             if isinstance(placed, Refuse) or not self._is_limited(placed):
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -219,7 +219,7 @@
         ):
             declare(edge, KEY)
             edge.add("r1", runner, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", other, "plain")
             reply = await edge.async_call("/safe/x", headers=SHOWN)
         assert reply.status == 401
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -38,10 +38,10 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.statement_sender = StubTeller()
-        self.book = CrashTracker()
+        self.tracker = CrashTracker()
         self.crash_filter = CrashFilter(
             edge="e1",
-            book=self.book,
+            tracker=self.tracker,
             statement_sender=self.statement_sender,
             clock=lambda: self.now,
         )
@@ -111,7 +111,7 @@
         world = Screening()
         world.crash("l1", OTHER)
         world.crash_filter.record_success(OTHER)
-        assert world.book.list_crashes(OTHER) == frozenset()
+        assert world.tracker.list_crashes(OTHER) == frozenset()
         assert world.list_told(ClearedStatement) == []
 
     def test_two_charges_are_cleared_for_all(self) -> None:
@@ -128,7 +128,7 @@
         world = Screening()
         world.crash_filter.record_success(OTHER)
         for life in ("l1", "l2", "l3"):
-            world.book.add_crash(f"{life}/e2", [Charge(OTHER, life)])
+            world.tracker.add_crash(f"{life}/e2", [Charge(OTHER, life)])
         assert not world.crash_filter.is_blocked(OTHER)
         assert len(world.list_told(ClearedStatement)) >= 1
 
@@ -137,7 +137,7 @@
         world = Screening()
         world.crash_filter.record_success(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3"):
-            world.book.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
+            world.tracker.add_crash(f"{life}/e2", [Charge(CULPRIT, life)])
         assert world.crash_filter.is_blocked(CULPRIT)
         assert world.statement_sender.posted == []
 
@@ -146,7 +146,7 @@
         world.crash_filter.record_success(RequestIdentity("c", "served"))
         for life in ("l1", "l2", "l3", "l4", "l5"):
             charge = Charge(RequestIdentity("c", life), life)
-            world.book.add_crash(f"{life}/e2", [charge])
+            world.tracker.add_crash(f"{life}/e2", [charge])
         assert not world.crash_filter.is_blocked(RequestIdentity("c", "new"))
 
 
@@ -166,7 +166,7 @@
     identity = make_identity(path)
     for life in ("l1", "l2", "l3"):
         charge = Charge(identity, life)
-        edge.forwarder.crash_filter.book.add_crash(f"{life}/e9", [charge])
+        edge.forwarder.crash_filter.tracker.add_crash(f"{life}/e9", [charge])
 
 
 class TestAnswers:
@@ -190,12 +190,12 @@
     async def test_equal_content_of_others_is_served(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
-            book = edge.forwarder.crash_filter.book
+            tracker = edge.forwarder.crash_filter.tracker
             await edge.async_call("/safe/x", headers="Authorization: a\r\n")
-            [known] = edge.forwarder.crash_filter.memory._served_at
+            [known] = edge.forwarder.crash_filter.served_requests._served_at
             other = RequestIdentity(known.content, "other")
             for life in ("l1", "l2", "l3"):
-                book.add_crash(f"{life}/e9", [Charge(other, life)])
+                tracker.add_crash(f"{life}/e9", [Charge(other, life)])
             reply = await edge.async_call("/safe/x", headers="Authorization: a\r\n")
         assert reply.status == 200
 
@@ -267,10 +267,10 @@
 
     async def test_third_crash_is_known_before_the_request_is_repeated(self) -> None:
         async with RawServer(answer(make_ok())) as other, start_edge() as edge:
-            book = edge.forwarder.crash_filter.book
+            tracker = edge.forwarder.crash_filter.tracker
             for life in ("l1", "l2"):
                 charge = Charge(make_identity("/safe/x"), life)
-                book.add_crash(f"{life}/e9", [charge])
+                tracker.add_crash(f"{life}/e9", [charge])
             async with RawServer() as runner:
 
                 async def crash(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -279,7 +279,7 @@
 
                 runner._scripts = [crash]
                 edge.add("r1", runner, "plain")
-                edge.forwarder.plain.in_flight.add("r2")
+                edge.forwarder.plain_grant_provider.in_flight.add("r2")
                 edge.add("r2", other, "plain")
                 reply = await edge.async_call("/safe/x")
         assert reply.status == 502
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -75,7 +75,7 @@
         ):
             edge.add("r1", bad, "plain")
             edge.view.runners["r1"] = edge.view.runners["r1"]
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/safe/x")
         assert (len(bad.requests), len(good.requests)) == (1, 1)
@@ -88,7 +88,7 @@
             start_edge() as edge,
         ):
             edge.add("r1", bad, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/once/x")
         assert (len(bad.requests), len(good.requests)) == (1, 0)
@@ -106,7 +106,7 @@
             gone = RawServer()
             async with gone:
                 edge.add("r1", gone, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/once/x")
         assert reply.status == 200
@@ -118,7 +118,7 @@
             start_edge() as edge,
         ):
             edge.add("r1", silent, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/safe/x")
             assert reply.status == 200
@@ -180,7 +180,7 @@
             edge.add("r1", runner, "plain")
             await edge.async_call("/safe/x")
             edge.add("r2", other, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             reply = await edge.async_call("/once/x")
             assert (reply.status, len(other.requests)) == (502, 0)
             assert len(runner.requests) == 2
@@ -221,7 +221,7 @@
     async def test_timeout_of_the_route_ends_the_wait(self) -> None:
         async with RawServer(answer()) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
-            edge.forwarder.plain.health.note_success("r1")
+            edge.forwarder.plain_grant_provider.health.note_success("r1")
             reply = await edge.async_call("/short/x")
         assert reply.status in (502, 504)
 
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -82,7 +82,7 @@
         ):
             declare(edge, KEY)
             edge.add("r1", bad, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/safe/x", headers=SHOWN)
         assert (reply.status, len(bad.requests)) == (200, 1)
--- a/tests/edge/test_retry_budget.py
+++ b/tests/edge/test_retry_budget.py
@@ -173,7 +173,7 @@
             start_edge(limits=NO_REPEATS) as edge,
         ):
             edge.add("r1", silent, "plain")
-            edge.forwarder.plain.in_flight.add("r2")
+            edge.forwarder.plain_grant_provider.in_flight.add("r2")
             edge.add("r2", good, "plain")
             reply = await edge.async_call("/safe/x")
         assert good.requests == []
--- a/tests/edge/ways.py
+++ b/tests/edge/ways.py
@@ -36,7 +36,7 @@
 def choose_last(edge: EdgeWorld, runner_id: str) -> None:
     """Let a plain runner be chosen only if there is no other."""
     for _ in range(5):
-        edge.forwarder.plain.in_flight.add(runner_id)
+        edge.forwarder.plain_grant_provider.in_flight.add(runner_id)
 
 
 async def async_count_second(
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -281,7 +281,7 @@
     for _ in range(EARNED_REQUESTS):
         for service in ("plain", "llm"):
             retry_budgets.note_request(service)
-    plain = PlainGrantProvider(
+    plain_grant_provider = PlainGrantProvider(
         data_centre="dc1",
         view=view,
         clock=clock,
@@ -293,14 +293,17 @@
     tasks = Tasks(errors.append)
     statement_sender = StubTeller()
     crash_filter = CrashFilter(
-        edge="e1", book=CrashTracker(), statement_sender=statement_sender, clock=clock
+        edge="e1",
+        tracker=CrashTracker(),
+        statement_sender=statement_sender,
+        clock=clock,
     )
     forwarder = Forwarder(
         data_centre="dc1",
         incarnation="e1",
         view=view,
         grant_provider=grant_provider,
-        plain=plain,
+        plain_grant_provider=plain_grant_provider,
         retry_budgets=retry_budgets,
         admission=Admission(view=view, measure_age=lambda: ages[0], revoke_s=5.0),
         pool=ConnectionPool(4),
--- a/tests/policy/crashes/storm.py
+++ b/tests/policy/crashes/storm.py
@@ -153,7 +153,7 @@
     def _make_screen(self, number: int) -> CrashFilter:
         return CrashFilter(
             edge=f"e{number}",
-            book=CrashTracker(),
+            tracker=CrashTracker(),
             statement_sender=_Teller(self, number),
             clock=lambda: self.now,
         )
@@ -165,7 +165,7 @@
         def take() -> None:
             for number, crash_filter in enumerate(self.screens):
                 if number != edge:
-                    statement.take(crash_filter.book)
+                    statement.take(crash_filter.tracker)
 
         self._at(TOLD_AFTER_S, take)
 
