--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -193,7 +193,7 @@
         """
         link = self._find_link()
         if link is None:
-            return self.local.take_permit(runner)
+            return self.local.consume_permit(runner)
         request_id = f"permit/{next(self._permit_numbers)}"
         future: asyncio.Future[GrantResponse] = (
             asyncio.get_running_loop().create_future()
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -73,7 +73,7 @@
         self.handle(Tick())
         return self.core.state.quotas.take(customer, amount, self.clock())
 
-    def take_permit(self, runner: RunnerEntry) -> float:
+    def consume_permit(self, runner: RunnerEntry) -> float:
         """Consume a permit of a limited runner; return the seconds until one exists."""
         limits, now = self.core.state.limits, self.clock()
         incarnation = (runner.runner_id, runner.started_ms)
