--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -10,7 +10,7 @@
 from ..models.crash import Charge, Clearance, RequestIdentity, RunStage
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
-from ..policy.crashes.const import BEGIN_S
+from ..policy.crashes.const import EARLY_RUN_S
 from ..policy.crashes.served_requests import ServedRequests
 from ..policy.crashes.tracker import CrashTracker
 from .crash_detector import InterruptedRequest, RunnerCrash
@@ -100,13 +100,13 @@
 
     def record_success(self, identity: RequestIdentity) -> None:
         """Clear the charges of a request that has succeeded."""
-        self.served_requests.note(identity, self.clock())
+        self.served_requests.add(identity, self.clock())
         lives = self.tracker.list_crashes(identity)
         if lives:
             self._clear(identity, lives, send=len(lives) >= MIN_REPORTED_CHARGES)
 
     def _has_succeeded_recently(self, identity: RequestIdentity) -> bool:
-        return self.served_requests.knows(identity, self.clock())
+        return self.served_requests.contains(identity, self.clock())
 
     def _make_charge(self, request: InterruptedRequest, incarnation: str) -> Charge:
         content = request.identity.content
@@ -141,7 +141,7 @@
             if self._has_succeeded_recently(identity):
                 self._clear(identity, self.tracker.list_crashes(identity), send=True)
         is_served = self.served_requests.contains_content(content, self.clock())
-        if is_served and self.tracker.holds_all(content):
+        if is_served and self.tracker.is_content_blocked(content):
             # Other variants of the content are served here, so the content as a whole
             # is not the cause of the crashes, and each variant is judged separately.
             self._clear(RequestIdentity(content, ""), frozenset(), send=True)
@@ -167,4 +167,4 @@
     """
     if ran_s <= 0:
         return RunStage.NOTHING_SENT
-    return RunStage.BEGUN if ran_s < BEGIN_S else RunStage.GOING_ON
+    return RunStage.BEGUN if ran_s < EARLY_RUN_S else RunStage.GOING_ON
--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -16,7 +16,7 @@
 from ..platform.requests import RequestFields, encode_for_runner
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
-from ..policy.edge.retries import FailedAttempt, Next, RetryCause, decide_retry
+from ..policy.edge.retries import FailedAttempt, RetryCause, RetryDecision, decide_retry
 from ..policy.scheduling.events import EndKind, Refuse
 from .admission import Admission, Caller, Rejection
 from .attempt import Attempt, AttemptResult, BufferedResponse, deliver_buffered
@@ -133,7 +133,7 @@
             self._retry_cause = self._get_retry_cause(result)
             decision = self._decide(result)
             self.log.log_failed_attempt(found, result, decision)
-            if decision is Next.RETRY:
+            if decision is RetryDecision.RETRY:
                 continue
             self._give_up(result, decision)
             return
@@ -245,7 +245,7 @@
             and self.delivery.longest_gap_s > objective_s
         )
 
-    def _decide(self, result: AttemptResult) -> Next:
+    def _decide(self, result: AttemptResult) -> RetryDecision:
         failed = FailedAttempt(
             verdict=result.verdict,
             ran_before=self._may_have_run,
@@ -254,7 +254,7 @@
             time_left_s=self._deadline - self._clock(),
         )
         decision = decide_retry(self.route, failed, budget_left=True)
-        needs_credit = decision is Next.RETRY and result.was_sent
+        needs_credit = decision is RetryDecision.RETRY and result.was_sent
         if needs_credit and not self._finder.retry_payment.try_acquire():
             self._is_budget_spent = True
             decision = decide_retry(self.route, failed, budget_left=False)
@@ -269,11 +269,11 @@
             return RetryCause.SILENT
         return RetryCause.RESUMED if self.delivery.events else RetryCause.FAILED
 
-    def _give_up(self, result: AttemptResult, decision: Next) -> None:
+    def _give_up(self, result: AttemptResult, decision: RetryDecision) -> None:
         reason, retry_after_s = result.reason, RETRY_AFTER_OUTAGE_S
         if self._is_budget_spent:
             reason, retry_after_s = RETRY_BUDGET_SPENT_REASON, RETRY_AFTER_BUDGET_S
-        if decision is Next.REFUSE:
+        if decision is RetryDecision.REFUSE:
             self._reject(reason, retry_after_s)
         else:
             self._fail(STATUS_FAILED, reason)
--- a/mangoway/edge/retry_budgets.py
+++ b/mangoway/edge/retry_budgets.py
@@ -29,12 +29,12 @@
     def record_request(self, service: str) -> None:
         """Count a request of a caller."""
         share = self.share.measure(self.boot_clock())
-        self.get(service).note_request(self.clock(), share)
+        self.get(service).record_request(self.clock(), share)
 
     def try_acquire(self, service: str) -> RetryCredit | None:
         """Take the credit for one retry; return None if there is none."""
         share = self.share.measure(self.boot_clock())
-        return self.get(service).take(self.clock(), share)
+        return self.get(service).try_acquire(self.clock(), share)
 
     def log_summary(self) -> None:
         """Log the budgets that were used since the last call."""
--- a/mangoway/edge/retry_payment.py
+++ b/mangoway/edge/retry_payment.py
@@ -48,7 +48,7 @@
         """Return an unused credit to the budget."""
         credit, self._next = self._next, None
         if credit is not None:
-            credit.give_back()
+            credit.refund()
 
     def settle(self) -> None:
         """Settle all credits at the end of the request."""
--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -112,7 +112,7 @@
     def handle_relayed_limit(self, report: LimitReport) -> None:
         """Apply a limit that another edge has read."""
         if not self._apply_limit(report, "the scheduler"):
-            removal = self.limits.find_end(report, self.clock())
+            removal = self.limits.find_removal(report, self.clock())
             if removal is not None:
                 # The limit ended while the scheduler was unreachable.
                 self.report_signal(removal)
@@ -151,7 +151,7 @@
             started_ms=runner.started_ms,
             rest_s=rest_s,
         )
-        if self.cooldowns.note(report, self.clock()):
+        if self.cooldowns.update(report, self.clock()):
             log_event(
                 log.RunnerRestSeen(runner_id=report.runner_id, rest_s=round(rest_s, 3))
             )
@@ -191,7 +191,7 @@
 
     def _apply_limit(self, report: LimitReport, told_by: str | None) -> bool:
         """Apply a reported limit; return whether it changes the limit in use."""
-        if not self.limits.note(report, self.clock()):
+        if not self.limits.update(report, self.clock()):
             return False
         log_event(
             log.RunnerLimitSeen(
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -103,7 +103,7 @@
         """Give back what was taken of a quota for a request that waits no more."""
         charge = self.state.charges.pop(key, None)
         if charge is not None:
-            self.state.quotas.spend(charge.customer, -charge.amount, now)
+            self.state.quotas.record_spending(charge.customer, -charge.amount, now)
 
     def serve_request(self, waiting: Waiting, now: float) -> list[Action]:
         """Return what can be done for a request that has just come."""
@@ -192,11 +192,11 @@
         """Judge a runner by how a request ended there."""
         health = self.state.health
         if kind.was_served:
-            if health.note_success(running.runner_id):
+            if health.record_success(running.runner_id):
                 self.on_health(running.runner_id, 0)
         elif kind in (EndKind.FAILED, EndKind.UNREACHABLE):
             unreachable = kind is EndKind.UNREACHABLE
-            failures = health.note_failure(
+            failures = health.record_failure(
                 running.runner_id, now, unreachable=unreachable
             )
             if failures:
@@ -207,7 +207,7 @@
 def _take_asked(core: SchedulingCore, event: GrantRequest, now: float) -> list[Action]:
     state = core.state
     if event.cost > 0:
-        wait_s = state.quotas.take(event.customer, event.cost, now)
+        wait_s = state.quotas.try_consume(event.customer, event.cost, now)
         if wait_s > 0:
             return [_refuse_over_quota(event, wait_s)]
         charge = Charge(event.customer, event.cost)
@@ -281,7 +281,7 @@
 
 @handles(QuotaSpent)
 def _take_spent(core: SchedulingCore, event: QuotaSpent, now: float) -> list[Action]:
-    core.state.quotas.spend(event.customer, event.amount, now)
+    core.state.quotas.record_spending(event.customer, event.amount, now)
     return []
 
 
@@ -295,7 +295,7 @@
 
 @handles(LimitReport)
 def _take_limit(core: SchedulingCore, event: LimitReport, now: float) -> list[Action]:
-    if not core.state.limits.note(event, now):
+    if not core.state.limits.update(event, now):
         return []
     runner = core.state.runners.get(event.runner_id)
     return [] if runner is None else core.serve_runner(runner, now)
@@ -303,7 +303,7 @@
 
 @handles(CooldownReport)
 def _take_rest(core: SchedulingCore, event: CooldownReport, now: float) -> list[Action]:
-    core.state.cooldowns.note(event, now)
+    core.state.cooldowns.update(event, now)
     return []
 
 
@@ -317,11 +317,11 @@
             Refuse(
                 edge=event.edge,
                 request_id=event.request_id,
-                retry_after_s=round(limits.promise(*life, now), 3),
+                retry_after_s=round(limits.reserve_retry_after(*life, now), 3),
                 reason=RATE_LIMITED_REASON,
             )
         ]
-    limits.take(*life, now)
+    limits.record_request(*life, now)
     return [
         Grant(edge=event.edge, request_id=event.request_id, runner_id=event.runner_id)
     ]
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -71,15 +71,15 @@
     def consume_quota(self, customer: str, amount: float) -> float:
         """Consume an amount of a quota; return the seconds until it is available."""
         self.handle(Tick())
-        return self.core.state.quotas.take(customer, amount, self.clock())
+        return self.core.state.quotas.try_consume(customer, amount, self.clock())
 
     def consume_permit(self, runner: RunnerEntry) -> float:
         """Consume a permit of a limited runner; return the seconds until one exists."""
         limits, now = self.core.state.limits, self.clock()
         incarnation = (runner.runner_id, runner.started_ms)
         if limits.measure_wait(*incarnation, now) > 0:
-            return limits.promise(*incarnation, now)
-        limits.take(*incarnation, now)
+            return limits.reserve_retry_after(*incarnation, now)
+        limits.record_request(*incarnation, now)
         return 0.0
 
     def allow_overdraft(self, exhausted: list[str]) -> None:
--- a/tests/edge/test_cooldowns.py
+++ b/tests/edge/test_cooldowns.py
@@ -27,7 +27,7 @@
     """Apply a cooldown that a runner has requested from the edge."""
     report = CooldownReport(edge="e1", runner_id=runner_id, started_ms=0, rest_s=rest_s)
     tracker = edge.forwarder.signal_tracker
-    tracker.cooldowns.note(report, tracker.clock())
+    tracker.cooldowns.update(report, tracker.clock())
 
 
 class TestCooldowns:
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -13,7 +13,7 @@
 from mangoway.http1.messages import Request
 from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
 from mangoway.platform.requests import decode_request
-from mangoway.policy.crashes.const import BEGIN_S
+from mangoway.policy.crashes.const import EARLY_RUN_S
 from mangoway.policy.crashes.tracker import CrashTracker
 from mangoway.policy.scheduling.events import EndKind
 
@@ -76,9 +76,9 @@
     def test_longer_run_is_blocked_after_more_crashes(self) -> None:
         harness = CrashFilterHarness()
         for number in range(4):
-            harness.crash(f"l{number}", CRASHING, ran_s=BEGIN_S)
+            harness.crash(f"l{number}", CRASHING, ran_s=EARLY_RUN_S)
         assert not harness.crash_filter.is_blocked(CRASHING)
-        harness.crash("l4", CRASHING, ran_s=BEGIN_S)
+        harness.crash("l4", CRASHING, ran_s=EARLY_RUN_S)
         assert harness.crash_filter.is_blocked(CRASHING)
 
     def test_request_interrupted_later_is_added(self) -> None:
