--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -159,7 +159,7 @@
     def _make_crash_filter(self, number: int) -> CrashFilter:
         return CrashFilter(
             edge=f"e{number}",
-            book=CrashTracker(),
+            tracker=CrashTracker(),
             statement_sender=_StatementSender(self, number),
             clock=lambda: self.now,
         )
@@ -171,7 +171,7 @@
         def apply_statement() -> None:
             for number, crash_filter in enumerate(self.crash_filters):
                 if number != edge:
-                    statement.apply_to(crash_filter.book)
+                    statement.apply_to(crash_filter.tracker)
 
         self._call_later(STATEMENT_DELAY_S, apply_statement)
 
