--- a/mangoway/edge/crash_detector.py
+++ b/mangoway/edge/crash_detector.py
@@ -13,7 +13,7 @@
 
 from ..coordination.view import FleetView
 from ..http1.client import ConnectFailedError, async_connect
-from ..models.crash import RequestIdentity, RunnerLife
+from ..models.crash import RequestIdentity, RunnerIncarnation
 from ..models.runner import RunnerEntry
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
@@ -43,7 +43,7 @@
 class RunnerCrash:
     """The crash of a runner that had requests of this edge."""
 
-    life: RunnerLife
+    life: RunnerIncarnation
     requests: tuple[InterruptedRequest, ...]
 
 
@@ -66,9 +66,9 @@
     on_crash: Callable[[RunnerCrash], None] = lambda crash: None
     """Called with each crash, and again with requests whose connections break later."""
 
-    _checks: dict[RunnerLife, PendingCheck] = field(factory=dict, init=False)
+    _checks: dict[RunnerIncarnation, PendingCheck] = field(factory=dict, init=False)
 
-    _crashed: dict[RunnerLife, float] = field(factory=dict, init=False)
+    _crashed: dict[RunnerIncarnation, float] = field(factory=dict, init=False)
     """Incarnations that ended in a crash, and when it was detected, oldest first."""
 
     def record_interrupted(
@@ -102,7 +102,7 @@
             await check.done.wait()
 
     async def _async_check(
-        self, incarnation: RunnerLife, runner: RunnerEntry, check: PendingCheck
+        self, incarnation: RunnerIncarnation, runner: RunnerEntry, check: PendingCheck
     ) -> None:
         """Check whether a runner still accepts connections."""
         detected_at = self.clock()
@@ -120,7 +120,7 @@
 
     def _end_check(
         self,
-        incarnation: RunnerLife,
+        incarnation: RunnerIncarnation,
         service: str,
         check: PendingCheck,
         crashed: bool,
@@ -142,7 +142,7 @@
         check.done.set()
 
     def _report(
-        self, incarnation: RunnerLife, service: str, requests: list[InterruptedRequest]
+        self, incarnation: RunnerIncarnation, service: str, requests: list[InterruptedRequest]
     ) -> None:
         self.metrics.crashed_requests.add(service, amount=len(requests))
         now = self.clock()
@@ -159,5 +159,5 @@
         self.on_crash(RunnerCrash(life=incarnation, requests=tuple(requests)))
 
 
-def _get_incarnation(runner: RunnerEntry) -> RunnerLife:
-    return RunnerLife(runner_id=runner.runner_id, started_ms=runner.started_ms)
+def _get_incarnation(runner: RunnerEntry) -> RunnerIncarnation:
+    return RunnerIncarnation(runner_id=runner.runner_id, started_ms=runner.started_ms)
--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -22,7 +22,7 @@
 
 
 @frozen(kw_only=True)
-class RunnerLife:
+class RunnerIncarnation:
     """One life of a runner: it may start again under its id."""
 
     runner_id: str
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -11,7 +11,7 @@
 from mangoway.edge.crash_filter import CrashFilter
 from mangoway.edge.identity import identify_request
 from mangoway.http1.messages import Request
-from mangoway.models.crash import Charge, RequestIdentity, RunnerLife
+from mangoway.models.crash import Charge, RequestIdentity, RunnerIncarnation
 from mangoway.platform.requests import decode_request
 from mangoway.policy.crashes.const import EARLY_RUN_S
 from mangoway.policy.crashes.tracker import CrashTracker
@@ -49,7 +49,7 @@
     def crash(self, life: str, *requests: RequestIdentity, ran_s: float = 0.0) -> None:
         self.crash_filter.record_crash(
             RunnerCrash(
-                life=RunnerLife(runner_id=life, started_ms=0),
+                life=RunnerIncarnation(runner_id=life, started_ms=0),
                 requests=tuple(
                     InterruptedRequest(identity=each, sent_at=self.now, ran_s=ran_s)
                     for each in requests
--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -16,7 +16,7 @@
 from mangoway.coordination.crashes import Statement
 from mangoway.edge.crash_detector import InterruptedRequest, RunnerCrash
 from mangoway.edge.crash_filter import CrashFilter
-from mangoway.models.crash import RequestIdentity, RunnerLife
+from mangoway.models.crash import RequestIdentity, RunnerIncarnation
 from mangoway.policy.crashes.tracker import CrashTracker
 
 STATEMENT_DELAY_S = 0.5
@@ -277,7 +277,7 @@
         self.results.crashes += 1
         running, runner.running, runner.is_up = runner.running, [], False
         self._call_later(self.random.uniform(2.0, 4.0), partial(self._restart, runner))
-        life = RunnerLife(runner_id=f"r{runner.number}", started_ms=runner.incarnation)
+        life = RunnerIncarnation(runner_id=f"r{runner.number}", started_ms=runner.incarnation)
         for edge in {each.edge for each in running}:
             lost = [each for each in running if each.edge == edge]
             requests = tuple(
