--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -8,7 +8,7 @@
 
 from ..models.fleet import Member
 from ..models.routing import RoutingTable
-from ..models.runner import RunnerEntry, is_later_life
+from ..models.runner import RunnerEntry, is_later_incarnation
 from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
@@ -131,7 +131,7 @@
             Whether that was not known.
         """
         known = self._leaving.get(said.runner_id)
-        if known is not None and not is_later_life(said.started_ms, known):
+        if known is not None and not is_later_incarnation(said.started_ms, known):
             return False
         if len(self._leaving) >= MAX_LEAVING:
             del self._leaving[next(iter(self._leaving))]
@@ -151,7 +151,7 @@
         if entry.draining:
             return False
         left_ms = self._leaving.get(entry.runner_id)
-        return left_ms is None or is_later_life(entry.started_ms, left_ms)
+        return left_ms is None or is_later_incarnation(entry.started_ms, left_ms)
 
     def contains_entry(self, entry: RunnerEntry) -> bool:
         """Return whether an entry is in the view as it is, and for sure."""
--- a/mangoway/models/runner.py
+++ b/mangoway/models/runner.py
@@ -61,6 +61,6 @@
     """When the life that reports began, as in the entry."""
 
 
-def is_later_life(started_ms: int, known_ms: int) -> bool:
+def is_later_incarnation(started_ms: int, known_ms: int) -> bool:
     """Return whether one life of a runner began after another; 0: not known when."""
     return 0 < known_ms < started_ms
--- a/mangoway/policy/limits/tracker.py
+++ b/mangoway/policy/limits/tracker.py
@@ -11,7 +11,7 @@
 
 from attrs import define, evolve, field, frozen
 
-from ...models.runner import is_later_life
+from ...models.runner import is_later_incarnation
 from .const import (
     LIMIT_RETENTION_S,
     MAX_LIMIT_RETRY_AFTER_S,
@@ -161,7 +161,7 @@
         record = self._records.get(report.runner_id)
         if record is None or record.limit is not None or report.limit is None:
             return None
-        if is_later_life(report.started_ms, record.started_ms):
+        if is_later_incarnation(report.started_ms, record.started_ms):
             return None
         if now - report.response_age_s >= record.removed_at:
             return None
@@ -211,7 +211,7 @@
         record = self._records.get(runner_id)
         if record is None or record.limit is None:
             return None
-        return None if is_later_life(started_ms, record.started_ms) else record
+        return None if is_later_incarnation(started_ms, record.started_ms) else record
 
     def _find_or_create(self, report: LimitReport, now: float) -> RunnerLimit | None:
         """Return the record of the incarnation that a report is about.
@@ -220,9 +220,9 @@
         limit.
         """
         record = self._records.get(report.runner_id)
-        if record is not None and is_later_life(record.started_ms, report.started_ms):
+        if record is not None and is_later_incarnation(record.started_ms, report.started_ms):
             return None
-        if record is None or is_later_life(report.started_ms, record.started_ms):
+        if record is None or is_later_incarnation(report.started_ms, record.started_ms):
             if report.limit is None:
                 return None
             record = RunnerLimit(report.started_ms, RateLimiter(now))
