--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -41,7 +41,7 @@
     NOTHING_SENT = 0
     """The runner had sent no event, nor a whole answer."""
 
-    BEGUN = 1
+    OUTPUT_STARTED = 1
     """It had sent events for less than half a second."""
 
     GOING_ON = 2
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -56,7 +56,7 @@
             make_cleared("i-1@0", "i-2@5"),
             BlockStatement(
                 content=CULPRIT.content,
-                charges=(Charge(CULPRIT, "i-1@0", RunStage.BEGUN, True),),
+                charges=(Charge(CULPRIT, "i-1@0", RunStage.OUTPUT_STARTED, True),),
             ),
         ],
         ids=lambda each: type(each).__name__,
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -70,7 +70,7 @@
         assert tracker.list_blocked() == ()
 
     @pytest.mark.parametrize(
-        ("stage", "crashes"), [(RunStage.BEGUN, 4), (RunStage.GOING_ON, 5)]
+        ("stage", "crashes"), [(RunStage.OUTPUT_STARTED, 4), (RunStage.GOING_ON, 5)]
     )
     def test_run_that_progressed_further_needs_more_crashes(
         self, stage: RunStage, crashes: int
