--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -167,4 +167,4 @@
     """
     if ran_s <= 0:
         return RunStage.NOTHING_SENT
-    return RunStage.OUTPUT_STARTED if ran_s < EARLY_RUN_S else RunStage.GOING_ON
+    return RunStage.OUTPUT_STARTED if ran_s < EARLY_RUN_S else RunStage.OUTPUT_ONGOING
--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -44,7 +44,7 @@
     OUTPUT_STARTED = 1
     """It had sent events for less than half a second."""
 
-    GOING_ON = 2
+    OUTPUT_ONGOING = 2
     """It had sent events for longer."""
 
 
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -12,7 +12,7 @@
 SUSPICION_POINTS: Final = {
     RunStage.NOTHING_SENT: 5,
     RunStage.OUTPUT_STARTED: 4,
-    RunStage.GOING_ON: 3,
+    RunStage.OUTPUT_ONGOING: 3,
 }
 """Points that a crash counts against a request, by the progress of its run."""
 
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -70,7 +70,7 @@
         assert tracker.list_blocked() == ()
 
     @pytest.mark.parametrize(
-        ("stage", "crashes"), [(RunStage.OUTPUT_STARTED, 4), (RunStage.GOING_ON, 5)]
+        ("stage", "crashes"), [(RunStage.OUTPUT_STARTED, 4), (RunStage.OUTPUT_ONGOING, 5)]
     )
     def test_run_that_progressed_further_needs_more_crashes(
         self, stage: RunStage, crashes: int
@@ -87,7 +87,7 @@
         """Equal requests of two edges may be in progress at one runner."""
         tracker = CrashTracker()
         for incarnation in ("l1", "l2", "l3"):
-            charge = Charge(HARMLESS, incarnation, RunStage.GOING_ON)
+            charge = Charge(HARMLESS, incarnation, RunStage.OUTPUT_ONGOING)
             tracker.add_crash(f"{incarnation}/e1", [charge])
             assert not tracker.is_blocked(HARMLESS)
             tracker.add_crash(f"{incarnation}/e2", [Charge(HARMLESS, incarnation)])
