--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -106,7 +106,7 @@
             self._handle_cooldown(runner, signals.rest_s)
         if signals.limit is not None:
             self.metrics.edge_signals.add(runner.service, LIMIT)
-        if signals.limit_known:
+        if signals.is_limit_known:
             self._handle_limit(runner, signals.limit, sent_at)
 
     def handle_relayed_limit(self, report: LimitReport) -> None:
--- a/mangoway/models/signals.py
+++ b/mangoway/models/signals.py
@@ -21,7 +21,7 @@
     """Requests a second that the runner takes from all hosts together; None: as many
     as come."""
 
-    limit_known: bool = True
+    is_limit_known: bool = True
     """Whether the answer says anything of the limit: one that can't be read doesn't."""
 
     leaving: bool = False
--- a/mangoway/platform/signals.py
+++ b/mangoway/platform/signals.py
@@ -38,7 +38,7 @@
     named = [each for each in limits if each is not None]
     return RunnerSignals(
         limit=min(named, default=None),
-        limit_known=bool(named) or not limits,
+        is_limit_known=bool(named) or not limits,
         leaving=(names.LEAVING, LEAVES) in values,
         rest_s=min(MAX_REST_S, max(rests, default=0.0)),
         dropped=tuple(_drop(*each) for each in values if not _is_readable(*each)),
--- a/tests/platform/test_signals.py
+++ b/tests/platform/test_signals.py
@@ -18,12 +18,12 @@
     @pytest.mark.parametrize("status", [200, 421, 429, 500, 503, 504])
     def test_answers_of_all_kinds_name_it(self, status: int) -> None:
         signals = decode_signals(make_head((b"Server-Limit", b"2.1")), status)
-        assert (signals.limit, signals.limit_known) == (2.1, True)
+        assert (signals.limit, signals.is_limit_known) == (2.1, True)
 
     def test_answer_without_the_field_names_none(self) -> None:
         signals = decode_signals(make_head((b"Content-Length", b"2")), 200)
         assert signals == NO_SIGNALS
-        assert (signals.limit, signals.limit_known) == (None, True)
+        assert (signals.limit, signals.is_limit_known) == (None, True)
 
     @pytest.mark.parametrize(
         ("value", "limit"),
@@ -43,14 +43,14 @@
     )
     def test_value_that_is_no_decimal_number_is_dropped(self, value: bytes) -> None:
         signals = decode_signals(make_head((b"Server-Limit", value)), 200)
-        assert (signals.limit, signals.limit_known) == (None, False)
+        assert (signals.limit, signals.is_limit_known) == (None, False)
         shown = value.decode("latin-1")[:64]
         assert signals.dropped == (DroppedField(name="server-limit", value=shown),)
 
     def test_strictest_of_several_counts(self) -> None:
         fields = [(b"Server-Limit", value) for value in (b"3", b"1.5", b"x")]
         signals = decode_signals(make_head(*fields), 200)
-        assert (signals.limit, signals.limit_known) == (1.5, True)
+        assert (signals.limit, signals.is_limit_known) == (1.5, True)
         assert len(signals.dropped) == 1
 
 
@@ -60,7 +60,7 @@
     @pytest.mark.parametrize("status", [200, 421, 429, 500, 503, 504])
     def test_answers_of_all_kinds_say_so(self, status: int) -> None:
         signals = decode_signals(make_head((b"Server-Leaving", b"1")), status)
-        assert (signals.leaving, signals.limit_known) == (True, True)
+        assert (signals.leaving, signals.is_limit_known) == (True, True)
 
     @pytest.mark.parametrize("value", [b"", b"0", b"2", b"true", b"1, 1", b"-1"])
     def test_other_values_are_dropped(self, value: bytes) -> None:
