--- a/mangoway/edge/pages.py
+++ b/mangoway/edge/pages.py
@@ -9,7 +9,7 @@
 from ..http1.messages import Request
 from ..http1.server import Exchange
 from ..models.fleet import Role
-from ..platform.pages import PATH_READY, decode_question, encode_addresses
+from ..platform.pages import PATH_READY, decode_address_request, encode_addresses
 from ..policy.edge.gateways import choose_gateways
 from .const import DIRECTORY_TTL_S
 from .responses import STATUS_NO_ROUTE, STATUS_NOT_RUN, make_response
@@ -24,7 +24,7 @@
 
     async def async_handle(self, request: Request, exchange: Exchange) -> None:
         """Respond with the edges that a caller should use."""
-        query = decode_question(request)
+        query = decode_address_request(request)
         if query is None:
             exchange.answer(STATUS_NO_ROUTE, *make_response("no such page"))
             return
--- a/mangoway/platform/pages.py
+++ b/mangoway/platform/pages.py
@@ -21,7 +21,7 @@
     data_centre: str
 
 
-def decode_question(request: Request) -> AddressQuestion | None:
+def decode_address_request(request: Request) -> AddressQuestion | None:
     """Return what a caller asks the directory; None if it is something else."""
     if request.path != PATH_RESOLVE or request.method != b"GET":
         return None
