--- a/mangoway/edge/admission.py
+++ b/mangoway/edge/admission.py
@@ -44,7 +44,7 @@
             return 0.0
         prompt = fields.prompt
         tokens = prompt.tokens + prompt.max_output_tokens if fields.has_usage else None
-        return self.customer.measure(tokens)
+        return self.customer.compute_cost(tokens)
 
     def choose_priority(self, route: Route) -> int:
         """Return the priority of the caller's requests on a route."""
--- a/mangoway/models/customer.py
+++ b/mangoway/models/customer.py
@@ -38,7 +38,7 @@
     plain_tokens: int = 0
     """Tokens that a request counts for which doesn't say how many it takes."""
 
-    def measure(self, tokens: int | None) -> float:
+    def compute_cost(self, tokens: int | None) -> float:
         """Return what a request takes of the quota.
 
         Args:
--- a/mangoway/policy/customers/quota.py
+++ b/mangoway/policy/customers/quota.py
@@ -131,7 +131,7 @@
             if quota is None or customer.name not in self._accounts:
                 continue
             account = self._fill(customer.name, quota, now)
-            missing = customer.measure(None) - account.balance
+            missing = customer.compute_cost(None) - account.balance
             if missing > 0:
                 wait_s = missing / (quota.rate_per_s * self.share)
                 exhausted.append((customer.name, wait_s))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -296,8 +296,8 @@
             assert customer is not None
             assert (customer.name, customer.priority) == ("acme", 1)
             assert customer.quota == Quota(rate_per_s=150390.0, burst=1000.0)
-            assert customer.measure(1540) == 1540
-            assert customer.measure(None) == 200
+            assert customer.compute_cost(1540) == 1540
+            assert customer.compute_cost(None) == 200
         assert self.find(table, "k3") is None
 
     @pytest.mark.parametrize("rate", [0, None])
@@ -309,7 +309,7 @@
     def test_other_units_count_requests(self) -> None:
         customer = self.find(self.decode(unit="request"), "k1")
         assert customer is not None
-        assert customer.measure(1540) == 1
+        assert customer.compute_cost(1540) == 1
 
     def test_without_customers_no_keys_are_in_use(self) -> None:
         assert decode_configuration(encode()).customers is None
