--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -129,12 +129,17 @@
 
 def _list_rows(charges: Iterable[Charge]) -> list[list[Any]]:
     """Return charges of one life; all hosts read them, so that they are short."""
-    rows = [[each.identity.text, each.stage.value, int(each.alone)] for each in charges]
+    rows = [
+        [each.identity.text, each.stage.value, int(each.variant_only)]
+        for each in charges
+    ]
     return sorted(rows)
 
 
 def _read_charge(row: Any, life: str) -> Charge:
-    return Charge(_read_identity(row[0]), life, RunStage(row[1]), alone=bool(row[2]))
+    return Charge(
+        _read_identity(row[0]), life, RunStage(row[1]), variant_only=bool(row[2])
+    )
 
 
 def _read_identity(text: str) -> RequestIdentity:
--- a/mangoway/edge/crash_detector.py
+++ b/mangoway/edge/crash_detector.py
@@ -142,7 +142,10 @@
         check.done.set()
 
     def _report(
-        self, incarnation: RunnerIncarnation, service: str, requests: list[InterruptedRequest]
+        self,
+        incarnation: RunnerIncarnation,
+        service: str,
+        requests: list[InterruptedRequest],
     ) -> None:
         self.metrics.crashed_requests.add(service, amount=len(requests))
         now = self.clock()
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -114,7 +114,7 @@
             request.identity,
             incarnation,
             _get_stage(request.ran_s),
-            alone=self.served_requests.contains_content(content, self.clock()),
+            variant_only=self.served_requests.contains_content(content, self.clock()),
         )
 
     def _clear(
--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -58,7 +58,7 @@
 
     stage: RunStage = RunStage.NOTHING_SENT
 
-    alone: bool = False
+    variant_only: bool = False
     """Whether requests with this content and another variant were served of late, so
     that the content by itself is not the cause."""
 
--- a/mangoway/policy/crashes/tracker.py
+++ b/mangoway/policy/crashes/tracker.py
@@ -69,7 +69,7 @@
 
     def add(self, charge: Charge, amount: int) -> None:
         """Add (`amount` 1) or remove (-1) a charge against a variant."""
-        self.served_statements += amount * charge.alone
+        self.served_statements += amount * charge.variant_only
         crashes = self.charges.setdefault(charge.identity.variant, {})
         evidence = crashes.setdefault(charge.life, CrashEvidence())
         evidence.add(charge.stage, amount)
@@ -221,13 +221,13 @@
     def list_charges(self, content: str) -> tuple[Charge, ...]:
         """Return the uncleared charges of all requests with a content."""
         record = self._records.get(content, ContentRecord())
-        alone = bool(record.cleared or record.served_statements)
+        variant_only = bool(record.cleared or record.served_statements)
         return tuple(
             Charge(
                 RequestIdentity(content, variant),
                 incarnation,
                 record.charges[variant][incarnation].stage,
-                alone=alone,
+                variant_only=variant_only,
             )
             for variant in record.charges
             for incarnation in sorted(record.list_variant_crashes(variant))
--- a/mangoway/policy/limits/cooldowns.py
+++ b/mangoway/policy/limits/cooldowns.py
@@ -57,7 +57,9 @@
         """
         cooldowns = self._cooldowns.setdefault(report.runner_id, {})
         current = cooldowns.get(report.edge)
-        if current is not None and is_later_incarnation(current.started_ms, report.started_ms):
+        if current is not None and is_later_incarnation(
+            current.started_ms, report.started_ms
+        ):
             return False
         until = now + report.rest_s
         self._last_end = max(self._last_end, until)
@@ -77,7 +79,9 @@
         cooldown = None if cooldowns is None else cooldowns.get(edge)
         if cooldowns is None or cooldown is None:
             return 0.0
-        if now >= cooldown.until or is_later_incarnation(started_ms, cooldown.started_ms):
+        if now >= cooldown.until or is_later_incarnation(
+            started_ms, cooldown.started_ms
+        ):
             del cooldowns[edge]
             if not cooldowns:
                 del self._cooldowns[runner_id]
--- a/mangoway/policy/limits/tracker.py
+++ b/mangoway/policy/limits/tracker.py
@@ -220,7 +220,9 @@
         limit.
         """
         record = self._records.get(report.runner_id)
-        if record is not None and is_later_incarnation(record.started_ms, report.started_ms):
+        if record is not None and is_later_incarnation(
+            record.started_ms, report.started_ms
+        ):
             return None
         if record is None or is_later_incarnation(report.started_ms, record.started_ms):
             if report.limit is None:
--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -277,7 +277,9 @@
         self.results.crashes += 1
         running, runner.running, runner.is_up = runner.running, [], False
         self._call_later(self.random.uniform(2.0, 4.0), partial(self._restart, runner))
-        life = RunnerIncarnation(runner_id=f"r{runner.number}", started_ms=runner.incarnation)
+        life = RunnerIncarnation(
+            runner_id=f"r{runner.number}", started_ms=runner.incarnation
+        )
         for edge in {each.edge for each in running}:
             lost = [each for each in running if each.edge == edge]
             requests = tuple(
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -70,7 +70,8 @@
         assert tracker.list_blocked() == ()
 
     @pytest.mark.parametrize(
-        ("stage", "crashes"), [(RunStage.OUTPUT_STARTED, 4), (RunStage.OUTPUT_ONGOING, 5)]
+        ("stage", "crashes"),
+        [(RunStage.OUTPUT_STARTED, 4), (RunStage.OUTPUT_ONGOING, 5)],
     )
     def test_run_that_progressed_further_needs_more_crashes(
         self, stage: RunStage, crashes: int
@@ -129,7 +130,7 @@
         tracker = CrashTracker()
         for number in range(CRASHES_TO_BLOCK_CONTENT):
             charge = Charge(
-                RequestIdentity("c", f"v{number}"), f"l{number}", alone=True
+                RequestIdentity("c", f"v{number}"), f"l{number}", variant_only=True
             )
             tracker.add_crash(f"l{number}/e1", [charge])
         assert not tracker.is_blocked(RequestIdentity("c", "new"))
