--- a/mangoway/daemons/attempts.py
+++ b/mangoway/daemons/attempts.py
@@ -1,4 +1,4 @@
-"""Runs attempts at upstreams and tells the decisions how they went."""
+"""Runs attempts at upstreams and reports their outcomes to the dispatch core."""
 
 import asyncio
 from collections.abc import Callable
@@ -35,7 +35,7 @@
 from ..services.messages import ServiceAttempt
 from .records import RequestRecord, RunningAttempt
 
-OUTCOME_WHOLE = "whole"
+OUTCOME_COMPLETE = "whole"
 OUTCOME_CANCELLED = "cancelled"
 FINISH_REASON_CANCELLED = "cancelled"
 
@@ -43,22 +43,22 @@
 
 
 class _SupersededError(Exception):
-    """An attempt whose request has ended, or goes on in another attempt."""
+    """Raised in an attempt whose request has ended or was moved to another attempt."""
 
 
 @define(eq=False, kw_only=True)
 class AttemptRunner:
-    """Runs each attempt in a task of its own."""
+    """Runs each attempt in its own task."""
 
     engines: EngineClient
     services: ServiceClient
     metrics: Metrics
     tracing: Tracing
     send: EventSink
-    """Takes the events of attempts."""
+    """Called with the events of attempts."""
 
     _running: dict[AttemptId, RunningAttempt] = field(factory=dict, init=False)
-    _cancels: "set[asyncio.Task[None]]" = field(factory=set, init=False)
+    _cancel_tasks: "set[asyncio.Task[None]]" = field(factory=set, init=False)
 
     def __len__(self) -> int:
         return len(self._running)
@@ -71,33 +71,33 @@
         record.attempt = attempt.id
         record.attempts += 1
         self._running[attempt.id] = attempt
-        self._note_retry(action, record)
+        self._record_retry(action, record)
         attempt.task = asyncio.get_running_loop().create_task(
             self._async_run(attempt, action)
         )
 
     def async_cancel(self, attempt_id: AttemptId) -> None:
-        """Cancel an attempt at its upstream; nothing happens if it has ended."""
+        """Cancel an attempt at its upstream; do nothing if it has ended."""
         attempt = self._running.get(attempt_id)
         if attempt is None or attempt.cancelling:
             return
         attempt.cancelling = True
         task = asyncio.get_running_loop().create_task(self._async_cancel(attempt))
-        self._cancels.add(task)
-        task.add_done_callback(self._cancels.discard)
+        self._cancel_tasks.add(task)
+        task.add_done_callback(self._cancel_tasks.discard)
 
     async def async_close(self) -> None:
-        """End every attempt at once."""
+        """Cancel the tasks of all attempts immediately."""
         tasks = [each.task for each in self._running.values() if each.task]
-        tasks.extend(self._cancels)
+        tasks.extend(self._cancel_tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _async_run(self, attempt: RunningAttempt, action: StartAttempt) -> None:
         target = attempt.record.submission.request.target
-        engine = isinstance(target, Artifact)
-        hop = Hop.ENGINE if engine else Hop.SERVICE
+        is_engine = isinstance(target, Artifact)
+        hop = Hop.ENGINE if is_engine else Hop.SERVICE
         span = self.tracing.start(hop, action.upstream_id, attempt.record.span)
         event: DispatchEvent
         try:
@@ -106,28 +106,29 @@
             else:
                 await self._async_call(attempt, action)
             event = AttemptSucceeded(attempt_id=attempt.id)
-            outcome = OUTCOME_WHOLE
+            outcome = OUTCOME_COMPLETE
         except MangowayError as error:
             outcome = error.code.value
-            event = self._make_failed(attempt, error.failure)
-            _note_failure(action, span, error.failure)
+            event = self._make_failed_event(attempt, error.failure)
+            _log_failure(action, span, error.failure)
         except _SupersededError:
             dropped = AnswerDropped(
                 upstream_id=action.upstream_id, attempt_id=attempt.id
             )
             log_event(dropped)
-            # It still runs at its upstream, so it has neither succeeded nor ended.
+            # The attempt still runs at its upstream, so it is cancelled there instead
+            # of being reported as succeeded.
             self.async_cancel(attempt.id)
             return
         except Exception as error:
-            # The request must end after an unexpected error as well.
+            # The request must also end after an unexpected error.
             log_event(TaskFailed(task="attempt", error=repr(error)))
             outcome = ErrorCode.INTERNAL.value
-            event = self._make_failed(attempt, _make_internal(error))
+            event = self._make_failed_event(attempt, _make_internal_failure(error))
         finally:
             span.end()
         self.metrics.attempts.add(hop.value, outcome)
-        # Reported also while a cancel is under way: the attempt ended before it.
+        # Reported even if a cancellation is in progress: the attempt ended first.
         if self._running.pop(attempt.id, None) is not None:
             self.send(event)
 
@@ -144,7 +145,7 @@
                 prompt=record.submission.prompt,
                 max_tokens=request.max_tokens,
                 priority=action.priority,
-                # The engine resumes behind the text that the caller already has.
+                # The engine continues after the text that the caller already has.
                 resume_from=record.answer.tokens,
                 resume_text=record.answer.text,
                 prefix_hashes=request.prefix_hashes,
@@ -158,9 +159,9 @@
             async for chunks in stream:
                 if record.attempt != attempt.id:
                     raise _SupersededError
-                before = record.answer.tokens
-                if not before:
-                    self._note_first_token(request)
+                tokens_before = record.answer.tokens
+                if not tokens_before:
+                    self._record_first_token(request)
                 for chunk in chunks:
                     if chunk.finish_reason == FINISH_REASON_CANCELLED:
                         raise MangowayError(
@@ -170,7 +171,7 @@
                         )
                     record.answer.append(chunk.text, chunk.offset, chunk.finish_reason)
                 tokens = record.answer.tokens
-                self.metrics.tokens.add(work_class, amount=tokens - before)
+                self.metrics.tokens.add(work_class, amount=tokens - tokens_before)
                 self.send(AttemptProgressed(attempt_id=attempt.id, tokens=tokens))
 
     async def _async_call(self, attempt: RunningAttempt, action: StartAttempt) -> None:
@@ -198,7 +199,7 @@
             )
 
     async def _async_cancel(self, attempt: RunningAttempt) -> None:
-        """Stop reading, then cancel at the upstream, then say that it ended."""
+        """Stop reading, cancel at the upstream, then report the end."""
         if attempt.task is not None:
             attempt.task.cancel()
             await asyncio.gather(attempt.task, return_exceptions=True)
@@ -208,14 +209,14 @@
             try:
                 await self.engines.async_cancel(attempt.address, attempt.id)
             except MangowayError:
-                # The closed connection tells the engine as well.
+                # The engine also cancels the attempt when its connection closes.
                 pass
         self.metrics.attempts.add("cancel", OUTCOME_CANCELLED)
         self._running.pop(attempt.id, None)
         tokens = attempt.record.answer.tokens
         self.send(AttemptCancelled(attempt_id=attempt.id, tokens=tokens))
 
-    def _note_retry(self, action: StartAttempt, record: RequestRecord) -> None:
+    def _record_retry(self, action: StartAttempt, record: RequestRecord) -> None:
         failure, record.last_failure = record.last_failure, None
         if failure is None:
             return
@@ -229,12 +230,14 @@
             )
         )
 
-    def _note_first_token(self, request: Request) -> None:
+    def _record_first_token(self, request: Request) -> None:
         seconds = asyncio.get_running_loop().time() - request.arrived_at
         work_class = request.work_class.value
         self.metrics.first_token_seconds.observe(work_class, seconds=seconds)
 
-    def _make_failed(self, attempt: RunningAttempt, failure: Failure) -> AttemptFailed:
+    def _make_failed_event(
+        self, attempt: RunningAttempt, failure: Failure
+    ) -> AttemptFailed:
         attempt.record.last_failure = failure
         return AttemptFailed(
             attempt_id=attempt.id,
@@ -244,7 +247,7 @@
         )
 
 
-def _note_failure(action: StartAttempt, span: HopSpan, failure: Failure) -> None:
+def _log_failure(action: StartAttempt, span: HopSpan, failure: Failure) -> None:
     span.fail(failure.code.value)
     if failure.code is ErrorCode.UPSTREAM_SILENT:
         log_event(
@@ -252,7 +255,7 @@
         )
 
 
-def _make_internal(error: Exception) -> Failure:
+def _make_internal_failure(error: Exception) -> Failure:
     return Failure(
         code=ErrorCode.INTERNAL,
         verdict=Verdict.MAY_HAVE_RUN,
--- a/mangoway/daemons/claims.py
+++ b/mangoway/daemons/claims.py
@@ -21,26 +21,28 @@
 
 @define(eq=False, kw_only=True)
 class KeyClaims:
-    """Claims keys by creating their entry, which only one gateway can."""
+    """Claims keys by creating their entry, which succeeds for only one gateway."""
 
     store: KeyValueStore
     incarnation: IncarnationId
     tasks: Tasks
     send: Callable[[DispatchEvent], None]
-    """Takes the outcomes."""
+    """Called with the outcomes."""
 
-    get_site: Callable[[], SitePolicy]
-    """Returns the policy in force."""
+    get_site_policy: Callable[[], SitePolicy]
+    """Returns the current site policy."""
 
     def async_claim(self, action: ClaimKey, submission: Submission) -> None:
-        """Start a claim; `KeyClaimed` follows."""
+        """Start a claim; its outcome is sent as a `KeyClaimed` event."""
         self.tasks.async_start(self._async_claim(action, submission))
 
     async def _async_claim(self, action: ClaimKey, submission: Submission) -> None:
-        outcome = await self._async_write(action, submission)
+        outcome = await self._async_create_entry(action, submission)
         self.send(KeyClaimed(request_id=action.request_id, outcome=outcome))
 
-    async def _async_write(self, action: ClaimKey, submission: Submission) -> str:
+    async def _async_create_entry(
+        self, action: ClaimKey, submission: Submission
+    ) -> str:
         value = orjson.dumps(
             {
                 "incarnation": self.incarnation,
@@ -49,7 +51,7 @@
             }
         )
         put = Put(
-            key=name_claim(submission, action),
+            key=make_claim_name(submission, action),
             value=value,
             expected=Revision(0),
             ttl_s=self._find_ttl_s(submission),
@@ -57,20 +59,21 @@
         try:
             result = await self.store.async_commit((put,), CallRank.CLAIM)
         except MangowayError as error:
-            # What may have been written counts as taken: it is never run twice.
+            # An entry that may have been written counts as taken, so that the request
+            # is never run twice.
             if error.failure.verdict is Verdict.NOT_RUN:
                 return ClaimOutcome.UNAVAILABLE
             return ClaimOutcome.UNSETTLED
         return ClaimOutcome.CLAIMED if result.succeeded else ClaimOutcome.TAKEN
 
     def _find_ttl_s(self, submission: Submission) -> float:
-        """Return how long the claim must live: the retention after the last run."""
+        """Return the lifetime of a claim: the longest run plus the key retention."""
         request = submission.request
         longest_run_s = request.deadline - request.arrived_at
-        return self.get_site().key_retention_s + longest_run_s
+        return self.get_site_policy().key_retention_s + longest_run_s
 
 
-def name_claim(submission: Submission, action: ClaimKey) -> str:
-    """Return the entry of a key; keys of different callers never meet."""
+def make_claim_name(submission: Submission, action: ClaimKey) -> str:
+    """Return the name of a key's entry, which differs between callers."""
     owner = orjson.dumps((submission.request.caller, action.key))
     return CLAIMS_PREFIX + xxh3_128_hexdigest(owner)
--- a/mangoway/daemons/controller.py
+++ b/mangoway/daemons/controller.py
@@ -28,7 +28,7 @@
 def run(settings: ControllerSettings) -> None:
     """Run a controller until a signal stops it.
 
-    Exits with 0 after a planned stop, and with 1 if that was not waited for.
+    Exits with 0 after a complete planned stop, and with 1 after a forced one.
     """
     stop_log = start_log(
         settings.log_level, host=settings.host, role=ProcessRole.CONTROLLER.value
@@ -44,10 +44,10 @@
 async def async_run(settings: ControllerSettings) -> bool:
     """Run a controller on the running loop until a signal stops it.
 
-    Returns whether the stop ended by itself.
+    Returns whether the planned stop was completed.
 
     Raises:
-        SettingError: If a setting names an adapter that is not there.
+        SettingError: If a setting names an adapter that does not exist.
         OSError: If an address can't be listened on.
     """
     forced = asyncio.Event()
@@ -79,7 +79,7 @@
             host_list,
             period_s=settings.host_list_period_s,
             metrics=node.metrics,
-            on_change=lambda listing: _list_hosts(node, listing),
+            on_change=lambda listing: _apply_host_list(node, listing),
         )
         node.tasks.async_start(poller.async_run())
     log_event(
@@ -92,7 +92,7 @@
     )
 
 
-def _list_hosts(node: ControllerNode, listing: HostListing) -> None:
+def _apply_host_list(node: ControllerNode, listing: HostListing) -> None:
     hosts = (
         ListedHost(peer_address=each.peer_address, leaving=each.leaving)
         for each in listing.processes
@@ -106,11 +106,9 @@
     loop = asyncio.get_running_loop()
     began_at = loop.time()
     deadline_s = node.settings.stop_deadline_s
-    under_way = node.placement.orders_under_way
+    orders = node.placement.orders_in_progress
     log_event(
-        log.StopRequested(
-            signal=signal_name, in_progress=under_way, deadline_s=deadline_s
-        )
+        log.StopRequested(signal=signal_name, in_progress=orders, deadline_s=deadline_s)
     )
     leaving = loop.create_task(node.async_leave(deadline_s))
     forcing = loop.create_task(forced.wait())
@@ -123,6 +121,6 @@
         log_event(log.ProcessStopped(seconds=loop.time() - began_at))
         return True
     reason = REASON_FORCED if forcing in done else REASON_DEADLINE
-    cut_off = node.placement.orders_under_way
+    cut_off = node.placement.orders_in_progress
     log_event(log.StopForced(reason=reason, cut_off=cut_off))
     return False
--- a/mangoway/daemons/controller_metrics.py
+++ b/mangoway/daemons/controller_metrics.py
@@ -1,4 +1,4 @@
-"""Levels of a controller that are read when its metrics are asked for."""
+"""Gauges of a controller that are updated when its metrics are requested."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 @define(eq=False, kw_only=True)
 class ControllerGauges:
-    """Sets the gauges; counters are kept where things happen."""
+    """Sets the gauges; counters are updated by the code that they count."""
 
     metrics: Metrics
     core: PlacementCore
--- a/mangoway/daemons/controller_node.py
+++ b/mangoway/daemons/controller_node.py
@@ -1,4 +1,4 @@
-"""One controller: its parts, put together, without process around it."""
+"""The components of one controller, without the process that runs them."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
 from ..util.address import split_address
 from ..util.loop_watch import async_watch_loop
 from ..util.tasks import Tasks
-from .const import INCARNATION_BYTES, LEAVE_SPREAD_S, STOP_POLL_S
+from .const import INCARNATION_BYTES, LEAVE_PROPAGATION_S, STOP_CHECK_PERIOD_S
 from .controller_metrics import ControllerGauges
 from .controller_status import ControllerStatus
 from .lease import LeaseHolder
@@ -38,7 +38,7 @@
 
 @define(eq=False)
 class ControllerNode:
-    """Parts of a controller; make it on the loop that runs it."""
+    """The components of a controller; created on the event loop that runs it."""
 
     settings: ControllerSettings
     store: KeyValueStore
@@ -73,17 +73,17 @@
             cell=self.settings.cell,
             owner=self.own.incarnation,
             ttl_s=self.settings.lease_s,
-            on_gained=self.placement.async_gain_lease,
-            on_lost=self.placement.async_lose_lease,
+            on_gained=self.placement.async_start_planning,
+            on_lost=self.placement.async_stop_planning,
         )
         self.network = self._make_network()
         self.server = PeerServer(self._make_receivers())
 
     async def async_start(self) -> None:
-        """Listen for peers, follow the configuration and ask for the lease.
+        """Listen for peers, follow the configuration and request the lease.
 
         Raises:
-            OSError: If the address can't be used.
+            OSError: If the address can't be listened on.
         """
         await self.server.async_start(*split_address(self.settings.peer_listen))
         self.network.async_start(self.settings.seeds)
@@ -94,19 +94,20 @@
     def async_list_hosts(
         self, upstreams: Iterable[UpstreamAddress], hosts: Iterable[ListedHost]
     ) -> None:
-        """Take the runners and processes that the host list names."""
+        """Update the runners and processes from the host list."""
         runners = tuple(
             upstream for upstream in upstreams if upstream.kind is UpstreamKind.ENGINE
         )
         self._book.forget(frozenset(runner.id for runner in runners))
-        self.placement.async_list_runners(runners)
+        self.placement.async_set_runners(runners)
         self.network.async_list_hosts(hosts)
 
     async def async_leave(self, deadline_s: float) -> bool:
-        """Let another controller plan, and end what is under way.
+        """Release the lease and wait for orders in progress.
 
         Orders that were sent are waited for, since their answers free memory that
-        would else stay reserved for long. False if the deadline came first.
+        would otherwise stay reserved for long. Returns False if the deadline passed
+        first.
         """
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + deadline_s
@@ -114,15 +115,15 @@
             self._lease_task.cancel()
         await self.lease.async_release()
         self.network.async_announce(None)
-        spread_at = min(loop.time() + LEAVE_SPREAD_S, ends_at)
-        while loop.time() < spread_at or self.placement.orders_under_way:
+        propagated_at = min(loop.time() + LEAVE_PROPAGATION_S, ends_at)
+        while loop.time() < propagated_at or self.placement.orders_in_progress:
             if loop.time() >= ends_at:
                 return False
-            await asyncio.sleep(STOP_POLL_S)
+            await asyncio.sleep(STOP_CHECK_PERIOD_S)
         return True
 
     async def async_stop(self) -> None:
-        """Stop everything; what is still under way is cut off."""
+        """Stop all components; orders still in progress are interrupted."""
         self.placement.async_stop()
         self.network.async_stop()
         await self.tasks.async_cancel()
@@ -173,7 +174,7 @@
 
 
 def make_member(settings: ControllerSettings) -> Member:
-    """Return this process's entry as it starts."""
+    """Return the member entry of this process at its start."""
     return Member(
         host=settings.host,
         role=ProcessRole.CONTROLLER,
--- a/mangoway/daemons/controller_status.py
+++ b/mangoway/daemons/controller_status.py
@@ -1,4 +1,4 @@
-"""What a controller tells operators: hosts, ledgers, copies and reasons."""
+"""Status of a controller for operators: hosts, ledgers, copies and reasons."""
 
 from collections.abc import Callable, Iterable
 from typing import Final
@@ -22,16 +22,15 @@
 from .placement_driver import PlacementDriver
 
 REASON_FOUND: Final = "loaded_before"
-"""The copies were there when this controller began to plan."""
-
+"""The copies were loaded before this controller started planning."""
 
 REASON_QUEUED: Final = "queued"
-"""It has no copy, and waits for its turn to be loaded."""
+"""The artifact has no copy and waits in the load queue."""
 
 
 @define(eq=False, kw_only=True)
 class ControllerStatus:
-    """Answers operators from the state of one controller."""
+    """Answers status requests of operators from the state of one controller."""
 
     cell: CellId
     host: HostId
@@ -42,7 +41,7 @@
     clock: Callable[[], float]
 
     def async_read_status(self) -> pb.StatusReply:
-        """Return what this controller knows."""
+        """Return the state of this controller."""
         status = self.placement.core.build_status(self.clock())
         members = self.directory.list_all()
         own = self.directory.find_incarnation(self.own)
@@ -63,7 +62,7 @@
         )
 
     def async_explain(self, request: pb.ExplainRequest) -> pb.ExplainReply:
-        """Return why this controller did something."""
+        """Return the reasons for decisions of this controller."""
         return explain(self.journal, request, self.host)
 
 
@@ -118,18 +117,18 @@
 def find_reason(
     artifact: ArtifactStatus, status: PlacementStatus, reasons: Iterable[Reason]
 ) -> tuple[str, str]:
-    """Return the code and the detail of why an artifact sits where it does."""
-    for need in status.queue:
-        if need.artifact == artifact.artifact and need.blocked_s:
-            return "no_room", f"no runner has had room for {need.blocked_s:.0f} s"
-        if need.artifact == artifact.artifact and not artifact.copies:
-            return REASON_QUEUED, need.rank.name.lower()
+    """Return the code and detail of the reason for an artifact's placement."""
+    for queued in status.queue:
+        if queued.artifact == artifact.artifact and queued.blocked_s:
+            return "no_room", f"no runner has had room for {queued.blocked_s:.0f} s"
+        if queued.artifact == artifact.artifact and not artifact.copies:
+            return REASON_QUEUED, queued.rank.name.lower()
     ready = sum(copy.state is CopyState.READY for copy in artifact.copies)
-    settled = ready >= max(1, artifact.floor)
-    # Reasons for inaction are out of date once the floor is met.
-    telling = [each for each in reasons if each.upstream_id or not settled]
-    if telling:
-        return telling[-1].code, telling[-1].detail
+    is_satisfied = ready >= max(1, artifact.floor)
+    # Reasons for not loading a copy are outdated once the floor is reached.
+    relevant = [each for each in reasons if each.upstream_id or not is_satisfied]
+    if relevant:
+        return relevant[-1].code, relevant[-1].detail
     return (REASON_FOUND, "") if artifact.copies else ("", "")
 
 
--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -1,4 +1,4 @@
-"""Turns the decisions about requests into I/O, and I/O into their events."""
+"""Executes the actions of the dispatch core and feeds it the resulting events."""
 
 import asyncio
 import time
@@ -76,7 +76,7 @@
 
 
 class KeyClaimer(Protocol):
-    """Claims plain idempotency keys; the outcome comes back as an event."""
+    """Claims plain idempotency keys; the outcome is sent as an event."""
 
     def async_claim(self, action: ClaimKey, submission: Submission) -> None:
         """Start a claim."""
@@ -84,7 +84,7 @@
 
 
 class PeerRouter(Protocol):
-    """Sends requests to other gateways and fills their answers."""
+    """Forwards requests to other gateways and fills in their answers."""
 
     def async_forward_home(self, record: RequestRecord, home: IncarnationId) -> None:
         """Forward a request to the home of its key."""
@@ -96,16 +96,16 @@
 
 
 class DemandSink(Protocol):
-    """Takes the demand that a gateway saw."""
+    """Receives the demand that a gateway measured."""
 
     def async_report_demand(self, action: ReportDemand) -> None:
-        """Pass it on to the controller."""
+        """Report the demand to the active controller."""
         ...
 
 
 @define(eq=False, kw_only=True)
 class Dispatcher:
-    """Owns the dispatch core: one event at a time, actions in their order."""
+    """Drives the dispatch core: one event at a time, with its actions in order."""
 
     core: Core[DispatchEvent, DispatchAction]
     journal: Journal
@@ -120,19 +120,19 @@
     _driver: CoreDriver[DispatchEvent, DispatchAction] = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._driver = CoreDriver(self.core, self._carry_out, Ticked)
+        self._driver = CoreDriver(self.core, self._execute, Ticked)
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing is in progress, at upstreams included."""
+        """Return whether no request is in progress, here or at upstreams."""
         return not self.records and not self.runner
 
     def now(self) -> float:
-        """Return the time on the clock of the decisions."""
+        """Return the loop time, which the dispatch core uses as well."""
         return asyncio.get_running_loop().time()
 
     def submit(self, submission: Submission, span: HopSpan) -> Answer:
-        """Take a checked request and return its answer, which then grows."""
+        """Accept a validated request and return its answer, which is filled later."""
         answer = Answer()
         decision = self.tracing.start(Hop.GATEWAY, DECISION_SPAN, span)
         self.records.add(RequestRecord(submission, answer, span, decision))
@@ -140,29 +140,29 @@
         return answer
 
     def hang_up(self, request_id: RequestId) -> None:
-        """Note that nobody waits for a request's answer any more."""
+        """Handle a caller that no longer waits for a request's answer."""
         if self.records.get(request_id) is not None:
             self.send(RequestCancelled(request_id=request_id))
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self.configuration = configuration
         self.send(ConfigurationChanged(configuration=configuration))
 
     def set_upstreams(self, upstreams: Iterable[UpstreamAddress]) -> None:
-        """Set the whole list of known upstreams."""
+        """Replace the list of known upstreams."""
         self.upstreams = {each.id: each for each in upstreams}
         self.send(UpstreamListChanged(upstreams=tuple(self.upstreams.values())))
 
     def send(self, event: DispatchEvent) -> None:
-        """Give the core an event and do what it decides."""
+        """Pass an event to the core and execute the resulting actions."""
         self._driver.async_handle(event)
 
     def close(self) -> None:
-        """Take no further event."""
+        """Stop handling events."""
         self._driver.async_stop()
 
-    def _carry_out(self, action: DispatchAction) -> None:
+    def _execute(self, action: DispatchAction) -> None:
         _handlers[type(action)](self, action)
 
     @_handles(StartAttempt)
@@ -170,7 +170,7 @@
         record = self.records.get(action.request_id)
         upstream = self.upstreams.get(action.upstream_id)
         if record is None or upstream is None:
-            self.send(_make_unstartable(action))
+            self.send(_make_unlisted_event(action))
             return
         record.end_decision()
         self.runner.async_start(action, record, upstream.address)
@@ -194,18 +194,18 @@
         record.attempt = None
         record.answer.finish()
         if action.keep_answer:
-            self.records.keep(action.request_id, record.answer)
+            self.records.store_answer(action.request_id, record.answer)
 
     @_handles(ReplayAnswer)
     def _replay(self, action: ReplayAnswer) -> None:
         record = self.records.pop(action.request_id)
         if record is None:
             return
-        kept = self.records.find_kept(action.answer_id)
-        if kept is None:
-            record.answer.fail(_make_lost_answer())
+        stored_answer = self.records.find_answer(action.answer_id)
+        if stored_answer is None:
+            record.answer.fail(_make_lost_answer_failure())
             return
-        record.answer.follow(kept)
+        record.answer.follow(stored_answer)
 
     @_handles(JoinRequest)
     def _join(self, action: JoinRequest) -> None:
@@ -216,8 +216,8 @@
             record.answer.follow(leader.answer)
 
     @_handles(DeleteAnswer)
-    def _forget(self, action: DeleteAnswer) -> None:
-        self.records.forget(action.answer_id)
+    def _delete_answer(self, action: DeleteAnswer) -> None:
+        self.records.delete_answer(action.answer_id)
 
     @_handles(ClaimKey)
     def _claim(self, action: ClaimKey) -> None:
@@ -229,14 +229,16 @@
     def _forward_home(self, action: ForwardToHome) -> None:
         record = self.records.pop(action.request_id)
         if record is not None:
-            self._keep(record, REASON_FORWARDED_HOME, f"home {action.home}")
+            self._record_forward(record, REASON_FORWARDED_HOME, f"home {action.home}")
             self.router.async_forward_home(record, action.home)
 
     @_handles(ForwardToPeer)
     def _forward_any(self, action: ForwardToPeer) -> None:
         record = self.records.pop(action.request_id)
         if record is not None:
-            self._keep(record, REASON_FORWARDED_LEAVING, "this gateway leaves")
+            self._record_forward(
+                record, REASON_FORWARDED_LEAVING, "this gateway is leaving"
+            )
             self.router.async_forward_any(record)
 
     @_handles(ReportDemand)
@@ -258,7 +260,7 @@
             )
         )
 
-    def _keep(self, record: RequestRecord, reason: str, detail: str) -> None:
+    def _record_forward(self, record: RequestRecord, reason: str, detail: str) -> None:
         self.journal.add(
             JournalEntry(
                 at=time.time(),
@@ -271,7 +273,7 @@
         )
 
     @_handles(LogBreakerChange)
-    def _note_breaker(self, action: LogBreakerChange) -> None:
+    def _log_breaker(self, action: LogBreakerChange) -> None:
         upstream = action.upstream_id
         if action.failures:
             log_event(CircuitOpened(upstream_id=upstream, failures=action.failures))
@@ -279,11 +281,11 @@
             log_event(CircuitClosed(upstream_id=upstream))
 
     @_handles(WakeAt)
-    def _wake_at(self, action: WakeAt) -> None:
+    def _schedule_wakeup(self, action: WakeAt) -> None:
         self._driver.async_wake_at(action.time)
 
 
-def _make_unstartable(action: StartAttempt) -> AttemptFailed:
+def _make_unlisted_event(action: StartAttempt) -> AttemptFailed:
     failure = Failure(
         code=ErrorCode.NO_UPSTREAM,
         verdict=Verdict.NOT_RUN,
@@ -294,9 +296,9 @@
     )
 
 
-def _make_lost_answer() -> Failure:
+def _make_lost_answer_failure() -> Failure:
     return Failure(
         code=ErrorCode.KEY_EXPIRED,
         verdict=Verdict.RAN,
-        detail="the request ran, but its answer is no longer kept",
+        detail="the request ran, but its answer is no longer stored",
     )
--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -45,28 +45,30 @@
     run_process,
 )
 
-SUMMARY_S: Final = 2.0
-"""Time between two summaries of the retry budgets in the log."""
+SUMMARY_PERIOD_S: Final = 2.0
+"""Interval between two summaries of the retry budgets in the log."""
 
-SWEEP_S: Final = 0.5
-"""Time between two looks at idle connections to runners."""
+SWEEP_PERIOD_S: Final = 0.5
+"""Interval between two sweeps of idle connections to runners."""
 
-LEAST_STAY_S: Final = 3.4
-"""Time that a stopping edge still takes requests: callers keep an address for up to
-three times the second that the directory names."""
+STOP_ACCEPT_S: Final = 3.4
+"""Time for which a stopping edge still accepts requests: callers keep an address for up
+to three times the 1 s that the directory states."""
 
 STOP_MARGIN_S: Final = 0.6
-"""Time before the end of the grace in which what still runs is broken off."""
+"""Time before the end of the grace period at which remaining requests are aborted."""
 
 MS_PER_S: Final = 1000.0
-STOP_CHECK_S: Final = 0.05
+STOP_CHECK_PERIOD_S: Final = 0.05
 
 REFUSE_BEFORE_END_S: Final = 2.5
-"""Time before the end of a stop at which what still waits for a runner is refused: an
-answer takes about two seconds, and callers must come back elsewhere in their time."""
+"""Time before the end of a stop at which requests that still wait for a runner are
+rejected: an answer takes about two seconds, and callers must be able to retry at
+another edge before their deadline."""
 
 RETRY_AFTER_STOP_S: Final = 0.1
-"""When to come back to another edge: at once, but for the spread of a restart."""
+"""Retry delay of requests rejected by a stopping edge; short, since another edge can
+serve them, but not zero, so that the retries of a restart are spread."""
 
 
 def run(settings: EdgeSettings) -> None:
@@ -85,7 +87,7 @@
 
 @define(eq=False)
 class EdgeProcess:
-    """An edge with its listeners."""
+    """An edge with its listeners and background tasks."""
 
     settings: EdgeSettings
     process: FleetProcess = field(init=False)
@@ -94,7 +96,7 @@
     admission: Admission = field(init=False)
     retry_budgets: RetryBudgets = field(init=False)
     signal_tracker: SignalTracker = field(init=False)
-    lone_share: DisconnectedShare = field(factory=DisconnectedShare, init=False)
+    disconnected_share: DisconnectedShare = field(factory=DisconnectedShare, init=False)
     forwarder: Forwarder = field(init=False)
     callers: ServerOptions = field(init=False)
     pages: list[ServerOptions] = field(factory=list, init=False)
@@ -105,7 +107,7 @@
     _forced: bool = field(default=False, init=False)
     _ready_logged: bool = field(default=False, init=False)
     _fleet_changed: bool = field(default=False, init=False)
-    """Whether the core that chooses alone doesn't know the newest runners."""
+    """Whether the local grant provider has yet to receive the current fleet."""
 
     def __attrs_post_init__(self) -> None:
         settings = self.settings
@@ -113,7 +115,7 @@
             settings, Role.EDGE, caller_address=settings.caller_listen
         )
         self.client = self._make_client()
-        self.signal_tracker = self._make_signal_watch()
+        self.signal_tracker = self._make_signal_tracker()
         self.retry_budgets = RetryBudgets(
             limits=RetryLimits(
                 ratio=settings.retry_ratio,
@@ -124,7 +126,9 @@
             clock=self.process.clock,
             boot_clock=read_boot_clock,
         )
-        self.reporter = CrashReporter(self.process.store, OWN_PREFIX, self._tell)
+        self.reporter = CrashReporter(
+            self.process.store, OWN_PREFIX, self._send_statement
+        )
         self.admission = Admission(
             view=self.process.view,
             measure_age=self.process.mirror.measure_age,
@@ -137,10 +141,10 @@
             refuse=make_error_response,
             on_error=_log_error,
         )
-        self.process.view.on_change.append(self._note_view)
+        self.process.view.on_change.append(self._handle_view_change)
 
     async def async_start(self) -> None:
-        """Listen, and follow the store and the scheduler.
+        """Open the listeners and follow the store and the scheduler.
 
         Raises:
             OSError: If an address can't be listened on.
@@ -168,49 +172,50 @@
         await self.process.async_start(addresses)
         self.process.keep_running(self.reporter.async_run)
         self.process.keep_running(self._async_sweep)
-        self.process.keep_running(self._async_look_at_members)
-        self.process.keep_running(self._async_sum_up)
+        self.process.keep_running(self._async_update_shares)
+        self.process.keep_running(self._async_log_summaries)
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the edge takes new callers."""
+        """Return whether the edge accepts new callers."""
         if self._stopping or self.process.view.table is None:
             return False
         return self.admission.is_current()
 
     def force(self) -> None:
-        """End at once."""
+        """Cut a stop in progress short."""
         self._forced = True
 
     async def async_leave(self, signal: str) -> None:
-        """Leave the directory, finish what runs, and end within the grace time."""
-        began = self.process.clock()
+        """Leave the directory, finish open requests and stop in the grace period."""
+        began_at = self.process.clock()
         self._stopping = True
         self.callers.closing = True
         log_event(log.NodeStopping(signal=signal, in_progress=self.callers.busy))
         self.process.tasks.async_start(self.process.presence.async_leave())
-        last = began + self.settings.grace_s - STOP_MARGIN_S
-        await self._async_finish(began + LEAST_STAY_S, last)
-        left = self.callers.busy
+        finish_by = began_at + self.settings.grace_s - STOP_MARGIN_S
+        await self._async_finish(began_at + STOP_ACCEPT_S, finish_by)
+        unfinished = self.callers.busy
         for server in self._servers:
             server.close()
         self.callers.abort()
         await self.process.async_stop()
-        seconds = round(self.process.clock() - began, 3)
-        log_event(log.NodeStopped(in_progress=left, after_s=seconds))
+        seconds = round(self.process.clock() - began_at, 3)
+        log_event(log.NodeStopped(in_progress=unfinished, after_s=seconds))
 
-    async def _async_finish(self, least: float, last: float) -> None:
+    async def _async_finish(self, accept_until: float, finish_by: float) -> None:
         while not self._forced:
             now = self.process.clock()
-            if now >= last or (now >= least and self.callers.busy == 0):
+            if now >= finish_by or (now >= accept_until and self.callers.busy == 0):
                 return
-            if now >= last - REFUSE_BEFORE_END_S:
-                self.client.refuse_waiting("this host stops", RETRY_AFTER_STOP_S)
-            if now >= least:
-                # Nobody should come any more; a request that is read must be answered.
+            if now >= finish_by - REFUSE_BEFORE_END_S:
+                self.client.refuse_waiting("this host is stopping", RETRY_AFTER_STOP_S)
+            if now >= accept_until:
+                # No callers are expected any more; requests already being read are
+                # still answered.
                 self._servers[0].close()
                 self.callers.close_idle()
-            await asyncio.sleep(STOP_CHECK_S)
+            await asyncio.sleep(STOP_CHECK_PERIOD_S)
 
     def _make_client(self) -> SchedulerClient:
         state = SchedulingState(
@@ -224,10 +229,10 @@
         )
         return SchedulerClient(process.leader_link, local, process.incarnation)
 
-    def _make_signal_watch(self) -> SignalTracker:
+    def _make_signal_tracker(self) -> SignalTracker:
         limits = self.client.local.core.state.limits
-        limits.get_share = self.lone_share.measure
-        watch = SignalTracker(
+        limits.get_share = self.disconnected_share.measure
+        tracker = SignalTracker(
             metrics=self.process.metrics,
             limits=limits,
             clock=self.process.clock,
@@ -236,11 +241,11 @@
             cooldowns=self.client.local.core.state.cooldowns,
             report_signal=self.client.report_signal,
         )
-        self.client.on_limit = watch.handle_relayed_limit
-        self.client.on_leaving = watch.handle_relayed_leaving
+        self.client.on_limit = tracker.handle_relayed_limit
+        self.client.on_leaving = tracker.handle_relayed_leaving
         self.client.list_leaving = self.process.view.list_leaving
-        self.client.list_limits = watch.list_limits
-        return watch
+        self.client.list_limits = tracker.list_limits
+        return tracker
 
     def _make_forwarder(self) -> Forwarder:
         process = self.process
@@ -278,13 +283,13 @@
             random=self._random,
         )
 
-    def _tell(self, key: str, value: bytes) -> bool:
+    def _send_statement(self, key: str, value: bytes) -> bool:
         return self.process.leader_link.send_statement(
             RelayedStatement(key=key, value=value)
         )
 
-    def _note_view(self) -> None:
-        """Note that the fleet changed; the first configuration makes the edge ready."""
+    def _handle_view_change(self) -> None:
+        """Handle a change of the fleet; announce the edge at the first one."""
         table = self.process.view.table
         if table is None:
             return
@@ -293,7 +298,7 @@
             self._become_ready(table.version)
 
     def _read_fleet(self) -> FleetUpdated | None:
-        """Return runners and configuration for the core that chooses alone, if new."""
+        """Return the fleet for the local grant provider, or None if it is unchanged."""
         view = self.process.view
         if view.table is None or not self._fleet_changed:
             return None
@@ -304,7 +309,7 @@
         return FleetUpdated(table=view.table, runners=view.list_open_runners())
 
     def _become_ready(self, version: int) -> None:
-        """Announce the edge, now that it can serve."""
+        """Log that the edge can serve, and announce it."""
         self._ready_logged = True
         after_s = round(self.process.clock() - self._started_at, 3)
         log_event(log.NodeReady(version=version, after_s=after_s))
@@ -314,7 +319,7 @@
         return len(self._list_edges())
 
     def _list_edges(self) -> list[str]:
-        """Return the keys of the edges that are announced."""
+        """Return the keys of the announced edges."""
         members = self.process.view.members.items()
         return [key for key, each in members if each.role is Role.EDGE]
 
@@ -324,19 +329,19 @@
 
     async def _async_sweep(self) -> None:
         while True:
-            await async_sleep_to_tick(SWEEP_S)
+            await async_sleep_to_tick(SWEEP_PERIOD_S)
             self.forwarder.pool.sweep(self.process.clock())
             self.forwarder.plain.forget_removed_runners()
             self.signal_tracker.keep_only(set(self.process.view.runners))
 
-    async def _async_look_at_members(self) -> None:
-        """Keep this edge's parts of what the whole fleet may do current."""
+    async def _async_update_shares(self) -> None:
+        """Update this edge's shares of fleet-wide limits from the announced edges."""
         process = self.process
         own = OWN_PREFIX + process.presence.member.key
         self.retry_budgets.share.own = own
         while True:
             edges = self._list_edges()
-            self.lone_share.update(own, edges)
+            self.disconnected_share.update(own, edges)
             self.retry_budgets.share.update(
                 edges,
                 known_at=self.process.mirror.known_at,
@@ -345,9 +350,9 @@
             )
             await async_sleep_to_tick(MEMBERS_POLL_S)
 
-    async def _async_sum_up(self) -> None:
+    async def _async_log_summaries(self) -> None:
         while True:
-            await async_sleep_to_tick(SUMMARY_S)
+            await async_sleep_to_tick(SUMMARY_PERIOD_S)
             self.retry_budgets.log_summary()
 
 
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -1,4 +1,4 @@
-"""What edges and schedulers have in common: the store, presence, metrics, signals."""
+"""Common parts of edges and schedulers: the store, presence, metrics and signals."""
 
 import asyncio
 import secrets
@@ -32,19 +32,19 @@
 from ..util.ticks import async_sleep_to_tick
 from .metrics_server import MetricsServer
 
-EXPIRE_S: Final = 0.2
-"""Time between two looks at entries that vanished in an outage."""
+EXPIRE_PERIOD_S: Final = 0.2
+"""Interval between two checks for entries that vanished in an outage."""
 
-PAUSE_LOGGED_S: Final = 0.5
-"""Lateness of the loop from which a pause is logged."""
+MIN_LOGGED_PAUSE_S: Final = 0.5
+"""Delay of the event loop from which a pause of the process is logged."""
 
-RESTART_S: Final = 0.5
-"""Pause before a background task that failed is started again."""
+RESTART_DELAY_S: Final = 0.5
+"""Delay before a background task that failed is restarted."""
 
 
 @define(eq=False)
 class FleetProcess:
-    """The store, the view of it, and the process's announcement."""
+    """The store client, the view of the fleet, and the announcement of the process."""
 
     settings: FleetSettings
     role: Role
@@ -89,16 +89,16 @@
             seeds=self._list_seeds(),
         )
         self.mirror.feed = self.leader_link
-        self.leader_link.on_statement = self.take_told
-        self.tasks = Tasks(_log_failure)
+        self.leader_link.on_statement = self.handle_statement
+        self.tasks = Tasks(_log_task_failure)
 
     def _list_seeds(self) -> tuple[str, ...]:
-        """Return the schedulers to ask at a start, without this process itself."""
+        """Return the schedulers to connect to at startup, without this process."""
         return tuple(each for each in self.settings.seeds if each != self.peer_address)
 
     @staticmethod
     def clock() -> float:
-        """Return the steady time of the loop in seconds."""
+        """Return the monotonic time of the event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     async def async_start(self, addresses: tuple[str, ...]) -> None:
@@ -119,16 +119,16 @@
             )
         )
 
-    def take_told(self, message: RelayedStatement) -> None:
-        """Take a statement on a crash that another process tells."""
+    def handle_statement(self, message: RelayedStatement) -> None:
+        """Apply a crash statement relayed by another process."""
         try:
             decode_statement(message.key, message.value).take(self.crashes)
         except StatementError as error:
             log_event(log.HandlerFailed(error=repr(error)))
 
     def keep_running(self, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a background task until the end; one that fails starts again."""
-        self.tasks.async_start(self._async_keep(run))
+        """Run a background task until the process stops; restart it if it fails."""
+        self.tasks.async_start(self._async_run_with_restarts(run))
 
     async def async_stop(self) -> None:
         """Stop the tasks and close the connections."""
@@ -138,29 +138,31 @@
             self._metrics_server.stop()
         self.store.close()
 
-    async def _async_keep(self, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    async def _async_run_with_restarts(
+        self, run: Callable[[], Coroutine[Any, Any, None]]
+    ) -> None:
         while True:
             try:
                 await run()
                 return
             except Exception as error:
-                _log_failure(error)
-            await asyncio.sleep(RESTART_S)
+                _log_task_failure(error)
+            await asyncio.sleep(RESTART_DELAY_S)
 
     async def _async_expire(self) -> None:
-        """Take vanished runners away in time, and notice pauses of the process."""
+        """Remove vanished runners when they expire, and log pauses of the process."""
         while True:
-            before = read_boot_clock()
-            await async_sleep_to_tick(EXPIRE_S)
-            late = read_boot_clock() - before - EXPIRE_S
-            if late > PAUSE_LOGGED_S:
-                log_event(log.ProcessPaused(seconds=round(late, 3)))
+            slept_from = read_boot_clock()
+            await async_sleep_to_tick(EXPIRE_PERIOD_S)
+            late_s = read_boot_clock() - slept_from - EXPIRE_PERIOD_S
+            if late_s > MIN_LOGGED_PAUSE_S:
+                log_event(log.ProcessPaused(seconds=round(late_s, 3)))
             self.view.expire_missing(self.clock())
 
     def is_announced(self) -> bool:
-        """Return whether the store shows this life of the process."""
-        shown = self.view.members.get(OWN_PREFIX + self.presence.member.key)
-        return shown is not None and shown.incarnation == self.incarnation
+        """Return whether the store shows this incarnation of the process."""
+        announced = self.view.members.get(OWN_PREFIX + self.presence.member.key)
+        return announced is not None and announced.incarnation == self.incarnation
 
     def _check_presence(self) -> None:
         """Announce the process again if the store does not show it."""
@@ -171,7 +173,7 @@
 def run_process(
     settings: FleetSettings, role: Role, main: Coroutine[Any, Any, None]
 ) -> None:
-    """Run a process with its log on standard output until it ends by itself."""
+    """Run a process, with its log on standard output, until its main task ends."""
     stop_log = start_log(settings.log_level, host=settings.host, role=role.value)
     capture_library_logs()
     try:
@@ -181,7 +183,7 @@
 
 
 def listen_for_signals(on_second: Callable[[], None]) -> StopSignals:
-    """Take the signals to stop and to reload."""
+    """Handle the signals to stop; log that the signal to reload is ignored."""
     signals = StopSignals(on_second)
     signals.async_listen()
     loop = asyncio.get_running_loop()
@@ -192,13 +194,13 @@
 
 
 def open_address(address: str) -> Any:
-    """Listen on an address of the settings.
+    """Listen on an address from the settings.
 
     Raises:
-        OSError: If it can't be used.
+        OSError: If the address can't be listened on.
     """
     return open_listener(*split_address(address))
 
 
-def _log_failure(error: BaseException) -> None:
+def _log_task_failure(error: BaseException) -> None:
     log_event(log.HandlerFailed(error=repr(error)))
--- a/mangoway/daemons/gateway.py
+++ b/mangoway/daemons/gateway.py
@@ -32,7 +32,7 @@
 def run(settings: GatewaySettings) -> None:
     """Run a gateway until a signal stops it.
 
-    Exits with 0 if it was idle at its end, and with 1 if it cut requests off.
+    Exits with 0 if it was idle when it ended, and with 1 if it interrupted requests.
     """
     stop_log = start_log(
         settings.log_level, host=settings.host, role=ProcessRole.GATEWAY.value
@@ -49,7 +49,7 @@
     """Run a gateway on the running loop until a signal stops it.
 
     Raises:
-        SettingError: If a setting names an adapter that is not there.
+        SettingError: If a setting names an adapter that does not exist.
         OSError: If an address can't be listened on.
     """
     metrics = Metrics()
@@ -70,7 +70,7 @@
 
 @define(eq=False)
 class GatewayProcess:
-    """A gateway with its peers and the platform."""
+    """A gateway with its peer network, host list and planned stop."""
 
     settings: GatewaySettings
     store: KeyValueStore
@@ -107,10 +107,10 @@
         )
 
     async def async_start(self) -> None:
-        """Listen, and follow peers, the configuration and the host list.
+        """Open the listeners and follow peers, the configuration and the host list.
 
         Raises:
-            OSError: If an address can't be used.
+            OSError: If an address can't be listened on.
         """
         settings = self.settings
         await self.node.async_start(settings.caller_listen, settings.peer_listen)
@@ -121,7 +121,7 @@
                 self._host_list,
                 period_s=settings.host_list_period_s,
                 metrics=self.metrics,
-                on_change=self._list_hosts,
+                on_change=self._apply_host_list,
             )
             self.node.tasks.async_start(poller.async_run())
         log_event(
@@ -134,11 +134,11 @@
         )
 
     def force(self) -> None:
-        """End a stop at once."""
+        """Cut a stop in progress short."""
         self.stop.force()
 
     async def async_leave(self, signal_name: str) -> StopOutcome:
-        """Leave in a planned way; the site may set a shorter deadline."""
+        """Run the planned stop; the site policy may shorten its deadline."""
         configuration = self.node.dispatcher.configuration
         if configuration is not None:
             site_s = configuration.site.stop_deadline_s
@@ -146,7 +146,7 @@
         return await self.stop.async_run(signal_name)
 
     async def async_stop(self, force: bool) -> None:
-        """Stop everything."""
+        """Stop all components."""
         self.network.async_stop()
         await self.node.async_stop(force)
         if self._host_list is not None:
@@ -183,7 +183,7 @@
             caller_address=settings.caller_address,
         )
 
-    def _list_hosts(self, listing: HostListing) -> None:
+    def _apply_host_list(self, listing: HostListing) -> None:
         self.node.set_upstreams(listing.upstreams)
         self.network.async_list_hosts(
             ListedHost(peer_address=each.peer_address, leaving=each.leaving)
--- a/mangoway/daemons/gateway_metrics.py
+++ b/mangoway/daemons/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Levels of a gateway that are read when its metrics are asked for."""
+"""Gauges of a gateway that are updated when its metrics are requested."""
 
 from collections import Counter
 
@@ -17,7 +17,7 @@
 
 @define(eq=False, kw_only=True)
 class GatewayGauges:
-    """Sets the gauges; counters are kept where things happen."""
+    """Sets the gauges; counters are updated by the code that they count."""
 
     metrics: Metrics
     core: DispatchCore
--- a/mangoway/daemons/gateway_node.py
+++ b/mangoway/daemons/gateway_node.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts, put together, without process and platform around it."""
+"""The components of one gateway, without the process and the platform around it."""
 
 import asyncio
 import os
@@ -53,7 +53,7 @@
 from ..util.tasks import Tasks
 from .attempts import AttemptRunner
 from .claims import KeyClaims
-from .const import REPORTERS_PER_ENGINE
+from .const import POLLERS_PER_ENGINE
 from .dispatcher import Dispatcher
 from .engine_poller import EnginePoller
 from .gateway_metrics import GatewayGauges
@@ -64,13 +64,13 @@
 
 
 def make_incarnation() -> IncarnationId:
-    """Return an identifier that no process ever had."""
+    """Return a random identifier for one incarnation of a process."""
     return IncarnationId(os.urandom(16).hex())
 
 
 @define(kw_only=True)
 class NodeSettings:
-    """What a gateway must know of itself."""
+    """Settings of a gateway's components."""
 
     host: HostId
     data_centre: DataCentreId
@@ -81,7 +81,7 @@
 
 
 class GatewayNode:
-    """Parts of a gateway; make it on the loop that runs it."""
+    """The components of a gateway; created on the event loop that runs it."""
 
     def __init__(
         self,
@@ -151,20 +151,20 @@
             )
         )
         self._upstream_log = UpstreamLog()
-        self._live: frozenset[IncarnationId] | None = None
-        """Live gateways that the engines are shared among."""
-        self.book.listen(self._take_peer_report)
+        self._live_gateways: frozenset[IncarnationId] | None = None
+        """Live gateways among which polling of the engines is divided."""
+        self.book.listen(self._handle_peer_report)
 
     @property
     def idle(self) -> bool:
-        """Tell whether no request is in progress."""
+        """Return whether no request is in progress."""
         return self.dispatcher.idle and not self.gate.open_count
 
     async def async_start(self, caller_listen: str, peer_listen: str) -> None:
-        """Listen for peers and callers, and ask engines for reports.
+        """Listen for peers and callers, and poll engines for reports.
 
         Raises:
-            OSError: If an address can't be used.
+            OSError: If an address can't be listened on.
         """
         await self.peer_server.async_start(*split_address(peer_listen))
         await self.server.async_start(*split_address(caller_listen))
@@ -172,7 +172,7 @@
         self.tasks.async_start(async_watch_loop(self.metrics))
 
     async def async_stop(self, force: bool = False) -> None:
-        """Stop serving; what is still in progress is cut off."""
+        """Stop serving; requests still in progress are interrupted."""
         await self.server.async_stop(force)
         await self.peer_server.async_stop()
         self.dispatcher.close()
@@ -181,8 +181,8 @@
         self.clients.close()
         await self.session.async_close()
 
-    def make_giver(self) -> HandOverSender:
-        """Return what hands the idempotency records to a successor."""
+    def make_hand_over_sender(self) -> HandOverSender:
+        """Return the sender that hands the idempotency records to a successor."""
         return HandOverSender(
             core=self.core,
             records=self.dispatcher.records,
@@ -191,24 +191,25 @@
         )
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self.metrics.config_version.set(level=configuration.version)
         self.dispatcher.set_configuration(configuration)
 
     def set_upstreams(self, upstreams: Iterable[UpstreamAddress]) -> None:
-        """Set the whole list of known upstreams."""
+        """Replace the list of known upstreams."""
         known = tuple(upstreams)
-        self._upstream_log.note_listed(known)
+        self._upstream_log.record_listed(known)
         self.dispatcher.set_upstreams(known)
         self.book.forget(frozenset(self.dispatcher.upstreams))
-        self._share_engines()
+        self._assign_engines()
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Set the processes of the system, this one included."""
+        """Replace the list of processes of the system, which includes this one."""
         known = tuple(members)
         self.directory.set_members(known)
         gateways = [each for each in known if each.role is ProcessRole.GATEWAY]
-        # A leaving home still answers for its keys; a gone one does not.
+        # A leaving gateway still serves the keys that name it as home; one that is
+        # gone does not.
         homes = [each for each in gateways if each.state is not MemberState.GONE]
         successors = tuple(
             Successor(home=each.incarnation, successor=each.successor)
@@ -223,29 +224,30 @@
         )
         live = self.directory.list_live(ProcessRole.GATEWAY)
         incarnations = frozenset(each.incarnation for each in live)
-        # Most changes are other members' versions; these concern no engine.
-        if incarnations != self._live:
-            self._live = incarnations
+        # Most changes are of members' configuration versions, which do not affect how
+        # the engines are divided.
+        if incarnations != self._live_gateways:
+            self._live_gateways = incarnations
             self.dispatcher.send(GatewayCountChanged(count=max(1, len(live))))
-            self._share_engines()
+            self._assign_engines()
 
-    def async_meet(self, description: EngineDescription) -> None:
-        """Take the description of an engine met first, or after a restart."""
-        self._upstream_log.note_met(description)
+    def async_handle_description(self, description: EngineDescription) -> None:
+        """Handle the description of an engine that is new or was restarted."""
+        self._upstream_log.record_description(description)
         self.dispatcher.send(EngineDescribed(description=description))
 
-    def async_take_report(self, report: EngineReport) -> None:
-        """Take a report that this gateway asked for; peers hear of it."""
-        self._upstream_log.note_report(report)
+    def async_handle_report(self, report: EngineReport) -> None:
+        """Handle a report that this gateway read; it is also passed on to peers."""
+        self._upstream_log.record_report(report)
         if self.book.offer(report):
             self.dispatcher.send(EngineReported(report=report))
 
-    def async_note_silent(self, upstream: UpstreamId, error: MangowayError) -> None:
-        """Take note that an engine has not answered for long."""
+    def async_handle_silence(self, upstream: UpstreamId, error: MangowayError) -> None:
+        """Log that an engine has stopped answering."""
         log_event(ReportFailed(upstream_id=upstream, error=str(error)))
 
     def async_report_demand(self, action: ReportDemand) -> None:
-        """Pass the demand of a period on to the active controller."""
+        """Report the demand of a period to the active controller."""
         self.tasks.async_start(
             self.demand.async_report(action.period_s, action.demands)
         )
@@ -275,7 +277,7 @@
                 incarnation=settings.incarnation,
                 tasks=self.tasks,
                 send=self._send,
-                get_site=self._get_site,
+                get_site_policy=self._get_site_policy,
             ),
             router=GatewayRouter(
                 forwarder=self.forwarder,
@@ -289,14 +291,14 @@
             demand=self,
         )
 
-    def _get_site(self) -> SitePolicy:
+    def _get_site_policy(self) -> SitePolicy:
         configuration = self.dispatcher.configuration
         return SitePolicy() if configuration is None else configuration.site
 
     def _send(self, event: DispatchEvent) -> None:
         self.dispatcher.send(event)
 
-    def _take_peer_report(self, report: EngineReport) -> None:
+    def _handle_peer_report(self, report: EngineReport) -> None:
         self.dispatcher.send(EngineReported(report=report))
         if self._upstream_log.find_incarnation(report.upstream) != report.incarnation:
             self.tasks.async_start(self._async_describe(report.upstream))
@@ -306,11 +308,13 @@
         if address is None:
             return
         try:
-            self.async_meet(await self.engines.async_describe(address.address))
+            self.async_handle_description(
+                await self.engines.async_describe(address.address)
+            )
         except MangowayError as error:
             log_event(ReportFailed(upstream_id=upstream, error=str(error)))
 
-    def _share_engines(self) -> None:
+    def _assign_engines(self) -> None:
         """Poll only this gateway's share of the engines."""
         live = self.directory.list_live(ProcessRole.GATEWAY)
         names = [each.incarnation for each in live]
@@ -319,7 +323,7 @@
             each
             for each in self.dispatcher.upstreams.values()
             if each.kind is UpstreamKind.ENGINE
-            and is_chosen(own, names, each.id, REPORTERS_PER_ENGINE)
+            and is_chosen(own, names, each.id, POLLERS_PER_ENGINE)
         )
 
 
--- a/mangoway/daemons/gateway_status.py
+++ b/mangoway/daemons/gateway_status.py
@@ -1,4 +1,4 @@
-"""What a gateway tells operators through its peers' interface."""
+"""Status of a gateway for operators, served through the interface for peers."""
 
 from attrs import define
 
@@ -14,7 +14,7 @@
 
 @define(eq=False, kw_only=True)
 class GatewayStatus:
-    """Answers operators from the state of one gateway."""
+    """Answers status requests of operators from the state of one gateway."""
 
     host: HostId
     own: IncarnationId
@@ -24,7 +24,7 @@
     tracing: Tracing
 
     def async_read_status(self) -> pb.StatusReply:
-        """Return the processes and queues that this gateway knows."""
+        """Return the known processes and the queues of this gateway."""
         own = self.directory.find_incarnation(self.own)
         status = describe_dispatch(self.core)
         return pb.StatusReply(
@@ -34,7 +34,7 @@
         )
 
     def async_explain(self, request: pb.ExplainRequest) -> pb.ExplainReply:
-        """Return why this gateway did something."""
+        """Return the reasons for decisions of this gateway."""
         return explain(self.journal, request, self.host, self.tracing)
 
 
--- a/mangoway/daemons/gateway_stop.py
+++ b/mangoway/daemons/gateway_stop.py
@@ -10,12 +10,12 @@
 from ..observability import events as log
 from ..observability.event_log import log_event
 from ..policy.dispatch.events import StopRequested
-from .const import LEAVE_SPREAD_S, STOP_POLL_S
+from .const import LEAVE_PROPAGATION_S, STOP_CHECK_PERIOD_S
 from .gateway_node import GatewayNode
 
 
 class StopOutcome(Enum):
-    """How a stop ended."""
+    """The outcome of a stop."""
 
     IDLE = "idle"
     DEADLINE = "deadline"
@@ -23,21 +23,24 @@
 
 
 class LeaveAnnouncer(Protocol):
-    """Tells the other processes that this one leaves."""
+    """Announces to the other processes that this one is leaving."""
 
     def async_announce(self, successor: IncarnationId | None) -> None:
-        """Announce it, and who answers for this one's keys afterwards."""
+        """Announce that it leaves, and which gateway takes over its keys."""
         ...
 
 
 @define(eq=False, kw_only=True)
 class PlannedStop:
-    """Leaves without cutting off what runs.
+    """Stops a gateway without interrupting requests in progress.
 
-    The order matters. The peers hear of it first, so that they stop naming this
-    gateway; callers that still hold an old address answer are served through a
-    peer; what runs here ends here; and the idempotency records go to a successor
-    only when nothing can add to them any more.
+    The order of the steps matters:
+
+    1. The peers are notified, so that they stop listing this gateway.
+    2. Requests of callers that still use an old address list are forwarded to a peer.
+    3. Requests in progress are finished here.
+    4. The idempotency records are handed to a successor, only after no request can add
+       to them any more.
     """
 
     node: GatewayNode
@@ -46,14 +49,14 @@
     _forced: asyncio.Event = field(factory=asyncio.Event, init=False)
 
     def force(self) -> None:
-        """End at once, whatever is in progress."""
+        """End the stop immediately, even with requests in progress."""
         self._forced.set()
 
     async def async_run(self, signal_name: str) -> StopOutcome:
-        """Leave, and return how it ended; the node still has to be stopped."""
+        """Leave and return the outcome; the node still has to be stopped."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
-        self._begin(signal_name)
+        self._announce_leaving(signal_name)
         outcome = await self._async_drain(began_at)
         if outcome is StopOutcome.IDLE:
             outcome = await self._async_hand_over()
@@ -64,7 +67,7 @@
             log_event(log.StopForced(reason=outcome.value, cut_off=cut_off))
         return outcome
 
-    def _begin(self, signal_name: str) -> None:
+    def _announce_leaving(self, signal_name: str) -> None:
         log_event(
             log.StopRequested(
                 signal=signal_name,
@@ -77,32 +80,35 @@
         self.node.dispatcher.send(StopRequested())
 
     async def _async_drain(self, began_at: float) -> StopOutcome:
-        """Wait until callers' old addresses ran out and nothing is in progress."""
+        """Wait until callers' address lists have expired and no request is open."""
         now = asyncio.get_running_loop().time
         ends_at = began_at + self.deadline_s
-        settled_at = min(began_at + self.node.view.find_validity_s(), ends_at)
-        while now() < settled_at or not self.node.idle:
+        addresses_expire_at = min(
+            began_at + self.node.view.get_address_validity_s(), ends_at
+        )
+        while now() < addresses_expire_at or not self.node.idle:
             if self._forced.is_set():
                 return StopOutcome.FORCED
             if now() >= ends_at:
                 return StopOutcome.DEADLINE
-            await self._async_pause(STOP_POLL_S)
+            await self._async_pause(STOP_CHECK_PERIOD_S)
         return StopOutcome.IDLE
 
     async def _async_hand_over(self) -> StopOutcome:
-        giving = asyncio.ensure_future(self.node.make_giver().async_give())
+        sending = asyncio.ensure_future(self.node.make_hand_over_sender().async_send())
         forced = asyncio.ensure_future(self._forced.wait())
         try:
-            await asyncio.wait({giving, forced}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({sending, forced}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             forced.cancel()
-            # Without a successor that was named, no key is run elsewhere.
-            giving.cancel()
-        successor = giving.result() if giving.done() else None
+            # If the hand-over is cancelled here, no successor is announced, so no
+            # other gateway runs the keys of this one.
+            sending.cancel()
+        successor = sending.result() if sending.done() else None
         if successor is not None:
             self.announcer.async_announce(successor)
-            # The other gateways must hear of the successor from this process.
-            await self._async_pause(LEAVE_SPREAD_S)
+            # The other gateways learn the successor only from this process.
+            await self._async_pause(LEAVE_PROPAGATION_S)
         return StopOutcome.FORCED if self._forced.is_set() else StopOutcome.IDLE
 
     async def _async_pause(self, seconds: float) -> None:
--- a/mangoway/daemons/gateway_view.py
+++ b/mangoway/daemons/gateway_view.py
@@ -1,4 +1,4 @@
-"""What a gateway shows of itself: addresses, readiness, status, explanations."""
+"""Pages of a gateway on itself: addresses, readiness, status and explanations."""
 
 import time
 from collections.abc import Mapping
@@ -28,12 +28,12 @@
 from .dispatcher import Dispatcher
 from .gateway_metrics import GatewayGauges
 
-DEFAULT_VALIDITY_S = 5.0
+DEFAULT_ADDRESS_VALIDITY_S = 5.0
 
 
 @define(eq=False, kw_only=True)
 class GatewaySelfView:
-    """Reads the state of the other parts and changes none of it."""
+    """Reads the state of the other components without changing it."""
 
     dispatcher: Dispatcher
     core: DispatchCore
@@ -42,8 +42,8 @@
     journal: Journal
     gauges: GatewayGauges
     stopping: bool = field(default=False, init=False)
-    _answers: int = field(default=0, init=False)
-    """Address answers given; each begins with another gateway."""
+    _address_answers_sent: int = field(default=0, init=False)
+    """Number of address answers sent; it rotates the gateway listed first."""
 
     def list_addresses(self) -> AddressAnswer:
         """Return the gateways that callers should use.
@@ -57,9 +57,12 @@
             if not self._is_stopping(member)
         ]
         answer = build_address_answer(
-            members, self.data_centre, self.find_validity_s(), self._answers
+            members,
+            self.data_centre,
+            self.get_address_validity_s(),
+            self._address_answers_sent,
         )
-        self._answers += 1
+        self._address_answers_sent += 1
         if not answer.gateways:
             raise MangowayError(
                 ErrorCode.NOT_READY,
@@ -69,9 +72,9 @@
         return answer
 
     def check_ready(self) -> None:
-        """Raise `MangowayError` unless this gateway takes new requests."""
+        """Raise `MangowayError` unless this gateway accepts new requests."""
         if self.stopping:
-            raise MangowayError(ErrorCode.LEAVING, "this gateway leaves")
+            raise MangowayError(ErrorCode.LEAVING, "this gateway is leaving")
         if self.dispatcher.configuration is None:
             raise MangowayError(
                 ErrorCode.NOT_READY,
@@ -84,7 +87,7 @@
         return self.gauges.render()
 
     def read_status(self) -> Mapping[str, Any]:
-        """Return a snapshot that can be written as JSON."""
+        """Return a snapshot of the state that can be encoded as JSON."""
         configuration = self.dispatcher.configuration
         status = describe_dispatch(self.core)
         members = (
@@ -97,38 +100,38 @@
             if self.stopping
             else MemberState.LIVE.value,
             "config_version": 0 if configuration is None else configuration.version,
-            "members": [_list_member(member) for member in members],
-            **self._list_dispatch(status),
+            "members": [_encode_member(member) for member in members],
+            **self._encode_dispatch(status),
         }
 
     def explain(self, request_id: RequestId) -> list[Mapping[str, Any]]:
-        """Return the kept decisions about a request, oldest first."""
+        """Return the stored decisions about a request, oldest first."""
         entries = self.journal.find(JournalQuery(request=request_id))
-        return [_list_decision(entry) for entry in entries]
+        return [_encode_decision(entry) for entry in entries]
 
     def _is_stopping(self, member: Member) -> bool:
         return self.stopping and member.incarnation == self.directory.own
 
-    def find_validity_s(self) -> float:
-        """Return the seconds for which callers may keep an address answer."""
+    def get_address_validity_s(self) -> float:
+        """Return the seconds for which callers may use an address answer."""
         configuration = self.dispatcher.configuration
         if configuration is None:
-            return DEFAULT_VALIDITY_S
+            return DEFAULT_ADDRESS_VALIDITY_S
         return configuration.site.address_validity_s
 
-    def _list_dispatch(self, status: DispatchStatus) -> dict[str, Any]:
+    def _encode_dispatch(self, status: DispatchStatus) -> dict[str, Any]:
         now = self.dispatcher.now()
         return {
             "requests": status.requests,
             "attempts": status.attempts,
             "key_records": status.key_records,
-            "queues": [_list_queue(queue) for queue in status.queues],
+            "queues": [_encode_queue(queue) for queue in status.queues],
             "upstreams": [
-                self._list_upstream(upstream, now) for upstream in status.upstreams
+                self._encode_upstream(upstream, now) for upstream in status.upstreams
             ],
         }
 
-    def _list_upstream(self, upstream: UpstreamStatus, now: float) -> dict[str, Any]:
+    def _encode_upstream(self, upstream: UpstreamStatus, now: float) -> dict[str, Any]:
         known = self.dispatcher.upstreams.get(upstream.upstream_id)
         reported_at = upstream.reported_at
         return {
@@ -143,7 +146,7 @@
         }
 
 
-def _list_member(member: Member) -> dict[str, Any]:
+def _encode_member(member: Member) -> dict[str, Any]:
     return {
         "host": member.host,
         "role": member.role.value,
@@ -156,7 +159,7 @@
     }
 
 
-def _list_queue(queue: QueueStatus) -> dict[str, Any]:
+def _encode_queue(queue: QueueStatus) -> dict[str, Any]:
     return {
         "target": str(queue.target),
         "urgent": queue.urgent,
@@ -164,7 +167,7 @@
     }
 
 
-def _list_decision(entry: JournalEntry) -> Mapping[str, Any]:
+def _encode_decision(entry: JournalEntry) -> Mapping[str, Any]:
     return {
         "at": entry.at,
         "age_s": time.time() - entry.at,
--- a/mangoway/daemons/gauge_levels.py
+++ b/mangoway/daemons/gauge_levels.py
@@ -1,4 +1,4 @@
-"""Levels of gauges whose label values come and go."""
+"""Gauges whose label values are added and removed over time."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -13,17 +13,17 @@
 
 @define(eq=False)
 class GaugeLevels:
-    """Sets gauges, and drops those whose subject is gone."""
+    """Sets gauges and removes those whose label values are no longer present."""
 
-    _shown: dict[int, set[LabelValues]] = field(factory=dict, init=False)
+    _known_values: dict[int, set[LabelValues]] = field(factory=dict, init=False)
 
     def set(self, family: GaugeFamily, levels: Mapping[LabelValues, int]) -> None:
-        """Set all levels of a family."""
-        for values in self._shown.get(id(family), set()) - set(levels):
+        """Set all gauges of a family and remove the others."""
+        for values in self._known_values.get(id(family), set()) - set(levels):
             family.drop(*values)
         for values, level in levels.items():
             family.set(*values, level=level)
-        self._shown[id(family)] = set(levels)
+        self._known_values[id(family)] = set(levels)
 
 
 def count_members(members: Iterable[Member]) -> Counter[LabelValues]:
--- a/mangoway/daemons/key_hand_over.py
+++ b/mangoway/daemons/key_hand_over.py
@@ -18,28 +18,29 @@
 from ..peers.hand_over import HandOverIntake, KeyHandOver, StoredAnswer
 from ..policy.dispatch.core import DispatchCore
 from ..policy.dispatch.events import DispatchEvent, KeyRecord, PeerKeysReceived
-from .const import ADOPT_STEP_RECORDS
+from .const import HAND_OVER_BATCH_RECORDS
 from .records import Records
 from .stored_answers import decode_answer, encode_answer
 
 
 @define(eq=False, kw_only=True)
 class HandOverSender:
-    """Gives all records to the first gateway that takes them."""
+    """Sends all records to the first gateway that accepts them."""
 
     core: DispatchCore
     records: Records
     directory: Directory
     forwarder: Forwarder
 
-    async def async_give(self) -> IncarnationId | None:
-        """Return the successor; None if there is none.
+    async def async_send(self) -> IncarnationId | None:
+        """Hand over the records and return the successor, or None if there is none.
 
-        No key is run here any more once this was called. No records are handed over
-        too: only who took them may run a key that names this home and is new.
+        After this call, no key is run here any more. The hand-over is sent even without
+        records, since only the gateway that accepted it may run new keys that name this
+        gateway as their home.
         """
         keys = self.core.export_keys()
-        answers = self.records.list_kept()
+        answers = self.records.list_answers()
         hand_over = KeyHandOver(
             home=self.directory.own,
             records=keys,
@@ -60,23 +61,23 @@
         return None
 
     def _rank_successors(self) -> list[Member]:
-        """Return the ready gateways, those of this data centre first."""
+        """Return the other ready gateways, those of this data centre first."""
         own = self.directory.find_incarnation(self.directory.own)
-        here = None if own is None else own.data_centre
+        own_data_centre = None if own is None else own.data_centre
         others = [
             member
             for member in self.directory.list_live(ProcessRole.GATEWAY)
             if member.incarnation != self.directory.own and member.ready
         ]
-        return sorted(others, key=lambda member: member.data_centre != here)
+        return sorted(others, key=lambda member: member.data_centre != own_data_centre)
 
 
 @define(eq=False, kw_only=True)
 class HandOverReceiver:
-    """Takes over the records of a gateway that leaves.
+    """Takes over the records of a leaving gateway.
 
-    A full table is too much for one turn of the loop, so it is taken in steps. Only
-    with the last of them are keys without a record run here.
+    A full table would block the event loop for too long, so it is added in batches.
+    Only after the last batch are keys without a record run here.
     """
 
     records: Records
@@ -85,7 +86,7 @@
     async def async_receive_keys(
         self, chunks: AsyncIterable[pb.KeyChunk]
     ) -> pb.HandOverReply:
-        """Take a whole hand-over."""
+        """Receive a complete hand-over and add its records and answers."""
         intake = HandOverIntake(time.time())
         async for chunk in chunks:
             intake.add(chunk)
@@ -93,22 +94,22 @@
         hand_over = intake.finish()
         answers = {stored.id: stored for stored in hand_over.answers}
         records = iter(hand_over.records)
-        while group := tuple(islice(records, ADOPT_STEP_RECORDS)):
-            self._keep_answers(group, answers)
-            self._adopt(hand_over.home, group, last=False)
+        while batch := tuple(islice(records, HAND_OVER_BATCH_RECORDS)):
+            self._store_answers(batch, answers)
+            self._send_records(hand_over.home, batch, last=False)
             await asyncio.sleep(0)
-        self._adopt(hand_over.home, (), last=True)
+        self._send_records(hand_over.home, (), last=True)
         return pb.HandOverReply(records=len(hand_over.records))
 
-    def _keep_answers(
+    def _store_answers(
         self, records: Iterable[KeyRecord], answers: Mapping[RequestId, StoredAnswer]
     ) -> None:
         for record in records:
             stored = answers.get(record.answer_id or RequestId(""))
             if stored is not None:
-                self.records.keep(stored.id, decode_answer(stored))
+                self.records.store_answer(stored.id, decode_answer(stored))
 
-    def _adopt(
+    def _send_records(
         self, home: IncarnationId, records: tuple[KeyRecord, ...], last: bool
     ) -> None:
         self.send(PeerKeysReceived(home=home, keys=records, last=last))
--- a/mangoway/daemons/lease.py
+++ b/mangoway/daemons/lease.py
@@ -1,4 +1,4 @@
-"""The lease of a cell, held by the controller that plans it."""
+"""The lease of a cell, held by the controller that plans the cell's placement."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,15 +8,16 @@
 from ..key_value.store import CallRank, KeyValueStore
 from ..models.errors import MangowayError
 from ..models.identifiers import CellId, IncarnationId
-from .const import CELLS_PREFIX, LEASE_NAME, LEASE_RENEWALS
+from .const import CELLS_PREFIX, LEASE_NAME, RENEWALS_PER_LEASE
 
 
 @define(eq=False, kw_only=True)
 class LeaseHolder:
-    """Takes and renews the lease; it tells who should plan, not who may write.
+    """Acquires and renews the lease.
 
-    Safety is in the ledgers: a holder that was paused past its lease finds their
-    revisions changed.
+    The lease selects the controller that plans; it does not protect writes. Safety
+    comes from the ledgers: the writes of a holder that was paused past its lease fail,
+    since the revisions have changed.
     """
 
     store: KeyValueStore
@@ -26,64 +27,64 @@
     on_gained: Callable[[], None]
     on_lost: Callable[[], None]
     _held_until: float | None = field(default=None, init=False)
-    """Loop time at which the lease lapses unless it is renewed; None if not held."""
+    """Loop time at which the lease expires unless it is renewed; None if not held."""
 
     @property
     def held(self) -> bool:
-        """Tell whether this process believes that it holds the lease."""
+        """Return whether this process holds the lease and has not detected its loss."""
         return self._held_until is not None
 
     async def async_run(self) -> None:
-        """Take and renew the lease until cancelled."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             await self._async_renew()
-            await asyncio.sleep(self._find_pause())
+            await asyncio.sleep(self._compute_delay_s())
 
     async def async_release(self) -> None:
-        """Give the lease up, so that another controller need not wait for its end."""
-        self._lose()
-        # Released even if not held: a renewal that was cut off may have taken effect.
+        """Release the lease, so that another controller can acquire it immediately."""
+        self._mark_lost()
+        # Release it even if not held: an interrupted renewal may have taken effect.
         try:
             await self.store.async_release_lease(
                 self._key, self.owner, CallRank.BACKGROUND
             )
         except MangowayError:
-            # It lapses by itself.
+            # The lease expires by itself.
             return
 
     async def _async_renew(self) -> None:
-        asked_at = asyncio.get_running_loop().time()
-        self._check_lapsed(asked_at)
+        requested_at = asyncio.get_running_loop().time()
+        self._check_expired(requested_at)
         try:
             held = await self.store.async_acquire_lease(
                 self._key, self.owner, self.ttl_s, CallRank.SAFETY
             )
         except MangowayError:
-            # No answer: what was held lapses at its own time.
-            self._check_lapsed(asyncio.get_running_loop().time())
+            # Without an answer, a lease that was held expires at its own time.
+            self._check_expired(asyncio.get_running_loop().time())
             return
         if held:
-            self._hold_until(asked_at + self.ttl_s)
+            self._extend(requested_at + self.ttl_s)
         else:
-            self._lose()
+            self._mark_lost()
 
-    def _hold_until(self, time: float) -> None:
+    def _extend(self, expires_at: float) -> None:
         gained = self._held_until is None
-        self._held_until = time
+        self._held_until = expires_at
         if gained:
             self.on_gained()
 
-    def _check_lapsed(self, now: float) -> None:
+    def _check_expired(self, now: float) -> None:
         if self._held_until is not None and now >= self._held_until:
-            self._lose()
+            self._mark_lost()
 
-    def _lose(self) -> None:
+    def _mark_lost(self) -> None:
         if self._held_until is not None:
             self._held_until = None
             self.on_lost()
 
-    def _find_pause(self) -> float:
-        period_s = self.ttl_s / LEASE_RENEWALS
+    def _compute_delay_s(self) -> float:
+        period_s = self.ttl_s / RENEWALS_PER_LEASE
         if self._held_until is None:
             return period_s
         left_s = self._held_until - asyncio.get_running_loop().time()
--- a/mangoway/daemons/ledger_codec.py
+++ b/mangoway/daemons/ledger_codec.py
@@ -1,4 +1,4 @@
-"""Memory ledgers to stored bytes and back."""
+"""Encoding and decoding of stored memory ledgers."""
 
 from typing import Any, Final
 
@@ -14,7 +14,8 @@
 FORMAT_FIELD: Final = "format"
 LEDGER_FIELD: Final = "ledger"
 
-# A field that this version does not know may hold memory that it would not count.
+# Unknown fields are rejected, since they may hold memory that this version would not
+# count.
 _converter = Converter(forbid_extra_keys=True)
 _converter.register_structure_hook(Artifact, lambda text, _: Artifact.parse(text))
 _converter.register_unstructure_hook(Artifact, str)
@@ -27,10 +28,10 @@
 
 
 def decode_ledger(value: bytes) -> Ledger:
-    """Return the ledger of its stored form.
+    """Return the ledger decoded from its stored form.
 
     Raises:
-        MangowayError: LEDGER_UNREADABLE if any part of it is not understood, or its
+        MangowayError: LEDGER_UNREADABLE if any part of it is unknown or invalid, or its
             commitments exceed its size.
     """
     try:
@@ -51,7 +52,7 @@
 def _parse(value: bytes) -> Any:
     document = orjson.loads(value)
     if document[FORMAT_FIELD] != LEDGER_FORMAT:
-        raise ValueError(f"format {document[FORMAT_FIELD]!r}")
+        raise ValueError(f"unsupported format {document[FORMAT_FIELD]!r}")
     return document[LEDGER_FIELD]
 
 
--- a/mangoway/daemons/ledger_store.py
+++ b/mangoway/daemons/ledger_store.py
@@ -1,4 +1,4 @@
-"""Memory ledgers in the key-value service."""
+"""Storage of memory ledgers in the key-value service."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True)
 class LedgerFailure:
-    """Why a ledger could not be read or written."""
+    """The error with which a read or write of a ledger failed."""
 
     upstream: UpstreamId
     error: MangowayError
@@ -36,8 +36,8 @@
 class LedgerStore:
     """Reads and writes the ledgers of one cell.
 
-    Every read or write ends in exactly one event. Reads that are asked for together
-    become one listing.
+    Every read or write ends in exactly one event. Reads that are requested together are
+    combined into one listing.
     """
 
     store: KeyValueStore
@@ -45,58 +45,60 @@
     tasks: Tasks
     on_event: Callable[[LedgerEvent], None]
     on_failure: Callable[[LedgerFailure], None]
-    _wanted: set[UpstreamId] = field(factory=set, init=False)
+    _pending_reads: set[UpstreamId] = field(factory=set, init=False)
 
     def async_read(self, upstream: UpstreamId) -> None:
-        """Read a ledger soon, together with others that are asked for now."""
-        if not self._wanted:
+        """Read a ledger, together with others requested in this loop iteration."""
+        if not self._pending_reads:
             asyncio.get_running_loop().call_soon(self._start_reads)
-        self._wanted.add(upstream)
+        self._pending_reads.add(upstream)
 
     def async_write(self, ledger: Ledger, expected: Revision) -> None:
-        """Write a ledger if its key still has a revision."""
+        """Write a ledger if its key still has the expected revision."""
         self.tasks.async_start(self._async_write(ledger, expected))
 
     def _start_reads(self) -> None:
-        wanted = sorted(self._wanted)
-        self._wanted.clear()
-        if len(wanted) >= LEDGER_LIST_THRESHOLD:
-            self.tasks.async_start(self._async_list(wanted))
+        upstreams = sorted(self._pending_reads)
+        self._pending_reads.clear()
+        if len(upstreams) >= LEDGER_LIST_THRESHOLD:
+            self.tasks.async_start(self._async_list(upstreams))
             return
-        for upstream in wanted:
+        for upstream in upstreams:
             self.tasks.async_start(self._async_get(upstream))
 
     async def _async_get(self, upstream: UpstreamId) -> None:
         try:
-            stored = await self.store.async_get(self._name(upstream), CallRank.SAFETY)
+            stored = await self.store.async_get(
+                self._make_key(upstream), CallRank.SAFETY
+            )
         except MangowayError as error:
-            self._fail(upstream, error)
+            self._report_failure(upstream, error)
         else:
             self._report_read(upstream, stored)
 
-    async def _async_list(self, wanted: Iterable[UpstreamId]) -> None:
+    async def _async_list(self, upstreams: Iterable[UpstreamId]) -> None:
         try:
             values = await self.store.async_list(self._prefix, CallRank.SAFETY)
         except MangowayError as error:
-            for upstream in wanted:
-                self._fail(upstream, error)
+            for upstream in upstreams:
+                self._report_failure(upstream, error)
             return
         found = {stored.key: stored for stored in values}
-        for upstream in wanted:
-            key = self._name(upstream)
+        for upstream in upstreams:
+            key = self._make_key(upstream)
             absent = StoredValue(key=key, value=None, revision=ABSENT)
             self._report_read(upstream, found.get(key, absent))
 
     async def _async_write(self, ledger: Ledger, expected: Revision) -> None:
         upstream = ledger.upstream
         put = Put(
-            key=self._name(upstream), value=encode_ledger(ledger), expected=expected
+            key=self._make_key(upstream), value=encode_ledger(ledger), expected=expected
         )
         try:
             result = await self.store.async_commit((put,), CallRank.SAFETY)
             current = None if result.succeeded else _decode(result.current[0])
         except MangowayError as error:
-            self._fail(upstream, error)
+            self._report_failure(upstream, error)
             return
         if result.succeeded:
             written = LedgerWritten(
@@ -116,13 +118,13 @@
             ledger = _decode(stored)
             _check_owner(ledger, upstream)
         except MangowayError as error:
-            self._fail(upstream, error)
+            self._report_failure(upstream, error)
             return
         self.on_event(
             LedgerRead(upstream_id=upstream, ledger=ledger, revision=stored.revision)
         )
 
-    def _fail(self, upstream: UpstreamId, error: MangowayError) -> None:
+    def _report_failure(self, upstream: UpstreamId, error: MangowayError) -> None:
         self.on_failure(LedgerFailure(upstream=upstream, error=error))
         self.on_event(LedgerUnavailable(upstream_id=upstream))
 
@@ -130,7 +132,7 @@
     def _prefix(self) -> str:
         return f"{CELLS_PREFIX}{self.cell}/{LEDGERS_NAME}/"
 
-    def _name(self, upstream: UpstreamId) -> str:
+    def _make_key(self, upstream: UpstreamId) -> str:
         return f"{self._prefix}{upstream}"
 
 
@@ -140,5 +142,5 @@
 
 def _check_owner(ledger: Ledger | None, upstream: UpstreamId) -> None:
     if ledger is not None and ledger.upstream != upstream:
-        detail = f"the ledger of {upstream} speaks of {ledger.upstream}"
+        detail = f"the ledger stored for {upstream} belongs to {ledger.upstream}"
         raise MangowayError(ErrorCode.LEDGER_UNREADABLE, detail)
--- a/mangoway/daemons/metrics_server.py
+++ b/mangoway/daemons/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of a controller over HTTP, with few imports."""
+"""Serves the metrics of a process over HTTP, with few imports."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -18,7 +18,7 @@
     """Answers `GET /metrics`, one request per connection."""
 
     render: Callable[[], bytes]
-    """Returns the metrics."""
+    """Returns the metrics in the Prometheus text format."""
 
     _server: asyncio.Server | None = field(default=None, init=False)
 
@@ -26,21 +26,21 @@
         """Listen on an address.
 
         Raises:
-            OSError: If the address can't be used.
+            OSError: If the address can't be listened on.
         """
         self._server = await asyncio.start_server(self._async_serve, host, port)
 
     def stop(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     @property
     def port(self) -> int:
-        """Return the port it listens on."""
+        """Return the port that the server listens on."""
         if self._server is None:
-            raise RuntimeError("the server is not started")
+            raise RuntimeError("the metrics server is not started")
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
@@ -51,7 +51,7 @@
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 request = await _async_read(http, reader)
-                for event in self._answer(request):
+                for event in self._make_response(request):
                     writer.write(http.send(event) or b"")
                 await writer.drain()
         except (TimeoutError, OSError, h11.RemoteProtocolError):
@@ -59,7 +59,7 @@
         finally:
             writer.close()
 
-    def _answer(self, request: h11.Request) -> Iterable[h11.Event]:
+    def _make_response(self, request: h11.Request) -> Iterable[h11.Event]:
         found = request.target == PATH_METRICS and request.method == b"GET"
         body = self.render() if found else b""
         headers = [
@@ -86,4 +86,4 @@
         elif isinstance(event, h11.EndOfMessage) and request is not None:
             return request
         elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-            raise h11.RemoteProtocolError("no request")
+            raise h11.RemoteProtocolError("the connection closed without a request")
--- a/mangoway/daemons/order_sender.py
+++ b/mangoway/daemons/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends the orders of the scheduling core to runners."""
+"""Sends the load and unload orders of the scheduling core to runners."""
 
 from collections.abc import Callable
 from typing import Final
@@ -29,18 +29,18 @@
 
 @define(eq=False)
 class OrderSender:
-    """Gives orders while this process may, and tells what became of them."""
+    """Sends orders while this process may order, and reports their outcomes."""
 
     process: FleetProcess
     leadership: Leadership
     control: RunnerControl
     on_ended: Callable[[OrderEnded], None]
 
-    def give(self, order: SendOrder) -> None:
+    def send(self, order: SendOrder) -> None:
         """Send an order in the background."""
-        self.process.tasks.async_start(self._async_give_order(order))
+        self.process.tasks.async_start(self._async_execute(order))
 
-    async def _async_give_order(self, order: SendOrder) -> None:
+    async def _async_execute(self, order: SendOrder) -> None:
         outcome = OrderOutcome.REFUSED
         try:
             outcome = await self._async_send_order(order)
@@ -70,7 +70,7 @@
                 waiting=order.waiting,
             )
         )
-        began = self.process.clock()
+        sent_at = self.process.clock()
         try:
             answer = await self.control.async_send_order(
                 entry.address, entry.runner_id, self._make_order(order, fence)
@@ -80,7 +80,7 @@
             return OrderOutcome.IN_DOUBT
         if answer is OrderAnswer.FENCED:
             self.leadership.note_refused(fence)
-        self._log_answer(order, answer, began)
+        self._log_answer(order, answer, sent_at)
         return OUTCOMES[answer]
 
     def _make_order(self, order: SendOrder, fence: int) -> RunnerOrder:
@@ -93,7 +93,9 @@
             fence=fence,
         )
 
-    def _log_answer(self, order: SendOrder, answer: OrderAnswer, began: float) -> None:
+    def _log_answer(
+        self, order: SendOrder, answer: OrderAnswer, sent_at: float
+    ) -> None:
         operation = "load" if order.load else "unload"
         self.process.metrics.placement_orders.add(operation, answer.value)
         log_event(
@@ -102,7 +104,7 @@
                 model=order.model,
                 adapter=order.adapter,
                 answer=answer.value,
-                seconds=round(self.process.clock() - began, 4),
+                seconds=round(self.process.clock() - sent_at, 4),
             )
         )
 
--- a/mangoway/daemons/peer_router.py
+++ b/mangoway/daemons/peer_router.py
@@ -1,4 +1,4 @@
-"""Forwards requests to other gateways, and answers those that they forward."""
+"""Forwards requests to other gateways, and serves the requests that they forward."""
 
 from collections.abc import AsyncGenerator, Callable
 from contextlib import aclosing
@@ -32,10 +32,10 @@
 REASON_HOME = "home"
 REASON_LEAVING = "leaving"
 HEADER_TRACEPARENT = "traceparent"
-FORWARD_TRIES: Final = 3
-"""Gateways that are tried, one after the other, for one request."""
+MAX_FORWARD_ATTEMPTS: Final = 3
+"""Maximum number of gateways that one request is forwarded to, one after the other."""
 
-PEER_FAULTS: Final = frozenset(
+RETRYABLE_PEER_ERRORS: Final = frozenset(
     {
         ErrorCode.PEER_UNREACHABLE,
         ErrorCode.PEER_SILENT,
@@ -43,7 +43,7 @@
         ErrorCode.LEAVING,
     }
 )
-"""Failures of one gateway that another one may not have."""
+"""Failures of one gateway after which another gateway may succeed."""
 
 
 class PeerForwarder(Protocol):
@@ -52,17 +52,17 @@
     def async_forward(
         self, address: str, request: ForwardedRequest
     ) -> AsyncGenerator[ForwardedFrame, None]:
-        """Yield the parts of the answer until it is whole.
+        """Yield the parts of the answer until it is complete.
 
         Raises:
-            MangowayError: NOT_RUN only if the peer certainly did not run it.
+            MangowayError: NOT_RUN only if the peer certainly did not run the request.
         """
         ...
 
 
 @define(eq=False, kw_only=True)
 class GatewayRouter:
-    """Sends requests where the decisions say."""
+    """Forwards requests to the gateways that the dispatch core selects."""
 
     forwarder: PeerForwarder
     directory: Directory
@@ -79,7 +79,7 @@
             log_event(KeyHomeLost(request_id=record.id, home=home))
             failure = MangowayError(
                 ErrorCode.KEY_HOME_GONE,
-                f"the home {home} of the key is gone",
+                f"the gateway {home} that is the home of the key is gone",
                 Verdict.MAY_HAVE_RUN,
             )
             record.answer.fail(failure.failure)
@@ -100,7 +100,7 @@
             record.answer.fail(leaving.failure)
             return
         self.rng.shuffle(members)
-        self._start(record, tuple(members[:FORWARD_TRIES]), None, REASON_LEAVING)
+        self._start(record, tuple(members[:MAX_FORWARD_ATTEMPTS]), None, REASON_LEAVING)
 
     def _start(
         self,
@@ -131,17 +131,17 @@
             except MangowayError as error:
                 verdict = verdict.merge(error.failure.verdict)
                 failure = evolve(error.failure, verdict=verdict)
-            if not _may_try_next(record, failure):
+            if not _may_retry_elsewhere(record, failure):
                 break
-        record.answer.fail(_judge_failure(failure, home))
+        record.answer.fail(_adjust_verdict(failure, home))
 
     async def _async_relay(
         self, record: RequestRecord, member: Member, home: IncarnationId | None
     ) -> None:
-        """Relay the head; whoever reads the answer then takes the parts.
+        """Relay the head of the answer; its parts are relayed when they are read.
 
         Raises:
-            MangowayError: If it failed before there was a head.
+            MangowayError: If the forward failed before the head arrived.
         """
         span = self.tracing.start(Hop.PEER, member.host, record.span)
         request = self._make_request(record, home, span.traceparent)
@@ -151,7 +151,7 @@
             if not isinstance(head, ForwardedHead):
                 raise MangowayError(
                     ErrorCode.PEER_FAILED,
-                    f"{member.host} sent no head of an answer",
+                    f"{member.host} sent no answer head",
                     Verdict.MAY_HAVE_RUN,
                 )
         except MangowayError as error:
@@ -192,19 +192,19 @@
         )
 
 
-def _may_try_next(record: RequestRecord, failure: Failure) -> bool:
-    """Tell whether another gateway may be asked after a failure."""
-    if failure.code not in PEER_FAULTS:
+def _may_retry_elsewhere(record: RequestRecord, failure: Failure) -> bool:
+    """Return whether another gateway may be tried after a failure."""
+    if failure.code not in RETRYABLE_PEER_ERRORS:
         return False
-    repeatable = record.submission.request.idempotent
-    return repeatable or failure.verdict is Verdict.NOT_RUN
+    retryable = record.submission.request.idempotent
+    return retryable or failure.verdict is Verdict.NOT_RUN
 
 
-def _judge_failure(failure: Failure, home: IncarnationId | None) -> Failure:
-    """Return the failure of a forward as it speaks of the caller's request.
+def _adjust_verdict(failure: Failure, home: IncarnationId | None) -> Failure:
+    """Return the failure of a forward with its verdict for the caller's request.
 
-    A home that can't be reached may have run the key for an earlier submission, so
-    that this one was never sent proves nothing.
+    A home that can't be reached may have run the key for an earlier submission, even
+    though this submission was never sent to it.
     """
     if home is None or failure.code is not ErrorCode.PEER_UNREACHABLE:
         return failure
@@ -222,7 +222,7 @@
 
 @define(eq=False)
 class ForwardedRequests:
-    """Answers requests that other gateways forward, as if a caller had come."""
+    """Serves forwarded requests of other gateways like requests of callers."""
 
     _gate: Gate
 
@@ -232,7 +232,7 @@
         """Yield the head and the parts of the answer.
 
         Raises:
-            MangowayError: If the request fails before its answer began.
+            MangowayError: If the request fails before its answer begins.
         """
         exchange = self._gate.open(_make_incoming(request))
         try:
--- a/mangoway/daemons/placement_driver.py
+++ b/mangoway/daemons/placement_driver.py
@@ -1,4 +1,4 @@
-"""The loop side of the placement core: ledgers, orders, reports and demand."""
+"""Connects the placement core to ledgers, orders, reports and demand."""
 
 import time
 from functools import singledispatchmethod
@@ -45,14 +45,14 @@
 )
 from ..util.core_driver import CoreDriver
 from ..util.tasks import Tasks
-from .const import ORDER_WATCH_S
+from .const import FREQUENT_POLL_S
 from .engine_poller import EnginePoller, EngineReader
 from .ledger_store import LedgerEvent, LedgerFailure, LedgerStore
 from .upstream_log import UpstreamLog
 
 
 class EngineOrders(EngineReader, Protocol):
-    """Reads engines and gives them orders."""
+    """Reads descriptions and reports of engines and sends them orders."""
 
     async def async_send_order(
         self, address: str, order: Order, send_before: float
@@ -60,15 +60,15 @@
         """Send an order unless the loop time is past `send_before`.
 
         Raises:
-            MangowayError: NOT_RUN if it never reached the engine; otherwise it may
-                still take effect. The connection is closed by then.
+            MangowayError: NOT_RUN if the order never reached the engine; otherwise it
+                may still take effect. The connection is already closed.
         """
         ...
 
 
 @define(eq=False, kw_only=True)
 class PlacementDriver:
-    """Carries out the placement of one cell for one controller."""
+    """Drives the placement core of one cell for one controller."""
 
     core: PlacementCore
     cell: CellId
@@ -78,8 +78,8 @@
     metrics: Metrics
     tasks: Tasks
     active: bool = field(default=False, init=False)
-    orders_under_way: int = field(default=0, init=False)
-    """Orders that were sent and have no answer so far."""
+    orders_in_progress: int = field(default=0, init=False)
+    """Number of orders that were sent and not yet answered."""
 
     poller: EnginePoller = field(init=False)
     _driver: CoreDriver[PlacementEvent, PlacementAction] = field(init=False)
@@ -87,7 +87,7 @@
     _upstream_log: UpstreamLog = field(factory=UpstreamLog, init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._driver = CoreDriver(self.core, self._carry_out, Ticked)
+        self._driver = CoreDriver(self.core, self._execute, Ticked)
         self.poller = EnginePoller(
             reader=self.engines, listener=self, tasks=self.tasks, standby=True
         )
@@ -95,29 +95,29 @@
             store=self.store,
             cell=self.cell,
             tasks=self.tasks,
-            on_event=self._take_ledger,
-            on_failure=self._note_ledger_failure,
+            on_event=self._handle_ledger_event,
+            on_failure=self._log_ledger_failure,
         )
 
     def async_start(self) -> None:
-        """Begin to ask the engines."""
+        """Start polling the engines."""
         self.tasks.async_start(self.poller.async_run())
 
     def async_stop(self) -> None:
-        """Decide nothing further."""
+        """Stop making decisions."""
         self.active = False
         self._driver.async_stop()
 
-    def async_gain_lease(self) -> None:
-        """Plan the cell from now on."""
+    def async_start_planning(self) -> None:
+        """Start planning the cell, as this controller gained the lease."""
         self.active = True
         self.metrics.lease_held.set(level=1)
         log_event(log.LeaseGained(cell=self.cell))
         self.poller.async_set_standby(False)
         self._driver.async_handle(LeaseGained())
 
-    def async_lose_lease(self) -> None:
-        """Plan the cell no longer."""
+    def async_stop_planning(self) -> None:
+        """Stop planning the cell, as this controller lost the lease."""
         self.active = False
         self.metrics.lease_held.set(level=0)
         log_event(log.LeaseLost(cell=self.cell))
@@ -125,57 +125,57 @@
         self._driver.async_handle(LeaseLost())
 
     def async_apply_configuration(self, configuration: Configuration) -> None:
-        """Plan for a newer configuration."""
+        """Apply a newer configuration."""
         self.metrics.config_version.set(level=configuration.version)
         self._driver.async_handle(ConfigurationChanged(configuration=configuration))
 
-    def async_list_runners(self, runners: tuple[UpstreamAddress, ...]) -> None:
-        """Take the runners of the cell that are known now."""
-        self._upstream_log.note_listed(runners)
+    def async_set_runners(self, runners: tuple[UpstreamAddress, ...]) -> None:
+        """Replace the list of runners of the cell."""
+        self._upstream_log.record_listed(runners)
         self._driver.async_handle(RunnersListed(runners=runners))
         self.poller.async_set_engines(runners)
 
     def async_receive_demand(self, report: pb.DemandReport) -> pb.DemandReply:
-        """Take a gateway's report of demand."""
+        """Handle a gateway's report of demand."""
         self._driver.async_handle(decode_demand(report))
         return pb.DemandReply(active=self.active)
 
-    def async_meet(self, description: EngineDescription) -> None:
-        """Take the description of an engine met first, or after a restart."""
-        self._upstream_log.note_met(description)
+    def async_handle_description(self, description: EngineDescription) -> None:
+        """Handle the description of an engine that is new or was restarted."""
+        self._upstream_log.record_description(description)
         self._driver.async_handle(EngineDescribed(description=description))
 
-    def async_take_report(self, report: EngineReport) -> None:
-        """Take a report."""
-        self._upstream_log.note_report(report)
+    def async_handle_report(self, report: EngineReport) -> None:
+        """Handle an engine's report."""
+        self._upstream_log.record_report(report)
         self._driver.async_handle(EngineReported(report=report))
 
-    def async_note_silent(self, upstream: UpstreamId, error: MangowayError) -> None:
-        """Take note that an engine has not answered for long."""
+    def async_handle_silence(self, upstream: UpstreamId, error: MangowayError) -> None:
+        """Handle an engine that has stopped answering."""
         log_event(log.ReportFailed(upstream_id=upstream, error=str(error)))
         self._driver.async_handle(EngineSilent(upstream_id=upstream))
 
     @singledispatchmethod
-    def _carry_out(self, action: PlacementAction) -> None:
+    def _execute(self, action: PlacementAction) -> None:
         raise TypeError(f"unknown action {action!r}")
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: ReadLedger) -> None:
         self._ledgers.async_read(action.upstream_id)
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: WriteLedger) -> None:
         self._ledgers.async_write(action.ledger, action.expected)
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: SendOrder) -> None:
         self.tasks.async_start(self._async_send(action))
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: Explain) -> None:
         self._explain(action)
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: WakeAt) -> None:
         self._driver.async_wake_at(action.time)
 
@@ -183,23 +183,23 @@
         order = action.order
         address = self.poller.find_address(order.upstream)
         if address is None:
-            self._fail_order(order, Verdict.NOT_RUN)
+            self._handle_order_failure(order, Verdict.NOT_RUN)
             return
         _log_order(order)
-        self.poller.async_hurry(order.upstream, ORDER_WATCH_S)
-        self.orders_under_way += 1
+        self.poller.async_poll_often(order.upstream, FREQUENT_POLL_S)
+        self.orders_in_progress += 1
         try:
             answer = await self.engines.async_send_order(
                 address, order, action.send_before
             )
         except MangowayError as error:
-            self._fail_order(order, error.failure.verdict)
+            self._handle_order_failure(order, error.failure.verdict)
             return
         finally:
-            self.orders_under_way -= 1
-        self._answer_order(order, answer)
+            self.orders_in_progress -= 1
+        self._handle_order_answer(order, answer)
 
-    def _answer_order(self, order: Order, answer: OrderAnswer) -> None:
+    def _handle_order_answer(self, order: Order, answer: OrderAnswer) -> None:
         outcome = answer.outcome
         self.metrics.orders.add(order.kind.value, outcome.value)
         if outcome is OrderOutcome.ACCEPTED:
@@ -217,7 +217,7 @@
         )
         self._driver.async_handle(answered)
 
-    def _fail_order(self, order: Order, verdict: Verdict) -> None:
+    def _handle_order_failure(self, order: Order, verdict: Verdict) -> None:
         self.metrics.orders.add(order.kind.value, verdict.value)
         log_event(
             log.OrderLost(
@@ -229,12 +229,12 @@
         )
         self._driver.async_handle(failed)
 
-    def _take_ledger(self, event: LedgerEvent) -> None:
+    def _handle_ledger_event(self, event: LedgerEvent) -> None:
         if isinstance(event, LedgerConflicted):
             log_event(log.LedgerConflicted(upstream_id=event.upstream_id))
         self._driver.async_handle(event)
 
-    def _note_ledger_failure(self, failure: LedgerFailure) -> None:
+    def _log_ledger_failure(self, failure: LedgerFailure) -> None:
         log_event(
             log.LedgerUnavailable(
                 upstream_id=failure.upstream, error=str(failure.error)
--- a/mangoway/daemons/records.py
+++ b/mangoway/daemons/records.py
@@ -1,4 +1,4 @@
-"""Requests that a gateway has in progress, with their bodies and answers."""
+"""Requests in progress at a gateway, with their bodies, and their answers."""
 
 import asyncio
 
@@ -18,20 +18,20 @@
     submission: Submission
     answer: Answer
     span: HopSpan
-    """Span of the exchange with the caller; attempts are its children."""
+    """Span of the exchange with the caller; the spans of attempts are its children."""
 
     decision: HopSpan | None = None
-    """Span of admission, queue and choice; None once it has ended."""
+    """Span of admission, queueing and choice of an upstream; None once it has ended."""
 
     attempt: AttemptId | None = None
-    """The attempt that may add to the answer; earlier ones are late."""
+    """The attempt that may add to the answer; earlier ones are ignored."""
 
     attempts: int = 0
     last_failure: Failure | None = None
-    """Failure of the attempt before, if it failed."""
+    """Failure of the previous attempt, if it failed."""
 
     followers: list[RequestId] = field(factory=list)
-    """Resubmissions that share the answer."""
+    """Resubmissions that share the answer of this request."""
 
     @property
     def id(self) -> RequestId:
@@ -47,7 +47,7 @@
 
 @define(eq=False)
 class RunningAttempt:
-    """One attempt that has not ended at its upstream."""
+    """An attempt that has not ended at its upstream."""
 
     id: AttemptId
     record: RequestRecord
@@ -58,24 +58,24 @@
 
 @define(eq=False)
 class Records:
-    """Requests in progress and kept answers, by request id."""
+    """Requests in progress and stored answers, by request id."""
 
     _open: dict[RequestId, RequestRecord] = field(factory=dict)
-    _kept: dict[RequestId, Answer] = field(factory=dict)
+    _answers: dict[RequestId, Answer] = field(factory=dict)
 
     def __len__(self) -> int:
         return len(self._open)
 
     def add(self, record: RequestRecord) -> None:
-        """Take a request in."""
+        """Add a request."""
         self._open[record.id] = record
 
     def get(self, request_id: RequestId) -> RequestRecord | None:
-        """Return a request in progress."""
+        """Return a request in progress, or None."""
         return self._open.get(request_id)
 
     def pop(self, request_id: RequestId) -> RequestRecord | None:
-        """Return a request and forget it, and those that share its answer."""
+        """Remove a request and those that share its answer, and return the request."""
         record = self._open.pop(request_id, None)
         if record is None:
             return None
@@ -84,18 +84,18 @@
             self.pop(follower)
         return record
 
-    def keep(self, request_id: RequestId, answer: Answer) -> None:
-        """Keep an answer for resubmissions."""
-        self._kept[request_id] = answer
+    def store_answer(self, request_id: RequestId, answer: Answer) -> None:
+        """Store an answer for resubmissions."""
+        self._answers[request_id] = answer
 
-    def find_kept(self, answer_id: RequestId) -> Answer | None:
-        """Return a kept answer."""
-        return self._kept.get(answer_id)
+    def find_answer(self, answer_id: RequestId) -> Answer | None:
+        """Return a stored answer, or None."""
+        return self._answers.get(answer_id)
 
-    def forget(self, answer_id: RequestId) -> None:
-        """Drop a kept answer."""
-        self._kept.pop(answer_id, None)
+    def delete_answer(self, answer_id: RequestId) -> None:
+        """Delete a stored answer."""
+        self._answers.pop(answer_id, None)
 
-    def list_kept(self) -> tuple[tuple[RequestId, Answer], ...]:
-        """Return all kept answers."""
-        return tuple(self._kept.items())
+    def list_answers(self) -> tuple[tuple[RequestId, Answer], ...]:
+        """Return all stored answers."""
+        return tuple(self._answers.items())
--- a/mangoway/daemons/report_reader.py
+++ b/mangoway/daemons/report_reader.py
@@ -1,4 +1,4 @@
-"""Reads reports of runners while a scheduler leads, those that matter most first."""
+"""Reads reports of runners while a scheduler leads, the most overdue first."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,33 +14,35 @@
 from ..util.tasks import Tasks
 from ..util.ticks import async_sleep_to_tick
 
-REPORT_S: Final = 0.4
-"""Time between two reports of a runner. Reports are some 0.2 s old, and each costs as
-much as a sixth of a store call."""
+REPORT_PERIOD_S: Final = 0.4
+"""Interval between two reports of a runner. Reports are about 0.2 s old, and each costs
+about a sixth of a store call."""
 
-QUIET_REPORT_S: Final = 1.0
-"""The same for a runner that has got no order for so long: nothing changes there."""
+QUIET_REPORT_PERIOD_S: Final = 1.0
+"""Interval for a quiet runner, which has received no order for this time, so that
+nothing changes there."""
 
-URGENT_REPORT_S: Final = 0.1
-"""The same for a runner that gets no orders until its state is known."""
+URGENT_REPORT_PERIOD_S: Final = 0.1
+"""Interval for a runner that gets no orders until its state is known."""
 
-QUIET_REPORTS_PER_S: Final = 100.0
-"""Reports of quiet runners that are read a second, where there are more than a hundred:
-the entries of runners show what changes by itself. Each second one of each of 3,000
-took more than a core, and a connection to each more files than a host has."""
+MAX_QUIET_REPORTS_PER_S: Final = 100.0
+"""Maximum reports of quiet runners that are read per second, which lengthens their
+interval with more than a hundred runners: changes without an order are shown by the
+entries of runners. Reading each of 3,000 runners every second took more than a core,
+and the connections to them more open files than a host allows."""
 
-REPORTS_A_LOOK: Final = 32
-"""Reports that one look begins, and that are read at once: a scheduler that begins to
-lead knows the state of no runner, and a report takes half a millisecond of its core."""
+MAX_CONCURRENT_READS: Final = 32
+"""Maximum reports that are read concurrently: when a scheduler starts to lead, the
+reports of all runners are due, and each takes half a millisecond of its core."""
 
-CHANGE_BEFORE_END: Final = 0.85
-"""Part of the expected time of a load after which its end is looked for: the estimate
-has a margin of a tenth."""
+URGENT_FROM_LOAD_SHARE: Final = 0.85
+"""Share of the expected duration of a load after which its end is checked for: the
+estimate has a margin of a tenth."""
 
 
 @define(eq=False, kw_only=True)
 class ReportReader:
-    """Reads reports and hands them to the core."""
+    """Reads reports and passes them to the scheduling core."""
 
     view: FleetView
     server: SchedulerServer
@@ -48,50 +50,54 @@
     tasks: Tasks
     clock: Callable[[], float]
     may_read: Callable[[], bool]
-    """Whether this process leads."""
+    """Returns whether this process grants requests, and so needs the reports."""
 
     _read_at: dict[str, float] = field(factory=dict, init=False)
-    """When each runner's report was last asked for."""
+    """Time of the last request for each runner's report."""
 
-    _open: set[str] = field(factory=set, init=False)
+    _in_progress: set[str] = field(factory=set, init=False)
     """Runners whose reports are being read."""
 
     async def async_run(self) -> None:
         """Read reports until cancelled."""
         while True:
             if self.may_read():
-                self.look()
+                self.start_due_reads()
             self.control.client.pool.sweep(self.clock())
-            await async_sleep_to_tick(URGENT_REPORT_S)
+            await async_sleep_to_tick(URGENT_REPORT_PERIOD_S)
 
-    def look(self) -> None:
-        """Begin to read the reports that are due, the most overdue first."""
+    def start_due_reads(self) -> None:
+        """Start reading the reports that are due, the most overdue first."""
         now = self.clock()
         entries = self._list_engines()
-        self._forget_gone(entries)
+        self._remove_absent_runners(entries)
         due = []
         for entry in entries:
-            overdue = self._measure_overdue(entry.runner_id, len(entries), now)
-            if overdue >= 1.0 and entry.runner_id not in self._open:
-                due.append((-overdue, entry.runner_id, entry))
+            overdue_periods = self._compute_overdue_periods(
+                entry.runner_id, len(entries), now
+            )
+            if overdue_periods >= 1.0 and entry.runner_id not in self._in_progress:
+                due.append((-overdue_periods, entry.runner_id, entry))
         due.sort(key=lambda each: each[:2])
-        for _, runner_id, entry in due[: REPORTS_A_LOOK - len(self._open)]:
+        for _, runner_id, entry in due[: MAX_CONCURRENT_READS - len(self._in_progress)]:
             self._read_at[runner_id] = now
-            self._open.add(runner_id)
+            self._in_progress.add(runner_id)
             self.tasks.async_start(self._async_read(entry))
 
-    def _measure_overdue(self, runner_id: str, runners: int, now: float) -> float:
-        """Return the time since the last report, in those after which one is due."""
+    def _compute_overdue_periods(
+        self, runner_id: str, runners: int, now: float
+    ) -> float:
+        """Return the age of the last report as a multiple of the runner's interval."""
         read_at = self._read_at.get(runner_id)
         if read_at is None:
             return float("inf")
         state = self.server.core.state.runners.get(runner_id)
-        period_s = REPORT_S
+        period_s = REPORT_PERIOD_S
         if state is not None:
             period_s = choose_report_period(state, runners, now)
         return (now - read_at) / period_s
 
-    def _forget_gone(self, entries: list[RunnerEntry]) -> None:
+    def _remove_absent_runners(self, entries: list[RunnerEntry]) -> None:
         if len(self._read_at) > len(entries):
             present = {each.runner_id for each in entries}
             self._read_at = {
@@ -116,27 +122,27 @@
                 entry.address, entry.runner_id
             )
         except RunnerUnreachableError:
-            # Requests show better than reports whether a runner serves.
+            # Requests show more reliably than reports whether a runner is available.
             return
         finally:
-            self._open.discard(entry.runner_id)
+            self._in_progress.discard(entry.runner_id)
         self.server.handle(
             ReportReceived(runner_id=entry.runner_id, report=report, asked_at=asked_at)
         )
 
 
 def choose_report_period(state: RunnerState, runners: int, now: float) -> float:
-    """Return the time between two reports of a runner.
+    """Return the interval between two reports of a runner.
 
     Args:
-        state: What is known of it.
+        state: State of the runner.
         runners: Number of runners whose reports are read.
         now: Time in seconds.
     """
     if not state.is_state_known:
         change_s = state.changing_until - state.ordered_at
-        ends_soon = now >= state.ordered_at + CHANGE_BEFORE_END * change_s
-        return URGENT_REPORT_S if ends_soon else REPORT_S
-    if now - state.ordered_at <= QUIET_REPORT_S:
-        return REPORT_S
-    return max(QUIET_REPORT_S, runners / QUIET_REPORTS_PER_S)
+        ends_soon = now >= state.ordered_at + URGENT_FROM_LOAD_SHARE * change_s
+        return URGENT_REPORT_PERIOD_S if ends_soon else REPORT_PERIOD_S
+    if now - state.ordered_at <= QUIET_REPORT_PERIOD_S:
+        return REPORT_PERIOD_S
+    return max(QUIET_REPORT_PERIOD_S, runners / MAX_QUIET_REPORTS_PER_S)
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -39,22 +39,22 @@
 from .report_reader import ReportReader
 
 FENCED_ORDER_DELAY_S: Final = 0.5
-"""Time after a change of holder before it orders where runners check fence numbers:
-an order of the one before is refused by each runner that the new one has ordered, so
-that the wait only has to cover orders that are on their way."""
+"""Delay of a new leader's first order where runners check fence numbers: each runner
+that the new leader has ordered rejects orders of the previous one, so that the delay
+only has to cover orders in transit."""
 
-SUMMARY_S: Final = 2.0
-"""Time between two summaries in the log: a line a second at two services."""
+SUMMARY_PERIOD_S: Final = 2.0
+"""Interval between two summaries in the log: one line per second with two services."""
 
 DESCRIBED_CUSTOMERS: Final = 8
-"""Customers in one summary, to bound the length of its line."""
+"""Maximum customers in one summary, which bounds the length of its line."""
 
 STOP_MARGIN_S: Final = 1.8
-"""Time before the end of the grace at which a scheduler stops leading at the latest:
-the call that ends its lease takes up to 1.2 s."""
+"""Time before the end of the grace period at which a scheduler stops leading at the
+latest: the call that ends its lease takes up to 1.2 s."""
 
-LEAD_CHECK_S: Final = 0.05
-"""Time between two looks at whether this process leads."""
+LEAD_CHECK_PERIOD_S: Final = 0.05
+"""Interval between two checks of whether this process leads."""
 
 
 def run(settings: SchedulerSettings) -> None:
@@ -73,7 +73,7 @@
 
 @define(eq=False)
 class SchedulerProcess:
-    """A scheduler: one leads, the others stand by."""
+    """A scheduler process; one of them leads, the others are standbys."""
 
     settings: SchedulerSettings
     process: FleetProcess = field(init=False)
@@ -84,9 +84,11 @@
     orders: OrderSender = field(init=False)
     reports: ReportReader = field(init=False)
     control: RunnerControl = field(factory=RunnerControl, init=False)
-    _led: bool = field(default=False, init=False)
-    _began_at: float = field(default=-1e9, init=False)
-    """When this process last began or ceased to grant places."""
+    _was_granting: bool = field(default=False, init=False)
+    """Whether this process granted requests at the last check."""
+
+    _granting_changed_at: float = field(default=-1e9, init=False)
+    """Time at which this process last started or stopped granting requests."""
 
     _stopping: bool = field(default=False, init=False)
 
@@ -113,7 +115,7 @@
             core=self._make_core(),
             clock=process.clock,
             is_leading=self._is_granting,
-            send_order=lambda order: self.orders.give(order),
+            send_order=lambda order: self.orders.send(order),
             mirror=process.mirror,
             get_retention_s=lambda: process.view.get_retention_s(process.clock()),
         )
@@ -126,7 +128,7 @@
             control=self.control,
             tasks=process.tasks,
             clock=process.clock,
-            may_read=lambda: self._led,
+            may_read=lambda: self._was_granting,
         )
         self.absent = AbsentEdges(
             store=process.store,
@@ -143,17 +145,17 @@
             may_write=lambda: self.leadership.fence is not None,
             prefix=OWN_PREFIX,
         )
-        self.server.on_edge_connection = self._note_edge
-        self.server.on_statement = process.take_told
+        self.server.on_edge_connection = self._handle_edge_connection
+        self.server.on_statement = process.handle_statement
         self.server.on_leaving = process.view.note_leaving
         self.server.list_leaving = process.view.list_leaving
-        process.leader_link.on_message = self._take_passed_on
-        self.control.on_signals = self._note_signals
+        process.leader_link.on_message = self._handle_leader_message
+        self.control.on_signals = self._handle_signals
         process.mirror.follower = self.server.feed
-        process.view.on_change.append(self._note_view)
+        process.view.on_change.append(self._handle_view_change)
 
     async def async_start(self) -> None:
-        """Listen for edges and follow the store.
+        """Listen for edges and start the background tasks.
 
         Raises:
             OSError: If an address can't be listened on.
@@ -167,32 +169,37 @@
             self.server.async_run,
             self.absent.async_run,
             self.keeper.async_run,
-            self._async_follow_lead,
+            self._async_track_leadership,
             self.reports.async_run,
-            self._async_sum_up,
+            self._async_log_summaries,
         ):
             process.keep_running(run_task)
 
     async def async_leave(self, signal: str) -> None:
-        """Give the lead up and end."""
-        began = self.process.clock()
+        """Give up the leadership and stop."""
+        began_at = self.process.clock()
         self._stopping = True
         log_event(log.NodeStopping(signal=signal, in_progress=0))
-        await self._async_outlast_outage(began + self.settings.grace_s - STOP_MARGIN_S)
+        await self._async_wait_for_store(
+            began_at + self.settings.grace_s - STOP_MARGIN_S
+        )
         self.leadership.stop()
         await self.process.presence.async_leave()
         self.server.stop()
         await self.process.async_stop()
         self.control.client.pool.close()
-        seconds = round(self.process.clock() - began, 3)
+        seconds = round(self.process.clock() - began_at, 3)
         log_event(log.NodeStopped(in_progress=0, after_s=seconds))
 
-    async def _async_outlast_outage(self, last: float) -> None:
-        """Lead on while the store can't give the lead to another, up to a time."""
-        while self.process.clock() < last:
+    async def _async_wait_for_store(self, give_up_at: float) -> None:
+        """Keep leading during a store outage, up to a time.
+
+        The leadership can't be handed to another scheduler while the store is down.
+        """
+        while self.process.clock() < give_up_at:
             if self.leadership.fence is None or not self.process.presence.failing:
                 return
-            await asyncio.sleep(LEAD_CHECK_S)
+            await asyncio.sleep(LEAD_CHECK_PERIOD_S)
 
     def _make_core(self) -> SchedulingCore:
         settings = self.settings
@@ -202,27 +209,28 @@
         state.limits.get_share = lambda runner_id: quotas.share
         return SchedulingCore(state, _log_health)
 
-    def _note_view(self) -> None:
+    def _handle_view_change(self) -> None:
         view = self.process.view
         if view.table is not None:
             fleet = FleetUpdated(table=view.table, runners=view.list_open_runners())
             self.server.handle(fleet)
 
-    def _take_passed_on(self, message: Message) -> None:
-        """Take what the leader passes on while this process stands by."""
+    def _handle_leader_message(self, message: Message) -> None:
+        """Handle a message that the leader relays to this standby."""
         if isinstance(message, LeavingReport):
             self.server.handle_leaving(message)
 
-    def _note_signals(self, runner_id: str, signals: RunnerSignals) -> None:
-        """Take what a runner says in the answer to a report or an order."""
+    def _handle_signals(self, runner_id: str, signals: RunnerSignals) -> None:
+        """Apply the signals in a runner's answer to a report request or an order."""
         entry = self.process.view.runners.get(runner_id)
         if entry is None:
             return
         if signals.leaving:
-            said = LeavingReport(runner_id=runner_id, started_ms=entry.started_ms)
-            self.server.handle_leaving(said)
+            report = LeavingReport(runner_id=runner_id, started_ms=entry.started_ms)
+            self.server.handle_leaving(report)
         if signals.limit is not None:
-            # Only answers to requests end a limit: reports may not name it.
+            # An answer without a limit is ignored here: only answers to requests end a
+            # limit, since reports may omit it.
             limit = LimitReport(
                 runner_id=runner_id,
                 started_ms=entry.started_ms,
@@ -233,15 +241,16 @@
             self.server.handle_limit(limit)
 
     def _is_granting(self) -> bool:
-        """Return whether edges are to ask this process: it leads, or stands in."""
-        return self.leadership.is_granting or self._stands_in()
+        """Return whether this process grants requests, as leader or as standby."""
+        return self.leadership.is_granting or self._grants_without_lead()
 
-    def _stands_in(self) -> bool:
-        """Return whether edges came here that have lost the leader, as this has.
+    def _grants_without_lead(self) -> bool:
+        """Return whether this standby grants requests, as the leader is unreachable.
 
-        It grants places and gives no orders: that takes the leader's key. Without it
-        each edge would choose alone until the leader's lease ends, and with many edges
-        even one request from each overfills a runner.
+        This holds while edges are connected and this process has no connection to the
+        leader. The standby sends no orders, since these require the leader's key.
+        Without its grants each edge would choose runners on its own until the leader's
+        lease ends, and with many edges even one request from each overloads a runner.
         """
         if self._stopping or self.server.edge_count == 0:
             return False
@@ -249,43 +258,48 @@
         return process.view.table is not None and not process.leader_link.leading
 
     def _measure_share(self) -> float:
-        """Return the part of each quota that this process grants.
+        """Return the share of each quota that this process grants.
 
-        It is that of the edges which it hears: others may ask another scheduler, or
-        choose alone.
+        It is the share of edges connected to it: the others may use another scheduler,
+        or choose runners on their own.
         """
-        if self.process.clock() < self._began_at + SCHEDULER_STARTUP_S:
+        if self.process.clock() < self._granting_changed_at + SCHEDULER_STARTUP_S:
             return 1.0
-        heard = self.server.edge_count
+        connected_edges = self.server.edge_count
         members = self.process.view.members.values()
-        known = sum(1 for each in members if each.role is Role.EDGE)
-        return max(1, heard) / known if heard < known else 1.0
+        known_edges = sum(1 for each in members if each.role is Role.EDGE)
+        return (
+            max(1, connected_edges) / known_edges
+            if connected_edges < known_edges
+            else 1.0
+        )
 
-    def _note_edge(self, incarnation: str, connected: bool) -> None:
+    def _handle_edge_connection(self, incarnation: str, connected: bool) -> None:
         if connected:
             self.absent.note_back(incarnation)
         else:
             self.absent.note_lost(incarnation)
 
-    async def _async_follow_lead(self) -> None:
-        """Tell the core and the edges when this process begins or ceases to lead."""
+    async def _async_track_leadership(self) -> None:
+        """Update the core and the edges when this process starts or stops granting."""
         while True:
-            leading = self._is_granting()
-            # Without edges nothing is known of demand: another may lead by now.
+            granting = self._is_granting()
+            # Without connected edges the demand is unknown: another scheduler may
+            # already lead.
             allowed = self.leadership.may_order and self.server.edge_count > 0
             self.server.handle(OrdersAllowed(allowed=allowed))
-            if leading != self._led:
-                self._led = leading
-                self._began_at = self.process.clock()
+            if granting != self._was_granting:
+                self._was_granting = granting
+                self._granting_changed_at = self.process.clock()
                 self.server.send_heartbeats()
             self.server.core.state.quotas.share = self._measure_share()
-            await async_sleep_to_tick(LEAD_CHECK_S)
+            await async_sleep_to_tick(LEAD_CHECK_PERIOD_S)
 
-    async def _async_sum_up(self) -> None:
-        """Log now and then where this process stands while it leads."""
+    async def _async_log_summaries(self) -> None:
+        """Log summaries of quotas and placement periodically while granting."""
         while True:
-            await asyncio.sleep(SUMMARY_S)
-            table = self.process.view.table if self._led else None
+            await asyncio.sleep(SUMMARY_PERIOD_S)
+            table = self.process.view.table if self._was_granting else None
             services = table.services if table is not None else {}
             if table is not None and table.customers is not None:
                 self._log_quotas()
--- a/mangoway/daemons/stored_answers.py
+++ b/mangoway/daemons/stored_answers.py
@@ -1,4 +1,4 @@
-"""Kept answers in the form in which a leaving gateway hands them over."""
+"""Encoding of stored answers that a leaving gateway hands over."""
 
 import orjson
 
@@ -15,7 +15,7 @@
 
 
 def encode_answer(answer_id: RequestId, answer: Answer) -> StoredAnswer:
-    """Return a whole answer for a successor."""
+    """Return a complete answer encoded for a successor."""
     if answer.plain is not None:
         return StoredAnswer(
             id=answer_id,
@@ -33,7 +33,7 @@
 
 
 def decode_answer(stored: StoredAnswer) -> Answer:
-    """Return the whole answer that a leaving gateway kept."""
+    """Return the complete answer decoded from a hand-over."""
     headers = {each.name: each.value for each in stored.headers}
     answer = Answer()
     if headers[HEADER_KIND] == KIND_PLAIN:
--- a/mangoway/daemons/upstream_log.py
+++ b/mangoway/daemons/upstream_log.py
@@ -1,4 +1,4 @@
-"""Logs what upstreams say of themselves, once for each change."""
+"""Logs changes that upstreams and the host list report, once for each change."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -16,34 +16,34 @@
 
 @define(eq=False)
 class UpstreamLog:
-    """Compares what is heard of upstreams with what was heard before."""
+    """Compares reports of upstreams with earlier ones and logs the changes."""
 
-    _met: dict[UpstreamId, EngineDescription] = field(factory=dict, init=False)
+    _descriptions: dict[UpstreamId, EngineDescription] = field(factory=dict, init=False)
     _leaving: set[UpstreamId] = field(factory=set, init=False)
-    _over: set[UpstreamId] = field(factory=set, init=False)
-    """Engines whose last report said more memory than they have."""
+    _over_memory: set[UpstreamId] = field(factory=set, init=False)
+    """Engines whose last report showed more memory in use than they have."""
 
     def find_incarnation(self, upstream: UpstreamId) -> IncarnationId | None:
-        """Return the incarnation of an engine that was met last."""
-        known = self._met.get(upstream)
+        """Return the incarnation of an engine's last description, or None."""
+        known = self._descriptions.get(upstream)
         return None if known is None else known.incarnation
 
-    def note_listed(self, upstreams: Iterable[UpstreamAddress]) -> None:
-        """Take the whole list of upstreams."""
+    def record_listed(self, upstreams: Iterable[UpstreamAddress]) -> None:
+        """Record the full list of upstreams; log those that are newly leaving."""
         listed = {each.id: each for each in upstreams}
         self._leaving &= listed.keys()
-        self._over &= listed.keys()
-        for upstream in self._met.keys() - listed.keys():
-            del self._met[upstream]
+        self._over_memory &= listed.keys()
+        for upstream in self._descriptions.keys() - listed.keys():
+            del self._descriptions[upstream]
         for each in listed.values():
             if each.leaving:
-                self._note_leaving(each.id, SOURCE_HOST_LIST)
+                self._log_leaving(each.id, SOURCE_HOST_LIST)
 
-    def note_met(self, description: EngineDescription) -> None:
-        """Take the description of an engine met first, or after a restart."""
+    def record_description(self, description: EngineDescription) -> None:
+        """Record and log the description of an engine that is new or was restarted."""
         upstream = description.upstream
-        known = self._met.get(upstream)
-        self._met[upstream] = description
+        known = self._descriptions.get(upstream)
+        self._descriptions[upstream] = description
         if known is not None and known.incarnation != description.incarnation:
             self._leaving.discard(upstream)
             log_event(
@@ -60,29 +60,29 @@
             )
         )
 
-    def note_report(self, report: EngineReport) -> None:
-        """Take an engine's report."""
+    def record_report(self, report: EngineReport) -> None:
+        """Record an engine's report; log if it leaves or exceeds its memory."""
         if report.leaving:
-            self._note_leaving(report.upstream, SOURCE_UPSTREAM)
+            self._log_leaving(report.upstream, SOURCE_UPSTREAM)
         self._check_memory(report)
 
-    def _note_leaving(self, upstream: UpstreamId, source: str) -> None:
+    def _log_leaving(self, upstream: UpstreamId, source: str) -> None:
         if upstream not in self._leaving:
             self._leaving.add(upstream)
             log_event(log.UpstreamLeaving(upstream_id=upstream, source=source))
 
     def _check_memory(self, report: EngineReport) -> None:
-        known = self._met.get(report.upstream)
+        known = self._descriptions.get(report.upstream)
         if known is None or known.incarnation != report.incarnation:
             return
         used_mb = report.kv_cache_used_mb + sum(
             resident.memory_mb for resident in report.residents
         )
         if used_mb <= known.memory_mb:
-            self._over.discard(report.upstream)
+            self._over_memory.discard(report.upstream)
             return
-        if report.upstream not in self._over:
-            self._over.add(report.upstream)
+        if report.upstream not in self._over_memory:
+            self._over_memory.add(report.upstream)
             log_event(
                 log.MemoryExceeded(
                     upstream_id=report.upstream,
--- a/tests/daemons/gateway_world.py
+++ b/tests/daemons/gateway_world.py
@@ -1,4 +1,4 @@
-"""A gateway with stand-in upstreams, all in one process on loopback."""
+"""Gateways with stand-in upstreams, all in one process on loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Mapping
@@ -79,12 +79,12 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds; fail if it never does."""
+    """Wait until a condition is true; fail after a timeout."""
     for _ in range(WAIT_STEPS):
         if condition():
             return
         await asyncio.sleep(WAIT_STEP_S)
-    raise AssertionError("the condition never held")
+    raise AssertionError("the condition was not met before the timeout")
 
 
 @define
@@ -104,15 +104,15 @@
 
     @property
     def url(self) -> str:
-        """Return where the first gateway is."""
-        return self.find_url(0)
+        """Return the URL of the first gateway."""
+        return self.get_url(0)
 
-    def find_url(self, number: int) -> str:
-        """Return where a gateway is."""
+    def get_url(self, number: int) -> str:
+        """Return the URL of a gateway."""
         return f"http://127.0.0.1:{self.nodes[number].server.port}"
 
     def set_members(self, changes: Mapping[int, Mapping[str, Any]] = {}) -> None:
-        """Tell every gateway of all, with changes to some entries by number."""
+        """Set the members at every gateway, with changes to some entries by number."""
         members = [
             make_member(node, **changes.get(number, {}))
             for number, node in enumerate(self.nodes)
@@ -123,7 +123,7 @@
     async def complete(
         self, headers: dict[str, str] = HEADERS, **body: Any
     ) -> aiohttp.ClientResponse:
-        """Post a completion; fields go over the defaults."""
+        """Post a completion; `body` overrides the default fields."""
         fields = {"model": "m", "prompt": "hi", "max_tokens": 3} | body
         return await self.client.post(
             f"{self.url}/v1/completions", json=fields, headers=headers
@@ -132,12 +132,14 @@
     async def call(
         self, call: str, body: Any, gateway: int = 0, **headers: str
     ) -> aiohttp.ClientResponse:
-        """Post a service call; `Idempotency_Key` stands for its header."""
-        given = {name.replace("_", "-"): value for name, value in headers.items()}
+        """Post a service call; header names are passed with `_` in place of `-`."""
+        header_fields = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         return await self.client.post(
-            f"{self.find_url(gateway)}/v1/services/{SERVICE}/{call}",
+            f"{self.get_url(gateway)}/v1/services/{SERVICE}/{call}",
             json=body,
-            headers=HEADERS | given,
+            headers=HEADERS | header_fields,
         )
 
     async def get(self, path: str) -> tuple[int, Any]:
@@ -145,8 +147,8 @@
         async with self.client.get(self.url + path) as response:
             return response.status, await response.json(content_type=None)
 
-    async def until_idle(self) -> None:
-        """Wait until the gateway has nothing in progress."""
+    async def wait_until_idle(self) -> None:
+        """Wait until the first gateway has no request in progress."""
         await wait_until(lambda: self.node.idle)
 
 
@@ -154,7 +156,7 @@
 async def open_world(
     tokens_per_second: float = 1000.0, gateways: int = 1
 ) -> AsyncIterator[GatewayWorld]:
-    """Start gateways whose engine has the model and its adapter."""
+    """Start gateways and an engine that has loaded the model and its adapter."""
     settings = EngineSettings(
         upstream=UpstreamId("e1"),
         stream_tokens_per_second=tokens_per_second,
@@ -171,7 +173,7 @@
         )
         store = FakeKeyValueStore()
         nodes = [await _start_node(n, store, stack) for n in range(gateways)]
-        await _load(nodes[0], engine, MODEL, ADAPTED)
+        await _load_artifacts(nodes[0], engine, MODEL, ADAPTED)
         world = GatewayWorld(nodes, store, client, engine, service)
         world.set_members()
         for node in nodes:
@@ -225,7 +227,9 @@
     )
 
 
-async def _load(node: GatewayNode, engine: EngineStandIn, *artifacts: Artifact) -> None:
+async def _load_artifacts(
+    node: GatewayNode, engine: EngineStandIn, *artifacts: Artifact
+) -> None:
     description = await node.engines.async_describe(engine.address)
     for number, artifact in enumerate(artifacts):
         order = Order(
@@ -238,6 +242,6 @@
             memory_mb=10,
         )
         await node.engines.async_send_order(engine.address, order)
-    # The first report that a gateway reads must show them as ready.
-    wanted = {str(each) for each in artifacts}
-    await wait_until(lambda: wanted <= set(engine.truth()["ready"]))
+    # The first report that a gateway reads must show the artifacts as ready.
+    expected_names = {str(each) for each in artifacts}
+    await wait_until(lambda: expected_names <= set(engine.truth()["ready"]))
--- a/tests/daemons/test_attempts.py
+++ b/tests/daemons/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of attempts whose upstreams answer late, doubled or out of order."""
+"""Tests of attempts whose upstreams answer late, twice or out of order."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -42,7 +42,7 @@
 
 
 class ScriptedEngine:
-    """Streams what the test feeds to each attempt; never ends by itself."""
+    """Streams the steps that the test feeds to each attempt; never ends by itself."""
 
     def __init__(self) -> None:
         self.attempts: dict[str, CompletionAttempt] = {}
@@ -68,7 +68,7 @@
 
 
 class World:
-    """One request and a runner over a scripted engine."""
+    """One request and an attempt runner with a scripted engine."""
 
     def __init__(self) -> None:
         self.engine = ScriptedEngine()
@@ -100,22 +100,22 @@
         self.runner.async_start(action, self.record, "1.2.3.4:5")
         await wait_until(lambda: action.attempt_id in self.engine.attempts)
 
-    async def until(self, count: int) -> None:
+    async def wait_for_events(self, count: int) -> None:
         await wait_until(lambda: len(self.events) >= count)
 
 
-def make_failure() -> MangowayError:
+def make_upstream_error() -> MangowayError:
     return MangowayError(ErrorCode.UPSTREAM_FAILED, "cut", Verdict.MAY_HAVE_RUN)
 
 
 class TestAttemptRunner:
-    """Events that an attempt leads to, and what it adds to the answer."""
+    """Events that an attempt sends, and text that it adds to the answer."""
 
     async def test_progress_and_success(self) -> None:
         world = World()
         await world.start(FIRST)
         world.engine.feed("a1", CompletionChunk("x", 1), CompletionChunk("y", 2), None)
-        await world.until(3)
+        await world.wait_for_events(3)
         assert world.events == [
             AttemptProgressed(attempt_id=FIRST.attempt_id, tokens=1),
             AttemptProgressed(attempt_id=FIRST.attempt_id, tokens=2),
@@ -123,59 +123,59 @@
         ]
         assert world.answer.text == "xy"
 
-    async def test_failure_says_how_far_it_came_and_the_next_goes_on_there(
+    async def test_failure_reports_its_tokens_and_the_next_attempt_resumes_there(
         self,
     ) -> None:
         world = World()
         await world.start(FIRST)
-        world.engine.feed("a1", CompletionChunk("x", 1), make_failure())
-        await world.until(2)
+        world.engine.feed("a1", CompletionChunk("x", 1), make_upstream_error())
+        await world.wait_for_events(2)
         failed = world.events[-1]
         assert isinstance(failed, AttemptFailed)
         assert (failed.tokens, failed.verdict) == (1, Verdict.MAY_HAVE_RUN)
         await world.start(SECOND)
-        again = world.engine.attempts["a2"]
-        assert (again.resume_from, again.resume_text) == (1, "x")
+        resumed = world.engine.attempts["a2"]
+        assert (resumed.resume_from, resumed.resume_text) == (1, "x")
 
     async def test_answer_of_an_earlier_attempt_is_dropped(self) -> None:
         world = World()
         await world.start(FIRST)
         await world.start(SECOND)
         world.engine.feed("a2", CompletionChunk("new", 1))
-        await world.until(1)
+        await world.wait_for_events(1)
         world.engine.feed("a1", CompletionChunk("old", 2))
-        await world.until(2)
+        await world.wait_for_events(2)
         assert world.answer.text == "new"
-        # Cancelled at the engine too: it has not succeeded, and still runs there.
+        # It is cancelled at the engine as well, since it still runs there.
         cancelled = AttemptCancelled(attempt_id=FIRST.attempt_id, tokens=1)
         assert world.events[1:] == [cancelled]
         assert world.engine.cancelled == [FIRST.attempt_id]
 
-    async def test_cancel_ends_at_the_engine_first(self) -> None:
+    async def test_cancel_is_sent_to_the_engine_before_it_is_reported(self) -> None:
         world = World()
         await world.start(FIRST)
         world.engine.feed("a1", CompletionChunk("x", 1))
-        await world.until(1)
+        await world.wait_for_events(1)
         world.runner.async_cancel(FIRST.attempt_id)
         world.runner.async_cancel(FIRST.attempt_id)
-        await world.until(2)
+        await world.wait_for_events(2)
         assert world.engine.cancelled == [FIRST.attempt_id]
         cancelled = AttemptCancelled(attempt_id=FIRST.attempt_id, tokens=1)
         assert world.events[1:] == [cancelled]
         assert len(world.runner) == 0
 
-    async def test_engine_that_cancels_by_itself_did_not_finish(self) -> None:
+    async def test_attempt_cancelled_by_the_engine_itself_has_failed(self) -> None:
         world = World()
         await world.start(FIRST)
         world.engine.feed("a1", CompletionChunk("", 1, "cancelled"), None)
-        await world.until(1)
+        await world.wait_for_events(1)
         assert isinstance(world.events[0], AttemptFailed)
 
-    async def test_fault_of_ours_still_ends_the_attempt(self) -> None:
+    async def test_internal_error_ends_the_attempt(self) -> None:
         world = World()
         await world.start(FIRST)
         world.engine.feed("a1", "no chunk")  # type: ignore[arg-type]
-        await world.until(1)
+        await world.wait_for_events(1)
         failed = world.events[0]
         assert isinstance(failed, AttemptFailed)
         assert failed.failure.code is ErrorCode.INTERNAL
--- a/tests/daemons/test_claims.py
+++ b/tests/daemons/test_claims.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mangoway.callers.messages import IncomingRequest, Submission
-from mangoway.daemons.claims import KeyClaims, name_claim
+from mangoway.daemons.claims import KeyClaims, make_claim_name
 from mangoway.key_value.store import CallRank, Put, TransactionResult
 from mangoway.models.identifiers import (
     CallerId,
@@ -37,7 +37,7 @@
 
 
 class RecordingStore(FakeKeyValueStore):
-    """Keeps the writes that it was given."""
+    """Records the writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -58,7 +58,7 @@
         incarnation=IncarnationId("i"),
         tasks=Tasks(lambda error: None),
         send=events.append,
-        get_site=lambda: SitePolicy(key_retention_s=600.0),
+        get_site_policy=lambda: SitePolicy(key_retention_s=600.0),
     )
     claims.async_claim(ACTION, make_submission(caller))
     await wait_until(lambda: bool(events))
@@ -70,7 +70,7 @@
 class TestKeyClaims:
     """Outcomes of a claim."""
 
-    async def test_only_the_first_claims(self) -> None:
+    async def test_only_the_first_claim_of_a_key_succeeds(self) -> None:
         store = FakeKeyValueStore()
         assert await claim(store) == "claimed"
         assert await claim(store) == "taken"
@@ -84,15 +84,15 @@
         store = FakeKeyValueStore(**{switch: 1})
         assert await claim(store) == "unsettled"
 
-    async def test_claim_outlives_the_longest_run_by_the_retention(self) -> None:
+    async def test_claim_lives_for_the_longest_run_and_the_retention(self) -> None:
         store = RecordingStore()
         await claim(store)
         (put,) = store.puts
         assert put.ttl_s == 610.0
 
-    def test_names_do_not_run_into_each_other(self) -> None:
+    def test_names_of_different_callers_and_keys_differ(self) -> None:
         names = {
-            name_claim(
+            make_claim_name(
                 make_submission(caller),
                 ClaimKey(request_id=RequestId("r"), key=IdempotencyKey(key)),
             )
--- a/tests/daemons/test_controller_status.py
+++ b/tests/daemons/test_controller_status.py
@@ -1,4 +1,4 @@
-"""Tests of what a controller tells operators."""
+"""Tests of the status that a controller reports to operators."""
 
 import pytest
 from attrs import evolve
@@ -30,7 +30,7 @@
 
 
 class TestFindReason:
-    """Why an artifact sits where it does."""
+    """Reasons for the placement of an artifact."""
 
     @pytest.mark.parametrize(
         ("copies", "reasons", "code"),
@@ -49,7 +49,7 @@
         )
         assert find_reason(artifact, IDLE, reasons)[0] == code
 
-    def test_artifact_that_waits_for_its_turn_is_queued(self) -> None:
+    def test_artifact_in_the_load_queue_is_queued(self) -> None:
         artifact = ArtifactStatus(
             artifact=CHAT, floor=1, copies=(), requests_per_second=0.0
         )
--- a/tests/daemons/test_gateway_faults.py
+++ b/tests/daemons/test_gateway_faults.py
@@ -1,4 +1,4 @@
-"""Tests of what callers get when they, or an upstream, misbehave."""
+"""Tests of answers to callers when they or an upstream misbehave."""
 
 import asyncio
 import socket
@@ -20,8 +20,8 @@
         yield opened
 
 
-async def check_problem(response: Any, status: int, code: str, verdict: str) -> Any:
-    """Assert that a response is a problem of the stated form; return its body."""
+async def assert_problem(response: Any, status: int, code: str, verdict: str) -> Any:
+    """Assert that a response is the expected problem document; return its body."""
     assert response.headers["Content-Type"] == "application/problem+json"
     body = await response.json(content_type=None)
     seen = (response.status, body["status"], body["code"], body["verdict"])
@@ -31,7 +31,7 @@
 
 
 class TestRefusals:
-    """Requests that are refused before anything runs."""
+    """Requests that are rejected before they run."""
 
     @pytest.mark.parametrize(
         ("headers", "status", "code"),
@@ -50,7 +50,7 @@
         self, world: GatewayWorld, headers: dict[str, str], status: int, code: str
     ) -> None:
         response = await world.complete(headers)
-        body = await check_problem(response, status, code, "not_run")
+        body = await assert_problem(response, status, code, "not_run")
         assert body["request_id"] == response.headers["X-Request-Id"]
 
     @pytest.mark.parametrize(
@@ -77,13 +77,13 @@
     ) -> None:
         headers = {} if "caller" in fields else HEADERS
         response = await world.complete(headers, **fields)
-        await check_problem(response, status, code, "not_run")
+        await assert_problem(response, status, code, "not_run")
 
     @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'"x"', b"\xff\xfe"])
     async def test_malformed_body(self, world: GatewayWorld, body: bytes) -> None:
         url = f"{world.url}/v1/completions"
         response = await world.client.post(url, data=body, headers=HEADERS)
-        await check_problem(response, 400, "malformed_request", "not_run")
+        await assert_problem(response, 400, "malformed_request", "not_run")
 
     @pytest.mark.parametrize("chunked", [False, True])
     async def test_oversized_body(self, world: GatewayWorld, chunked: bool) -> None:
@@ -94,7 +94,7 @@
         data = make_parts() if chunked else b" " * ((1 << 20) + 1)
         url = f"{world.url}/v1/completions"
         response = await world.client.post(url, data=data, headers=HEADERS)
-        await check_problem(response, 413, "body_too_large", "not_run")
+        await assert_problem(response, 413, "body_too_large", "not_run")
         request_id = response.headers["x-request-id"]
         _, answer = await world.get(f"/v1/explain/{request_id}")
         assert answer["decisions"][0]["reason"] == "answered_body_too_large"
@@ -116,23 +116,23 @@
     ) -> None:
         url = world.url + path
         response = await world.client.request(method, url, headers=HEADERS, json={})
-        await check_problem(response, status, code, "not_run")
+        await assert_problem(response, status, code, "not_run")
 
-    async def test_body_fields_stand_for_headers(self, world: GatewayWorld) -> None:
+    async def test_body_fields_replace_headers(self, world: GatewayWorld) -> None:
         fields = {"caller": "lab", "work_class": "patient", "deadline_s": 30}
         response = await world.complete({}, **fields)
         assert response.status == 200
 
 
 class TestHangUp:
-    """Callers that go away."""
+    """Callers that disconnect."""
 
     async def test_hang_up_while_streaming_cancels_at_the_engine(self) -> None:
         async with open_world(tokens_per_second=50.0) as world:
             response = await world.complete(stream=True, max_tokens=1000)
             await response.content.readany()
             response.close()
-            await world.until_idle()
+            await world.wait_until_idle()
             await wait_until(lambda: world.engine.hung_up == 1)
 
     async def test_hang_up_while_waiting_cancels_at_the_engine(self) -> None:
@@ -140,10 +140,10 @@
             task = asyncio.ensure_future(world.complete(max_tokens=1000))
             await wait_until(lambda: bool(world.engine.truth()["runs"]))
             task.cancel()
-            await world.until_idle()
+            await world.wait_until_idle()
             await wait_until(lambda: world.engine.hung_up == 1)
 
-    async def test_hang_up_in_the_body_leaves_nothing(
+    async def test_hang_up_in_the_body_leaves_no_request_open(
         self, world: GatewayWorld
     ) -> None:
         host, port = world.url.removeprefix("http://").split(":")
@@ -153,14 +153,16 @@
                 b"Content-Length: 100\r\n\r\n{"
             )
             await asyncio.sleep(0.05)
-        await world.until_idle()
+        await world.wait_until_idle()
         assert (await world.complete()).status == 200
 
 
 class TestUpstreamFaults:
-    """Upstreams that fail, and what is said about it."""
+    """Upstreams that fail, and how the failures are reported."""
 
-    async def test_silent_connection_is_replaced(self, world: GatewayWorld) -> None:
+    async def test_request_on_silent_connection_is_retried(
+        self, world: GatewayWorld
+    ) -> None:
         assert (await world.complete()).status == 200
         url = f"http://{world.engine.address}/admin/silence"
         await world.client.post(url)
@@ -186,16 +188,18 @@
         assert error["verdict"] == Verdict.MAY_HAVE_RUN.value
         assert error["request_id"] == response.headers["X-Request-Id"]
 
-    async def test_runner_off_the_list_is_forgotten(self, world: GatewayWorld) -> None:
+    async def test_report_of_unlisted_runner_is_removed(
+        self, world: GatewayWorld
+    ) -> None:
         book = world.node.book
         (upstream,) = (entry.report.upstream for entry in book.list_since(0, 9))
         world.node.set_upstreams([])
         assert book.get(upstream) is None
 
-    async def test_refusal_has_when_to_come_back(self, world: GatewayWorld) -> None:
+    async def test_refusal_has_a_retry_delay(self, world: GatewayWorld) -> None:
         world.node.set_upstreams([])
         response = await world.call("confirm", {"id": 1}, X_Deadline_Seconds="0.2")
-        body = await check_problem(response, 503, "no_upstream", "not_run")
+        body = await assert_problem(response, 503, "no_upstream", "not_run")
         assert int(response.headers["Retry-After"]) >= 1
         assert body["retry_after_s"] > 0
 
@@ -209,12 +213,12 @@
         body = await response.json()
         assert body == {"call": "read", "echo": {"id": 7}, "run": 1}
 
-    async def test_lost_answer_is_not_repeated_unless_idempotent(
+    async def test_call_with_lost_answer_is_retried_only_if_idempotent(
         self, world: GatewayWorld
     ) -> None:
         world.service.switches.drop_after_run = 1
         response = await world.call("confirm", {"id": 1})
-        await check_problem(response, 502, "upstream_failed", "may_have_run")
+        await assert_problem(response, 502, "upstream_failed", "may_have_run")
         assert world.service.runs["confirm/1"] == 1
 
         world.service.switches.drop_after_run = 1
@@ -222,18 +226,18 @@
         assert response.status == 200
         assert world.service.runs["read/1"] == 2
 
-    async def test_caller_can_forbid_repeats(self, world: GatewayWorld) -> None:
+    async def test_caller_can_forbid_retries(self, world: GatewayWorld) -> None:
         world.service.switches.drop_after_run = 1
         response = await world.call("read", {"id": 1}, X_Idempotent="false")
-        await check_problem(response, 502, "upstream_failed", "may_have_run")
+        await assert_problem(response, 502, "upstream_failed", "may_have_run")
         assert world.service.runs["read/1"] == 1
 
-    async def test_caller_cannot_allow_repeats(self, world: GatewayWorld) -> None:
+    async def test_caller_cannot_allow_retries(self, world: GatewayWorld) -> None:
         world.service.switches.drop_after_run = 1
         response = await world.call("confirm", {"id": 1}, X_Idempotent="true")
-        await check_problem(response, 502, "upstream_failed", "may_have_run")
+        await assert_problem(response, 502, "upstream_failed", "may_have_run")
 
-    async def test_refused_call_is_sent_again(self, world: GatewayWorld) -> None:
+    async def test_rejected_call_is_retried(self, world: GatewayWorld) -> None:
         world.service.switches.refuse = 1
         response = await world.call("confirm", {"id": 1})
         assert response.status == 200
--- a/tests/daemons/test_gateway_keys.py
+++ b/tests/daemons/test_gateway_keys.py
@@ -13,7 +13,7 @@
 from mangoway.models.member import MemberState
 
 from .gateway_world import GatewayWorld, open_world, wait_until
-from .test_gateway_faults import check_problem
+from .test_gateway_faults import assert_problem
 
 
 @pytest_asyncio.fixture
@@ -36,7 +36,7 @@
 
 
 class TestHomedKeys:
-    """Keys that name the gateway that may run them."""
+    """Keys that name the gateway that may run their requests."""
 
     async def test_resubmission_gets_the_stored_answer(
         self, world: GatewayWorld
@@ -48,16 +48,16 @@
         assert bodies[0] == bodies[1]
         assert world.service.runs["confirm/1"] == 1
 
-    async def test_gateway_without_configuration_cannot_say_not_run(
+    async def test_gateway_without_configuration_reports_may_have_run(
         self, world: GatewayWorld
     ) -> None:
         key = make_key(world.node)
         assert (await confirm(world, key, {"id": 1})).status == 200
         world.nodes[1].dispatcher.configuration = None
         again = await confirm(world, key, {"id": 1}, gateway=1)
-        await check_problem(again, 503, "not_ready", "may_have_run")
+        await assert_problem(again, 503, "not_ready", "may_have_run")
         own = await confirm(world, make_key(world.nodes[1]), {"id": 2}, gateway=1)
-        await check_problem(own, 503, "not_ready", "not_run")
+        await assert_problem(own, 503, "not_ready", "not_run")
 
     async def test_resubmission_joins_the_request_in_progress(
         self, world: GatewayWorld
@@ -70,7 +70,7 @@
         assert {await answer.read() for answer in answers} == {await answers[0].read()}
         assert world.service.runs["confirm/1"] == 1
 
-    async def test_request_goes_on_after_its_caller_hung_up(
+    async def test_request_continues_after_its_caller_hung_up(
         self, world: GatewayWorld
     ) -> None:
         world.service.switches.slow_s = 0.3
@@ -98,52 +98,56 @@
         world.service.switches.drop_after_run = 1
         key = make_key(world.node)
         response = await confirm(world, key, {"id": 1}, gateway=1)
-        await check_problem(response, 502, "upstream_failed", "may_have_run")
+        await assert_problem(response, 502, "upstream_failed", "may_have_run")
 
-    async def test_gone_home_is_never_run_elsewhere(self, world: GatewayWorld) -> None:
+    async def test_key_of_a_gone_home_is_not_run_elsewhere(
+        self, world: GatewayWorld
+    ) -> None:
         world.set_members({0: {"state": MemberState.GONE}})
         key = make_key(world.node)
         response = await confirm(world, key, {"id": 1}, gateway=1)
-        await check_problem(response, 409, "key_home_gone", "may_have_run")
+        await assert_problem(response, 409, "key_home_gone", "may_have_run")
         assert world.service.runs["confirm/1"] == 0
 
-    async def test_home_that_cannot_be_reached_may_have_run_it(
+    async def test_request_of_an_unreachable_home_may_have_run(
         self, world: GatewayWorld
     ) -> None:
         key = make_key(world.node)
         assert (await confirm(world, key, {"id": 1})).status == 200
         await world.node.peer_server.async_stop()
         response = await confirm(world, key, {"id": 1}, gateway=1)
-        await check_problem(response, 502, "peer_unreachable", "may_have_run")
+        await assert_problem(response, 502, "peer_unreachable", "may_have_run")
         assert world.service.runs["confirm/1"] == 1
 
     @pytest.mark.parametrize(("home", "verdict"), [(0, "may_have_run"), (1, "not_run")])
-    async def test_gateway_without_configuration_knows_only_its_own_keys(
+    async def test_gateway_without_configuration_reports_not_run_for_own_keys_only(
         self, world: GatewayWorld, home: int, verdict: str
     ) -> None:
         world.nodes[1].dispatcher.configuration = None
         key = make_key(world.nodes[home])
         response = await confirm(world, key, {"id": 1}, gateway=1)
-        await check_problem(response, 503, "not_ready", verdict)
+        await assert_problem(response, 503, "not_ready", verdict)
 
-    async def test_keys_of_two_callers_never_meet(self, world: GatewayWorld) -> None:
+    async def test_keys_of_two_callers_are_independent(
+        self, world: GatewayWorld
+    ) -> None:
         key = make_key(world.node)
         first = await confirm(world, key, {"id": 1}, X_Caller="desk")
         other = await confirm(world, key, {"id": 2}, X_Caller="lab")
         assert (await first.json())["echo"] == {"id": 1}
         assert (await other.json())["echo"] == {"id": 2}
 
-    async def test_key_with_another_body_is_refused(self, world: GatewayWorld) -> None:
+    async def test_key_with_another_body_is_rejected(self, world: GatewayWorld) -> None:
         key = make_key(world.node)
         await confirm(world, key, {"id": 1})
         response = await confirm(world, key, {"id": 2})
-        await check_problem(response, 422, "key_reused", "not_run")
+        await assert_problem(response, 422, "key_reused", "not_run")
 
 
 class TestPlainKeys:
     """Keys that are claimed in the key-value service."""
 
-    async def test_only_one_gateway_runs_it(self, world: GatewayWorld) -> None:
+    async def test_only_one_gateway_runs_a_key(self, world: GatewayWorld) -> None:
         first, second = await asyncio.gather(
             confirm(world, "k", {"id": 1}, gateway=0),
             confirm(world, "k", {"id": 1}, gateway=1),
@@ -151,10 +155,12 @@
         assert sorted((first.status, second.status)) == [200, 409]
         assert world.service.runs["confirm/1"] == 1
 
-    async def test_outage_refuses_as_not_run(self, world: GatewayWorld) -> None:
+    async def test_outage_of_the_store_rejects_as_not_run(
+        self, world: GatewayWorld
+    ) -> None:
         world.store.down = True
         response = await confirm(world, "k", {"id": 1})
-        await check_problem(response, 503, "key_claim_unavailable", "not_run")
+        await assert_problem(response, 503, "key_claim_unavailable", "not_run")
         assert world.service.runs["confirm/1"] == 0
         world.store.down = False
         assert (await confirm(world, "k", {"id": 1})).status == 200
--- a/tests/daemons/test_gateway_node.py
+++ b/tests/daemons/test_gateway_node.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway from its callers' side, with stand-in upstreams."""
+"""Tests of a gateway through its interface for callers, with stand-in upstreams."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -53,7 +53,7 @@
     async def test_concurrent_callers_get_their_own_answers(
         self, world: GatewayWorld
     ) -> None:
-        async def ask(number: int) -> str:
+        async def complete_prompt(number: int) -> str:
             prompt = f"prompt {number}"
             headers = {"X-Caller": "desk" if number % 2 else "lab"}
             response = await world.complete(
@@ -61,7 +61,7 @@
             )
             return (await response.json())["choices"][0]["text"]
 
-        texts = await asyncio.gather(*(ask(number) for number in range(12)))
+        texts = await asyncio.gather(*(complete_prompt(number) for number in range(12)))
         assert texts == [make_answer("m@1", f"prompt {n}", n + 1) for n in range(12)]
 
     async def test_cut_stream_is_resumed_and_whole(self, world: GatewayWorld) -> None:
@@ -74,7 +74,7 @@
 
 
 class TestPages:
-    """What the gateway shows of itself."""
+    """Pages on the gateway itself."""
 
     async def test_addresses(self, world: GatewayWorld) -> None:
         status, answer = await world.get("/v1/addresses")
@@ -89,7 +89,7 @@
             }
         ]
 
-    async def test_addresses_begin_near_and_in_turn(self) -> None:
+    async def test_addresses_list_the_own_data_centre_first_and_rotate(self) -> None:
         async with open_world(gateways=3) as world:
             world.set_members({1: {"data_centre": "far"}})
             firsts = []
@@ -105,15 +105,17 @@
         status, problem = await world.get("/v1/addresses")
         assert (status, problem["code"]) == (503, "not_ready")
 
-    async def test_only_a_change_of_the_live_shares_the_engines_anew(
+    async def test_only_a_change_of_live_gateways_reassigns_the_engines(
         self, world: GatewayWorld, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        shared: list[None] = []
-        monkeypatch.setattr(world.node, "_share_engines", lambda: shared.append(None))
+        reassignments: list[None] = []
+        monkeypatch.setattr(
+            world.node, "_assign_engines", lambda: reassignments.append(None)
+        )
         world.set_members({0: {"config_version": ConfigVersion(9)}})
-        assert shared == []
+        assert reassignments == []
         world.set_members({0: {"state": MemberState.LEAVING}})
-        assert shared == [None]
+        assert reassignments == [None]
 
     async def test_status(self, world: GatewayWorld) -> None:
         _, status = await world.get("/v1/status")
@@ -150,7 +152,7 @@
         assert refused["reason"] == "answered_unknown_model"
         assert refused["detail"].startswith("not_run: ")
 
-    async def test_trace_goes_on_from_the_caller(self, world: GatewayWorld) -> None:
+    async def test_trace_continues_from_the_caller(self, world: GatewayWorld) -> None:
         trace_id = "0af7651916cd43dd8448eb211c80319c"
         parent = f"00-{trace_id}-b7ad6b7169203331-01"
         await world.complete(HEADERS | {"traceparent": parent})
--- a/tests/daemons/test_gateway_process.py
+++ b/tests/daemons/test_gateway_process.py
@@ -69,13 +69,13 @@
         return await self.client.post(url, json=body, headers=HEADERS)
 
     async def list_hosts(self) -> list[str]:
-        """Return the hosts that the last gateway tells callers to use."""
+        """Return the hosts that the last gateway lists for callers."""
         _, answer = await self.get(self.gateways[-1], "/v1/addresses")
         return [each["host"] for each in answer.get("gateways", [])]
 
 
 async def wait_for(check: Callable[[], Awaitable[bool]]) -> None:
-    """Wait until a check holds; a refused connection counts as not yet."""
+    """Wait until a check succeeds; a refused connection counts as a failed check."""
     end = time.monotonic() + WAIT_S
     while time.monotonic() < end:
         try:
@@ -84,12 +84,12 @@
         except aiohttp.ClientError:
             pass
         await asyncio.sleep(0.1)
-    raise AssertionError("the check never held")
+    raise AssertionError("the check did not succeed before the timeout")
 
 
 @asynccontextmanager
 async def open_site(folder: Path) -> AsyncIterator[Site]:
-    """Start platform, engine and gateways, and wait until they serve."""
+    """Start platform, engine and gateways, and wait until they are ready."""
     async with Launcher(folder) as launcher, aiohttp.ClientSession() as client:
         start = launcher.async_start_stand_in
         site = Site(
@@ -163,7 +163,7 @@
 
 
 async def list_processes(site: Site) -> None:
-    """Write every process into the host list."""
+    """Write all processes to the host list."""
     entries = [("runner", "e1", site.engine.address)]
     entries += [("gateway", each.name, each.peer_address) for each in site.gateways]
     groups = [
@@ -179,15 +179,15 @@
 
 
 def read_events(process: Process) -> list[str]:
-    """Return the names of the events that a process logged."""
+    """Return the message types that a process logged."""
     lines = process.log.read_text().splitlines()
     return [json.loads(line).get("message_type", "") for line in lines]
 
 
 class TestGatewayProcess:
-    """A gateway as its operators run it."""
+    """A gateway run as a process."""
 
-    async def test_serves_and_stops_without_cutting_a_stream(
+    async def test_serves_and_stops_without_interrupting_a_stream(
         self, tmp_path: Path
     ) -> None:
         async with open_site(tmp_path) as site:
@@ -210,7 +210,7 @@
             assert await leaving.async_wait(WAIT_S) == 0
             assert "ProcessStopped" in read_events(leaving)
 
-    async def test_second_signal_ends_it_at_once(self, tmp_path: Path) -> None:
+    async def test_second_signal_forces_the_stop(self, tmp_path: Path) -> None:
         async with open_site(tmp_path) as site:
             gateway = site.gateways[0]
             stream = await site.complete(gateway, 5000, stream=True)
--- a/tests/daemons/test_gateway_stop.py
+++ b/tests/daemons/test_gateway_stop.py
@@ -11,12 +11,12 @@
 from mangoway.peers import peers_pb2 as pb
 
 from .gateway_world import GatewayWorld, open_world, wait_until
-from .test_gateway_faults import check_problem
+from .test_gateway_faults import assert_problem
 from .test_gateway_keys import confirm, make_key
 
 
-class WorldAnnouncer:
-    """Tells the gateways of a world at once."""
+class ImmediateAnnouncer:
+    """Announces a stop to all gateways of a world immediately."""
 
     def __init__(self, world: GatewayWorld) -> None:
         self._world = world
@@ -28,32 +28,32 @@
 
 def make_stop(world: GatewayWorld, deadline_s: float = 30.0) -> PlannedStop:
     return PlannedStop(
-        node=world.node, announcer=WorldAnnouncer(world), deadline_s=deadline_s
+        node=world.node, announcer=ImmediateAnnouncer(world), deadline_s=deadline_s
     )
 
 
-async def begin(stop: PlannedStop, world: GatewayWorld) -> Any:
-    """Return the running stop once the gateway leaves."""
+async def start_stop(stop: PlannedStop, world: GatewayWorld) -> Any:
+    """Start a stop and return its task once the gateway is leaving."""
     task = asyncio.ensure_future(stop.async_run("SIGTERM"))
     await wait_until(lambda: world.node.view.stopping)
     return task
 
 
 class TestPlannedStop:
-    """What goes on, and what ends, when a gateway leaves."""
+    """Requests, addresses and keys while a gateway leaves."""
 
-    async def test_stream_in_progress_is_not_cut(self) -> None:
+    async def test_stream_in_progress_is_not_interrupted(self) -> None:
         async with open_world(tokens_per_second=50.0, gateways=2) as world:
             response = await world.complete(stream=True, max_tokens=60)
             first = await response.content.readany()
-            task = await begin(make_stop(world), world)
+            task = await start_stop(make_stop(world), world)
             rest = await response.read()
             assert (first + rest).endswith(b"data: [DONE]\n\n")
             assert await task is StopOutcome.IDLE
 
-    async def test_it_is_not_ready_and_no_address_names_it(self) -> None:
+    async def test_leaving_gateway_is_not_ready_and_not_listed(self) -> None:
         async with open_world(gateways=2) as world:
-            task = await begin(make_stop(world), world)
+            task = await start_stop(make_stop(world), world)
             status, problem = await world.get("/readyz")
             assert (status, problem["code"]) == (503, "leaving")
             assert (await world.get("/healthz"))[0] == 200
@@ -61,30 +61,32 @@
             assert [each["host"] for each in answer["gateways"]] == ["g1"]
             await task
 
-    async def test_new_requests_go_to_a_peer_and_are_refused_later(self) -> None:
+    async def test_new_requests_go_to_a_peer_and_are_rejected_later(self) -> None:
         async with open_world(gateways=2) as world:
-            task = await begin(make_stop(world), world)
+            task = await start_stop(make_stop(world), world)
             response = await world.complete(stream=True)
             assert (await response.read()).endswith(b"data: [DONE]\n\n")
             assert world.nodes[1].gate.make_id().endswith("-2")
             assert await task is StopOutcome.IDLE
             late = await world.complete()
-            await check_problem(late, 503, "leaving", "not_run")
+            await assert_problem(late, 503, "leaving", "not_run")
 
-    @pytest.mark.parametrize("dead", [1, 2])
-    async def test_peer_that_died_unnoticed_costs_no_request(self, dead: int) -> None:
+    @pytest.mark.parametrize("failed_peer", [1, 2])
+    async def test_undetected_failure_of_a_peer_loses_no_request(
+        self, failed_peer: int
+    ) -> None:
         async with open_world(gateways=3) as world:
-            await world.nodes[dead].peer_server.async_stop()
-            task = await begin(make_stop(world), world)
+            await world.nodes[failed_peer].peer_server.async_stop()
+            task = await start_stop(make_stop(world), world)
             requests = [world.complete() for _ in range(4)]
             calls = [world.call("confirm", {}) for _ in range(4)]
             answers = await asyncio.gather(*requests, *calls)
             assert {answer.status for answer in answers} == {200}
             await task
 
-    async def test_peer_that_dies_mid_stream_ends_it_with_an_error_event(self) -> None:
+    async def test_peer_failure_ends_a_stream_with_an_error_event(self) -> None:
         async with open_world(tokens_per_second=50.0, gateways=2) as world:
-            task = await begin(make_stop(world), world)
+            task = await start_stop(make_stop(world), world)
             response = await world.complete(stream=True, max_tokens=500)
             first = await response.content.readany()
             await world.nodes[1].peer_server.async_stop()
@@ -94,14 +96,14 @@
             assert b'"verdict":"may_have_run"' in body
             await task
 
-    async def test_without_peers_new_requests_are_refused_as_not_run(self) -> None:
+    async def test_without_peers_new_requests_are_rejected_as_not_run(self) -> None:
         async with open_world() as world:
-            task = await begin(make_stop(world), world)
+            task = await start_stop(make_stop(world), world)
             response = await world.complete()
-            await check_problem(response, 503, "leaving", "not_run")
+            await assert_problem(response, 503, "leaving", "not_run")
             await task
 
-    async def test_successor_answers_for_its_keys(self) -> None:
+    async def test_successor_replays_answers_of_the_keys(self) -> None:
         async with open_world(gateways=2) as world:
             key = make_key(world.node)
             first = await confirm(world, key, {"id": 1})
@@ -124,7 +126,7 @@
             assert response.status == 200, await response.text()
             assert world.service.runs["confirm/1"] == 1
 
-    async def test_deadline_ends_it_with_requests_in_progress(self) -> None:
+    async def test_deadline_ends_the_stop_with_requests_in_progress(self) -> None:
         async with open_world(tokens_per_second=20.0) as world:
             response = await world.complete(stream=True, max_tokens=1000)
             await response.content.readany()
@@ -132,29 +134,29 @@
             assert outcome is StopOutcome.DEADLINE
             response.close()
 
-    async def test_second_signal_ends_it_at_once(self) -> None:
+    async def test_second_signal_forces_the_stop(self) -> None:
         async with open_world(tokens_per_second=20.0) as world:
             response = await world.complete(stream=True, max_tokens=1000)
             await response.content.readany()
             stop = make_stop(world)
-            task = await begin(stop, world)
+            task = await start_stop(stop, world)
             stop.force()
             assert await task is StopOutcome.FORCED
             response.close()
 
     async def test_second_signal_ends_a_hand_over_that_hangs(self) -> None:
         async with open_world(gateways=2) as world:
-            begun = asyncio.Event()
+            receiving = asyncio.Event()
 
-            class Frozen:
+            class HangingReceiver:
                 async def async_receive_keys(self, chunks: object) -> pb.HandOverReply:
-                    begun.set()
+                    receiving.set()
                     return await asyncio.get_running_loop().create_future()
 
-            world.nodes[1].receivers.keys = Frozen()
+            world.nodes[1].receivers.keys = HangingReceiver()
             stop = make_stop(world)
-            task = await begin(stop, world)
-            await begun.wait()
+            task = await start_stop(stop, world)
+            await receiving.wait()
             stop.force()
             async with asyncio.timeout(5):
                 assert await task is StopOutcome.FORCED
--- a/tests/daemons/test_key_hand_over.py
+++ b/tests/daemons/test_key_hand_over.py
@@ -7,7 +7,7 @@
 from attrs import define, field
 
 from mangoway.callers.answer import Answer, PlainBody
-from mangoway.daemons.const import ADOPT_STEP_RECORDS
+from mangoway.daemons.const import HAND_OVER_BATCH_RECORDS
 from mangoway.daemons.key_hand_over import HandOverReceiver
 from mangoway.daemons.records import Records
 from mangoway.daemons.stored_answers import encode_answer
@@ -24,7 +24,7 @@
 from mangoway.policy.dispatch.events import DispatchEvent, KeyRecord
 
 HOME = IncarnationId("home")
-STEPS = 5
+BATCHES = 5
 
 
 def make_hand_over(count: int) -> KeyHandOver:
@@ -51,7 +51,7 @@
 
 @define
 class Successor:
-    """A core with room for so many records of its own, and twice as many in all."""
+    """A gateway core with a capacity for own records, and twice that in total."""
 
     capacity: int
     records: Records = field(factory=Records)
@@ -64,9 +64,9 @@
     def send(self, event: DispatchEvent) -> None:
         for action in self.core.handle(event, 200.0):
             if isinstance(action, DeleteAnswer):
-                self.records.forget(action.answer_id)
+                self.records.delete_answer(action.answer_id)
 
-    async def async_take(self, hand_over: KeyHandOver) -> None:
+    async def async_receive(self, hand_over: KeyHandOver) -> None:
         async def async_read() -> AsyncGenerator[pb.KeyChunk, None]:
             for chunk in make_chunks(hand_over, 0.0):
                 yield chunk
@@ -76,25 +76,25 @@
 
 
 class TestHandOverReceiver:
-    """A full table neither stops the loop nor leaves answers behind."""
+    """A full table neither blocks the event loop nor leaves orphaned answers."""
 
-    async def test_loop_goes_on_meanwhile(self) -> None:
-        successor = Successor(capacity=ADOPT_STEP_RECORDS * STEPS)
-        hand_over = make_hand_over(ADOPT_STEP_RECORDS * STEPS)
-        taking = asyncio.create_task(successor.async_take(hand_over))
+    async def test_event_loop_is_not_blocked(self) -> None:
+        successor = Successor(capacity=HAND_OVER_BATCH_RECORDS * BATCHES)
+        hand_over = make_hand_over(HAND_OVER_BATCH_RECORDS * BATCHES)
+        receiving = asyncio.create_task(successor.async_receive(hand_over))
         turns = 0
-        while not taking.done():
+        while not receiving.done():
             turns += 1
             await asyncio.sleep(0)
-        assert turns > 2 * STEPS
+        assert turns > 2 * BATCHES
         assert len(successor.core.keys) == len(hand_over.records)
-        assert len(successor.records.list_kept()) == len(hand_over.records)
+        assert len(successor.records.list_answers()) == len(hand_over.records)
         assert successor.core.homes.find_adoption_time(HOME) is not None
 
-    async def test_answers_without_room_are_not_kept(self) -> None:
-        capacity = ADOPT_STEP_RECORDS
+    async def test_answers_beyond_the_capacity_are_not_stored(self) -> None:
+        capacity = HAND_OVER_BATCH_RECORDS
         successor = Successor(capacity)
-        await successor.async_take(make_hand_over(3 * capacity))
+        await successor.async_receive(make_hand_over(3 * capacity))
         assert len(successor.core.keys) == 2 * capacity
-        assert len(successor.records.list_kept()) == 2 * capacity
+        assert len(successor.records.list_answers()) == 2 * capacity
         assert successor.core.homes.find_adoption_time(HOME) is None
--- a/tests/daemons/test_lease.py
+++ b/tests/daemons/test_lease.py
@@ -17,17 +17,17 @@
 
 
 class Holder:
-    """A lease holder and what it was told."""
+    """A lease holder and the changes that it reported."""
 
     def __init__(self, store: FakeKeyValueStore, name: str) -> None:
-        self.told: list[str] = []
+        self.changes: list[str] = []
         self.lease = LeaseHolder(
             store=store,
             cell=CellId("c1"),
             owner=IncarnationId(name),
             ttl_s=TTL_S,
-            on_gained=lambda: self.told.append("gained"),
-            on_lost=lambda: self.told.append("lost"),
+            on_gained=lambda: self.changes.append("gained"),
+            on_lost=lambda: self.changes.append("lost"),
         )
 
     def start(self) -> None:
@@ -40,21 +40,21 @@
 
 
 class TestLeaseHolder:
-    """Who plans a cell."""
+    """Which controller holds the lease of a cell."""
 
-    async def test_one_of_two_holds_it(self) -> None:
+    async def test_only_one_of_two_holds_the_lease(self) -> None:
         store = FakeKeyValueStore()
         one, other = Holder(store, "a"), Holder(store, "b")
         one.start()
         await asyncio.sleep(1)
         other.start()
         await asyncio.sleep(5 * TTL_S)
-        assert one.told == ["gained"]
-        assert other.told == []
+        assert one.changes == ["gained"]
+        assert other.changes == []
         await one.stop()
         await other.stop()
 
-    async def test_planned_stop_lets_the_other_in_before_the_lease_lapses(
+    async def test_after_a_planned_stop_the_other_gains_the_lease_before_it_expires(
         self,
     ) -> None:
         store = FakeKeyValueStore()
@@ -64,26 +64,26 @@
         other.start()
         await one.stop()
         await asyncio.sleep(TTL_S / 2)
-        assert one.told == ["gained", "lost"]
-        assert other.told == ["gained"]
+        assert one.changes == ["gained", "lost"]
+        assert other.changes == ["gained"]
         await other.stop()
 
-    async def test_outage_loses_it_at_its_end_and_not_before(self) -> None:
+    async def test_lease_is_lost_in_an_outage_only_when_it_expires(self) -> None:
         store = FakeKeyValueStore()
         holder = Holder(store, "a")
         holder.start()
         await asyncio.sleep(0.1)
         store.down = True
         await asyncio.sleep(TTL_S - 0.5)
-        assert holder.told == ["gained"]
+        assert holder.changes == ["gained"]
         await asyncio.sleep(1)
-        assert holder.told == ["gained", "lost"]
+        assert holder.changes == ["gained", "lost"]
         store.down = False
         await asyncio.sleep(TTL_S)
-        assert holder.told == ["gained", "lost", "gained"]
+        assert holder.changes == ["gained", "lost", "gained"]
         await holder.stop()
 
-    async def test_lapsed_lease_that_another_took_is_lost(self) -> None:
+    async def test_expired_lease_that_another_acquired_is_lost(self) -> None:
         store = FakeKeyValueStore()
         holder = Holder(store, "a")
         holder.start()
@@ -91,15 +91,15 @@
         store.lapse_lease(KEY)
         await store.async_acquire_lease(KEY, "b", TTL_S, CallRank.SAFETY)
         await asyncio.sleep(TTL_S / 2)
-        assert holder.told == ["gained", "lost"]
+        assert holder.changes == ["gained", "lost"]
         await holder.stop()
 
-    async def test_answer_that_comes_late_counts_from_the_question(self) -> None:
+    async def test_lease_from_a_late_answer_counts_from_the_request(self) -> None:
         store = FakeKeyValueStore(delay_s=TTL_S + 1)
         holder = Holder(store, "a")
         holder.start()
         await asyncio.sleep(3 * TTL_S)
-        assert "lost" in holder.told or holder.told == []
+        assert "lost" in holder.changes or holder.changes == []
         assert not holder.lease.held
         store.delay_s = 0.0
         await holder.stop()
--- a/tests/daemons/test_ledger_codec.py
+++ b/tests/daemons/test_ledger_codec.py
@@ -1,4 +1,4 @@
-"""Tests of stored ledgers: nothing that is not understood is taken for a ledger."""
+"""Tests of stored ledgers: content that can't be fully decoded is rejected."""
 
 from typing import Any
 
@@ -62,7 +62,7 @@
 
 
 class TestLedgerCodec:
-    """Round trip and refusals."""
+    """Round trip and rejections."""
 
     @given(ledger=LEDGERS)
     def test_round_trip(self, ledger: Ledger) -> None:
@@ -73,26 +73,26 @@
     @pytest.mark.parametrize(
         "value", [b"", b"{", b"[]", b"7", b"null", b"\xff", b'{"format": 1}']
     )
-    def test_other_content_is_refused_with_a_code(self, value: bytes) -> None:
+    def test_other_content_is_rejected_with_a_code(self, value: bytes) -> None:
         _expect_refusal(value)
 
-    def test_other_format_is_refused(self) -> None:
+    def test_other_format_is_rejected(self) -> None:
         document = _make_document()
         document["format"] = 2
         _expect_refusal(orjson.dumps(document))
 
-    def test_unknown_field_is_refused(self) -> None:
+    def test_unknown_field_is_rejected(self) -> None:
         document = _make_document()
         document["ledger"]["pinned"] = [{"artifact": "chat@4", "memory_mb": 900}]
         _expect_refusal(orjson.dumps(document))
 
-    def test_unknown_artifact_name_is_refused(self) -> None:
+    def test_malformed_artifact_name_is_rejected(self) -> None:
         document = _make_document()
         document["ledger"]["resident"][0]["artifact"] = "chat"
         _expect_refusal(orjson.dumps(document))
 
     @pytest.mark.parametrize("memory_mb", [901, -1])
-    def test_commitments_that_cannot_be_are_refused(self, memory_mb: int) -> None:
+    def test_impossible_commitments_are_rejected(self, memory_mb: int) -> None:
         document = _make_document()
         document["ledger"]["resident"][0]["memory_mb"] = memory_mb
         _expect_refusal(orjson.dumps(document))
