--- a/tests/daemons/test_placement_driver.py
+++ b/tests/daemons/test_placement_driver.py
@@ -1,4 +1,4 @@
-"""Tests of the controller's placement over fakes, in virtual time."""
+"""Tests of the controller's placement with fake engines and store, in virtual time."""
 
 import asyncio
 
@@ -25,30 +25,30 @@
 
 
 class TestPlacement:
-    """From an offer to loaded models."""
+    """Loading of offered models."""
 
     async def test_offered_models_are_loaded_and_accounted_for(self) -> None:
         cell = Cell()
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat", "draft"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(60)
         assert cell.count_ready("chat") == 1
         assert cell.count_ready("draft") == 1
         assert sum(await _async_read_ledgers(cell)) > 0
-        cell.check_memory()
+        cell.assert_no_overcommit()
         await async_stop(driver)
 
     async def test_moves_are_explained_in_the_journal(self) -> None:
         cell = Cell()
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(60)
         assert driver.journal.find(JournalQuery(model="chat"))
         await async_stop(driver)
 
-    async def test_standby_gives_no_orders(self) -> None:
+    async def test_standby_sends_no_orders(self) -> None:
         cell = Cell()
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat"))
@@ -57,32 +57,32 @@
         assert cell.store.writes == 0
         await async_stop(driver)
 
-    async def test_runner_that_hangs_does_not_hold_up_the_others(self) -> None:
+    async def test_unresponsive_runner_does_not_delay_the_others(self) -> None:
         cell = Cell(runners=3)
-        cell.engines.hanging.add(cell.addresses[0].address)
+        cell.engines.unresponsive.add(cell.addresses[0].address)
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat", "draft"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(60)
         assert cell.count_ready("chat") == 1
         assert cell.count_ready("draft") == 1
         assert driver.poller.is_silent(cell.addresses[0].id)
         await async_stop(driver)
 
-    async def test_demand_reply_says_who_plans(self) -> None:
+    async def test_demand_reply_reports_whether_the_controller_is_active(self) -> None:
         cell = Cell()
         driver = cell.start_controller("a")
         report = encode_demand(HostId("g1"), IncarnationId("g1.1"), 2.0, ())
         assert not driver.async_receive_demand(report).active
-        driver.async_gain_lease()
+        driver.async_start_planning()
         assert driver.async_receive_demand(report).active
         await async_stop(driver)
 
 
 class TestFaults:
-    """Memory is never over its size, whatever is lost."""
+    """Memory is never overcommitted, even if messages are lost."""
 
-    async def test_unreadable_ledger_costs_only_its_runner(self) -> None:
+    async def test_unreadable_ledger_excludes_only_its_runner(self) -> None:
         cell = Cell()
         put = Put(
             key=f"{LEDGER_PREFIX}r0", value=b'{"format": 99}', expected=Revision(0)
@@ -90,31 +90,33 @@
         await cell.store.async_commit((put,), CallRank.SAFETY)
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(60)
         assert {order.upstream for order in cell.engines.orders} == {"r1"}
         assert cell.count_ready("chat") == 1
-        cell.check_memory()
+        cell.assert_no_overcommit()
         await async_stop(driver)
 
-    async def test_lost_answers_of_ledger_writes_are_settled(self) -> None:
+    async def test_placement_recovers_from_lost_answers_of_ledger_writes(self) -> None:
         cell = Cell()
         cell.store.lost_answers = 2
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat", "draft"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(120)
         assert cell.count_ready("chat") >= 1
         assert cell.count_ready("draft") >= 1
-        cell.check_memory()
+        cell.assert_no_overcommit()
         await async_stop(driver)
 
-    async def test_outage_of_the_service_stops_orders_and_ends(self) -> None:
+    async def test_orders_stop_in_an_outage_of_the_store_and_resume_after_it(
+        self,
+    ) -> None:
         cell = Cell()
         cell.store.down = True
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(60)
         assert cell.engines.orders == []
         cell.store.down = False
@@ -127,11 +129,11 @@
         cell.engines.lost_answers = 3
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat", "draft"))
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(200)
         assert cell.count_ready("chat") == 1
         assert cell.count_ready("draft") == 1
-        cell.check_memory()
+        cell.assert_no_overcommit()
         await async_stop(driver)
 
     async def test_two_controllers_that_both_plan_do_not_overcommit(self) -> None:
@@ -139,22 +141,22 @@
         first, second = cell.start_controller("a"), cell.start_controller("b")
         for driver in (first, second):
             driver.async_apply_configuration(make_configuration("chat", "draft"))
-            driver.async_gain_lease()
+            driver.async_start_planning()
         await asyncio.sleep(30)
         names = ("chat", "draft", "audit")
         for driver in (first, second):
             driver.async_apply_configuration(make_configuration(*names, version=2))
         await asyncio.sleep(120)
         assert [cell.count_ready(name) >= 1 for name in names] == [True] * 3
-        cell.check_memory()
+        cell.assert_no_overcommit()
         await async_stop(first)
         await async_stop(second)
 
 
 class TestPoller:
-    """Turns of the engines."""
+    """Polls of the engines."""
 
-    async def test_standby_asks_rarely_and_all_at_once_when_it_takes_over(
+    async def test_standby_polls_rarely_and_all_engines_when_it_takes_over(
         self,
     ) -> None:
         cell = Cell(runners=3)
@@ -163,25 +165,29 @@
         before = cell.engines.reports
         await asyncio.sleep(10)
         assert cell.engines.reports == before
-        driver.async_gain_lease()
+        driver.async_start_planning()
         await asyncio.sleep(0.1)
         assert cell.engines.reports == before + 3
         await asyncio.sleep(10)
         assert cell.engines.reports >= before + 3 * 5
         await async_stop(driver)
 
-    async def test_hurried_engine_has_still_one_turn_at_a_time(self) -> None:
+    async def test_engine_polled_often_has_only_one_scheduled_poll(self) -> None:
         cell = Cell(runners=1)
         driver = cell.start_controller("a")
         await asyncio.sleep(1)
         for _ in range(20):
-            driver.poller.async_hurry(cell.addresses[0].id, 0.1)
+            driver.poller.async_poll_often(cell.addresses[0].id, 0.1)
         await asyncio.sleep(0.5)
-        asked_before = len(_count_reports(driver.poller))
+        scheduled_before = len(_list_scheduled(driver.poller))
         await asyncio.sleep(10)
-        assert len(_count_reports(driver.poller)) == asked_before == 1
+        assert len(_list_scheduled(driver.poller)) == scheduled_before == 1
         await async_stop(driver)
 
 
-def _count_reports(poller: EnginePoller) -> list[float]:
-    return [due for due, _ in poller._turns if due > 0 and poller.engines[0].due == due]
+def _list_scheduled(poller: EnginePoller) -> list[float]:
+    return [
+        due
+        for due, _ in poller._scheduled_polls
+        if due > 0 and poller.engines[0].due == due
+    ]
--- a/tests/daemons/test_report_reader.py
+++ b/tests/daemons/test_report_reader.py
@@ -1,4 +1,4 @@
-"""Tests of how often, and in which order, reports of runners are read."""
+"""Tests of the interval and the order in which reports of runners are read."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,10 +8,10 @@
 
 from mangoway.coordination.view import FleetView
 from mangoway.daemons.report_reader import (
-    QUIET_REPORT_S,
-    REPORT_S,
-    REPORTS_A_LOOK,
-    URGENT_REPORT_S,
+    MAX_CONCURRENT_READS,
+    QUIET_REPORT_PERIOD_S,
+    REPORT_PERIOD_S,
+    URGENT_REPORT_PERIOD_S,
     ReportReader,
     choose_report_period,
 )
@@ -33,44 +33,44 @@
 
 
 class TestPeriod:
-    """How often a runner's report is read."""
+    """Interval between the reports of a runner."""
 
     def test_unknown_state_is_urgent(self) -> None:
-        assert choose_report_period(make_state(), 1, 10.0) == URGENT_REPORT_S
+        assert choose_report_period(make_state(), 1, 10.0) == URGENT_REPORT_PERIOD_S
 
     def test_long_load_is_not_urgent_before_its_end(self) -> None:
         state = make_state(ordered_at=10.0, changing_until=16.0)
-        assert choose_report_period(state, 1, 12.0) == REPORT_S
-        assert choose_report_period(state, 1, 15.5) == URGENT_REPORT_S
+        assert choose_report_period(state, 1, 12.0) == REPORT_PERIOD_S
+        assert choose_report_period(state, 1, 15.5) == URGENT_REPORT_PERIOD_S
 
     def test_runner_without_orders_is_quiet(self) -> None:
         state = make_state(is_state_known=True, ordered_at=10.0)
-        assert choose_report_period(state, 1, 10.5) == REPORT_S
-        assert choose_report_period(state, 1, 12.0) == QUIET_REPORT_S
-        assert choose_report_period(state, 100, 12.0) == QUIET_REPORT_S
+        assert choose_report_period(state, 1, 10.5) == REPORT_PERIOD_S
+        assert choose_report_period(state, 1, 12.0) == QUIET_REPORT_PERIOD_S
+        assert choose_report_period(state, 100, 12.0) == QUIET_REPORT_PERIOD_S
 
     @pytest.mark.parametrize("runners", [300, 3000, 12_000])
-    def test_reports_of_quiet_runners_do_not_grow_with_them(self, runners: int) -> None:
+    def test_report_rate_of_quiet_runners_is_bounded(self, runners: int) -> None:
         state = make_state(is_state_known=True, ordered_at=10.0)
         assert runners / choose_report_period(state, runners, 99.0) <= 100.0
 
 
 class FakeControl(RunnerControl):
-    """Answers reports a moment later, and counts how many are read at once."""
+    """Answers report requests after a delay, and counts the concurrent ones."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[str] = []
-        self.at_once = 0
-        self.most_at_once = 0
+        self.requested: list[str] = []
+        self.concurrent = 0
+        self.max_concurrent = 0
         self.unreachable: set[str] = set()
 
     async def async_read_report(self, address: str, runner_id: str) -> RunnerReport:
-        self.asked.append(runner_id)
-        self.at_once += 1
-        self.most_at_once = max(self.most_at_once, self.at_once)
+        self.requested.append(runner_id)
+        self.concurrent += 1
+        self.max_concurrent = max(self.max_concurrent, self.concurrent)
         await asyncio.sleep(0.005)
-        self.at_once -= 1
+        self.concurrent -= 1
         if runner_id in self.unreachable:
             raise RunnerUnreachableError
         return make_report((), 0)
@@ -78,7 +78,7 @@
 
 @asynccontextmanager
 async def start(runners: int) -> AsyncIterator[tuple[ReportReader, FakeControl]]:
-    """Let a scheduler lead that knows the state of none of its runners."""
+    """Start a reader for a leading scheduler that has no state of its runners."""
     view, control = FleetView(), FakeControl()
     view.take_table(make_table())
     for number in range(runners):
@@ -100,39 +100,42 @@
         assert errors == []
 
 
-class TestLooks:
-    """Which reports are read."""
+class TestDueReads:
+    """Reports that are started to be read when they are due."""
 
-    async def test_few_are_read_at_once(self) -> None:
-        """3,000 runners whose state is unknown were asked ten times a second each."""
+    async def test_concurrent_reads_are_bounded(self) -> None:
+        """Guard against polling 3,000 runners of unknown state ten times a second each.
+
+        Their reports are all due at once when a scheduler starts to lead.
+        """
         async with start(3000) as (reader, control):
             for _ in range(5):
-                reader.look()
-                reader.look()
+                reader.start_due_reads()
+                reader.start_due_reads()
                 await asyncio.sleep(0.02)
-        assert control.most_at_once <= REPORTS_A_LOOK
-        assert len(control.asked) == 5 * REPORTS_A_LOOK
+        assert control.max_concurrent <= MAX_CONCURRENT_READS
+        assert len(control.requested) == 5 * MAX_CONCURRENT_READS
 
-    async def test_all_come_in_turn(self) -> None:
+    async def test_all_runners_are_read_in_turn(self) -> None:
         async with start(100) as (reader, control):
             for _ in range(4):
-                reader.look()
+                reader.start_due_reads()
                 await asyncio.sleep(0.02)
-        assert len(set(control.asked)) == 100
+        assert len(set(control.requested)) == 100
 
-    async def test_runner_that_does_not_answer_keeps_no_turn(self) -> None:
+    async def test_failed_read_of_an_unreachable_runner_is_retried(self) -> None:
         async with start(1) as (reader, control):
             control.unreachable.add("r0000")
             for _ in range(3):
-                reader.look()
-                await asyncio.sleep(REPORT_S + 0.02)
-        assert len(control.asked) == 3
+                reader.start_due_reads()
+                await asyncio.sleep(REPORT_PERIOD_S + 0.02)
+        assert len(control.requested) == 3
 
-    async def test_runner_that_is_gone_is_forgotten(self) -> None:
+    async def test_state_of_a_removed_runner_is_removed(self) -> None:
         async with start(3) as (reader, control):
-            reader.look()
+            reader.start_due_reads()
             await asyncio.sleep(0.02)
             reader.view.withdraw_runner("r0001")
-            reader.look()
+            reader.start_due_reads()
             assert set(reader._read_at) == {"r0000", "r0002"}
-        assert len(control.asked) == 3
+        assert len(control.requested) == 3
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Tests of what a scheduler does by itself."""
+"""Tests of the scheduler process."""
 
 import socket
 
@@ -30,17 +30,20 @@
 
 
 class TestTasks:
-    """What a scheduler does all the time."""
+    """Background tasks of a scheduler."""
 
-    async def test_all_its_tasks_run(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """What is held back stands in the store only if the keeper looks after it."""
+    async def test_all_tasks_are_started(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """Guard against a crash keeper that does not run.
+
+        Blocked requests stay in the store only while it maintains them.
+        """
         scheduler = SchedulerProcess(make_settings())
-        kept: list[object] = []
+        started: list[object] = []
 
-        def keep(_: FleetProcess, task: object) -> None:
-            kept.append(task)
+        def record_task(_: FleetProcess, task: object) -> None:
+            started.append(task)
 
-        monkeypatch.setattr(FleetProcess, "keep_running", keep)
+        monkeypatch.setattr(FleetProcess, "keep_running", record_task)
         await scheduler.async_start()
         scheduler.server.stop()
         for task in (
@@ -51,13 +54,13 @@
             scheduler.keeper.async_run,
             scheduler.reports.async_run,
         ):
-            assert task in kept
+            assert task in started
 
 
 class TestQuotas:
-    """What part of each quota it grants."""
+    """Share of each quota that a scheduler grants."""
 
-    async def test_it_grants_for_the_edges_that_it_hears(self) -> None:
+    async def test_share_is_that_of_the_connected_edges(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         for number in range(8):
             member = make_member(f"h{number}", "")
@@ -70,57 +73,57 @@
         scheduler.server._edges.update(f"e{number}" for number in range(9))
         assert scheduler._measure_share() == 1.0
 
-    async def test_it_begins_as_if_it_heard_all(self) -> None:
-        """They come one after the other, and the first ones must not be refused."""
+    async def test_share_is_whole_during_startup(self) -> None:
+        """Edges connect one after the other, and the first must not be rejected."""
         scheduler = SchedulerProcess(make_settings())
         for number in range(8):
             member = make_member(f"h{number}", "")
             scheduler.process.view.take_member(
                 f"m/{number}", evolve(member, role=Role.EDGE)
             )
-        scheduler._began_at = scheduler.process.clock()
+        scheduler._granting_changed_at = scheduler.process.clock()
         assert scheduler._measure_share() == 1.0
-        scheduler._began_at -= SCHEDULER_STARTUP_S
+        scheduler._granting_changed_at -= SCHEDULER_STARTUP_S
         assert scheduler._measure_share() == 1 / 8
 
-    async def test_it_starts_with_nothing(self) -> None:
+    async def test_quotas_start_empty(self) -> None:
         quotas = SchedulerProcess(make_settings()).server.core.state.quotas
         assert not quotas.starts_full
         assert quotas.slack == 1700.0
 
 
 class TestLeaving:
-    """Runners that say that they leave."""
+    """Runners that report that they are leaving."""
 
-    SAID = LeavingReport(runner_id="r1", started_ms=0)
+    LEAVING = LeavingReport(runner_id="r1", started_ms=0)
 
-    async def test_answer_to_a_report_counts(self) -> None:
+    async def test_leaving_signal_with_a_report_is_applied(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         scheduler.process.view.take_runner(make_runner("r1"))
         scheduler.control.on_signals("r1", RunnerSignals(leaving=True))
         assert scheduler.process.view.find_open_runner("r1") is None
-        assert scheduler.server.list_leaving() == [self.SAID]
+        assert scheduler.server.list_leaving() == [self.LEAVING]
 
-    async def test_standby_takes_what_the_leader_passes_on(self) -> None:
+    async def test_standby_applies_a_leaving_report_of_the_leader(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         scheduler.process.view.take_runner(make_runner("r1"))
-        scheduler.process.leader_link.on_message(self.SAID)
+        scheduler.process.leader_link.on_message(self.LEAVING)
         assert scheduler.process.view.find_open_runner("r1") is None
 
-    async def test_core_grants_and_plans_without_it(self) -> None:
+    async def test_leaving_runner_is_removed_from_the_core(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         scheduler.process.view.take_table(make_table())
         scheduler.process.view.take_runner(make_runner("r1", ("a",)))
         state = scheduler.server.core.state
         assert "r1" in state.runners
-        scheduler.server.handle_leaving(self.SAID)
+        scheduler.server.handle_leaving(self.LEAVING)
         assert "r1" not in state.runners
 
 
 class TestLimits:
-    """Runners that name a limit of their requests."""
+    """Runners that report a limit of their requests."""
 
-    async def test_answer_to_a_report_counts_but_ends_none(self) -> None:
+    async def test_report_can_set_a_limit_but_not_end_it(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         scheduler.process.view.take_runner(make_runner("r1"))
         limits = scheduler.server.core.state.limits
@@ -129,7 +132,7 @@
         scheduler.control.on_signals("r1", RunnerSignals())
         assert limits.get_limit("r1") == 1.5
 
-    async def test_it_uses_the_part_of_the_edges_that_it_hears(self) -> None:
+    async def test_limits_use_the_share_of_the_connected_edges(self) -> None:
         scheduler = SchedulerProcess(make_settings())
         scheduler.server.core.state.quotas.share = 0.25
         assert scheduler.server.core.state.limits.get_share("r1") == 0.25
--- a/tests/daemons/test_upstream_log.py
+++ b/tests/daemons/test_upstream_log.py
@@ -1,4 +1,4 @@
-"""Tests of what is logged of upstreams."""
+"""Tests of the log of upstreams."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -20,26 +20,26 @@
 )
 
 ENGINE = UpstreamId("e1")
-LIFE = IncarnationId("e1.1")
-MET = EngineDescription(
+INCARNATION = IncarnationId("e1.1")
+DESCRIPTION = EngineDescription(
     upstream=ENGINE,
-    incarnation=LIFE,
+    incarnation=INCARNATION,
     memory_mb=100,
     accelerators=1,
     checks_fences=True,
     max_running=1,
     tokens_per_second=1.0,
 )
-HELD = ResidentArtifact(
+RESIDENT = ResidentArtifact(
     artifact=Artifact.parse("chat@1"), memory_mb=90, state=Residency.READY
 )
 REPORT = EngineReport(
     upstream=ENGINE,
-    incarnation=LIFE,
+    incarnation=INCARNATION,
     reported_at=0.0,
     running=0,
     waiting=0,
-    residents=(HELD,),
+    residents=(RESIDENT,),
 )
 ADDRESS = UpstreamAddress(
     id=ENGINE,
@@ -56,43 +56,43 @@
     yield events
 
 
-def list_names(events: list[Any]) -> list[str]:
+def list_event_names(events: list[Any]) -> list[str]:
     return [type(event).__name__ for event in events]
 
 
 class TestUpstreamLog:
     """Each change is logged once."""
 
-    def test_leaving_is_logged_once_whoever_says_so(self, logged: list[Any]) -> None:
+    def test_leaving_is_logged_once_for_all_sources(self, logged: list[Any]) -> None:
         log = UpstreamLog()
-        log.note_report(evolve(REPORT, leaving=True))
-        log.note_listed([evolve(ADDRESS, leaving=True)])
-        assert list_names(logged) == ["UpstreamLeaving"]
+        log.record_report(evolve(REPORT, leaving=True))
+        log.record_listed([evolve(ADDRESS, leaving=True)])
+        assert list_event_names(logged) == ["UpstreamLeaving"]
         assert logged[0].source == "upstream"
 
-    def test_upstream_that_was_unlisted_is_new(self, logged: list[Any]) -> None:
+    def test_upstream_that_is_listed_again_is_new(self, logged: list[Any]) -> None:
         log = UpstreamLog()
-        log.note_listed([evolve(ADDRESS, leaving=True)])
-        log.note_listed([])
-        log.note_listed([evolve(ADDRESS, leaving=True)])
-        assert list_names(logged) == ["UpstreamLeaving"] * 2
+        log.record_listed([evolve(ADDRESS, leaving=True)])
+        log.record_listed([])
+        log.record_listed([evolve(ADDRESS, leaving=True)])
+        assert list_event_names(logged) == ["UpstreamLeaving"] * 2
 
-    def test_restart_is_told_from_the_first_meeting(self, logged: list[Any]) -> None:
+    def test_restart_is_logged_with_a_new_description(self, logged: list[Any]) -> None:
         log = UpstreamLog()
-        log.note_met(MET)
-        log.note_met(evolve(MET, incarnation=IncarnationId("e1.2")))
-        assert list_names(logged) == [
+        log.record_description(DESCRIPTION)
+        log.record_description(evolve(DESCRIPTION, incarnation=IncarnationId("e1.2")))
+        assert list_event_names(logged) == [
             "UpstreamMet",
             "UpstreamRestarted",
             "UpstreamMet",
         ]
 
-    def test_memory_over_the_size_is_an_alarm(self, logged: list[Any]) -> None:
+    def test_memory_over_the_size_is_logged_once(self, logged: list[Any]) -> None:
         log = UpstreamLog()
-        log.note_met(MET)
-        log.note_report(evolve(REPORT, kv_cache_used_mb=10))
+        log.record_description(DESCRIPTION)
+        log.record_report(evolve(REPORT, kv_cache_used_mb=10))
         over = evolve(REPORT, kv_cache_used_mb=11)
-        log.note_report(over)
-        log.note_report(over)
-        assert list_names(logged) == ["UpstreamMet", "MemoryExceeded"]
+        log.record_report(over)
+        log.record_report(over)
+        assert list_event_names(logged) == ["UpstreamMet", "MemoryExceeded"]
         assert (logged[1].used_mb, logged[1].size_mb) == (101, 100)
--- a/tests/daemons/world.py
+++ b/tests/daemons/world.py
@@ -41,23 +41,23 @@
 
 @define
 class FakeEngines:
-    """Implements `EngineOrders` over models of engines, by address."""
+    """Implements `EngineOrders` on simulated engines, by address."""
 
     models: dict[str, EngineModel]
     orders: list[Order] = field(factory=list)
-    hanging: set[str] = field(factory=set)
+    unresponsive: set[str] = field(factory=set)
     """Addresses that never answer."""
 
     reports: int = 0
     delay_s: float = 0.01
     lost_answers: int = 0
-    """Orders to come that take effect but whose answers are lost."""
+    """Number of following orders that take effect but whose answers are lost."""
 
     async def async_describe(self, address: str) -> EngineDescription:
-        return (await self._async_reach(address)).describe()
+        return (await self._async_connect(address)).describe()
 
     async def async_read_report(self, address: str) -> EngineReport:
-        model = await self._async_reach(address)
+        model = await self._async_connect(address)
         self.reports += 1
         now = asyncio.get_running_loop().time()
         model.advance(now)
@@ -69,7 +69,7 @@
         now = asyncio.get_running_loop().time()
         if now > send_before:
             raise MangowayError(ErrorCode.DEADLINE_EXCEEDED, "late")
-        model = await self._async_reach(address)
+        model = await self._async_connect(address)
         self.orders.append(order)
         now = asyncio.get_running_loop().time()
         model.advance(now)
@@ -81,9 +81,9 @@
             )
         return OrderAnswer(order_id=order.id, outcome=outcome, fence=model.fence)
 
-    async def _async_reach(self, address: str) -> EngineModel:
+    async def _async_connect(self, address: str) -> EngineModel:
         await asyncio.sleep(self.delay_s)
-        if address in self.hanging:
+        if address in self.unresponsive:
             await asyncio.sleep(2.0)
             raise MangowayError(ErrorCode.UPSTREAM_SILENT, "no answer")
         return self.models[address]
@@ -138,7 +138,7 @@
             tasks=tasks,
         )
         driver.async_start()
-        driver.async_list_runners(self.addresses)
+        driver.async_set_runners(self.addresses)
         return driver
 
     def count_ready(self, name: str) -> int:
@@ -151,13 +151,13 @@
             )
         return ready
 
-    def check_memory(self) -> None:
+    def assert_no_overcommit(self) -> None:
         assert not any(model.over_size for model in self.models)
         assert self.errors == []
 
 
 def make_configuration(*names: str, version: int = 1) -> Configuration:
-    """Return an offer of models of `MODEL_MB` each."""
+    """Return a configuration that offers models of `MODEL_MB` each."""
     offer = ModelOffer(
         default_version=VERSION, versions={VERSION: VersionOffer(memory_mb=MODEL_MB)}
     )
