--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -183,7 +183,7 @@
         return self.admission.is_current()
 
     def force(self) -> None:
-        """Cut a stop in progress short."""
+        """End a stop without waiting for open requests."""
         self._forced = True
 
     async def async_leave(self, signal: str) -> None:
@@ -289,7 +289,10 @@
         )
 
     def _handle_view_change(self) -> None:
-        """Handle a change of the fleet; announce the edge at the first one."""
+        """Handle a change of the fleet.
+
+        The first configuration makes the edge ready.
+        """
         table = self.process.view.table
         if table is None:
             return
--- a/mangoway/daemons/gateway.py
+++ b/mangoway/daemons/gateway.py
@@ -134,7 +134,7 @@
         )
 
     def force(self) -> None:
-        """Cut a stop in progress short."""
+        """End a stop without waiting for open requests."""
         self.stop.force()
 
     async def async_leave(self, signal_name: str) -> StopOutcome:
