--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -110,7 +110,7 @@
 class Follower(Protocol):
     """Is told what a mirror reads."""
 
-    def forward_snapshot(self, snapshot: Snapshot) -> None:
+    def relay_snapshot(self, snapshot: Snapshot) -> None:
         """Pass a full reading on."""
         ...
 
@@ -205,7 +205,7 @@
         self.revision = snapshot.revision
         self.receiver.apply_snapshot(snapshot)
         if self.follower is not None:
-            self.follower.forward_snapshot(snapshot)
+            self.follower.relay_snapshot(snapshot)
         self.on_synced()
 
     def apply_partial_snapshot(
--- a/mangoway/scheduling/store_feed.py
+++ b/mangoway/scheduling/store_feed.py
@@ -102,7 +102,7 @@
             self._relayed_at = self.mirror.known_at
         return self._relayed_at
 
-    def forward_snapshot(self, snapshot: Snapshot) -> None:
+    def relay_snapshot(self, snapshot: Snapshot) -> None:
         """Relay a snapshot of the store."""
         self._recent_changes.clear()
         self._recent_after_revision = snapshot.revision
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -60,7 +60,7 @@
         self.mirror = mirror
         self.passed = 0
 
-    def forward_snapshot(self, snapshot: Snapshot) -> None:
+    def relay_snapshot(self, snapshot: Snapshot) -> None:
         self.passed += 1
         if self.passed < 100:
             self.mirror.apply_snapshot(snapshot)
@@ -199,7 +199,7 @@
         store, passed = FakeCoordinationStore(), list[Changes]()
 
         class Follower:
-            def forward_snapshot(self, snapshot: Snapshot) -> None:
+            def relay_snapshot(self, snapshot: Snapshot) -> None:
                 pass
 
             def forward_changes(self, changes: Changes) -> None:
