--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -114,7 +114,7 @@
         """Pass a full reading on."""
         ...
 
-    def forward_changes(self, changes: Changes) -> None:
+    def relay_changes(self, changes: Changes) -> None:
         """Pass changes on; without any, that the store has reached a revision."""
         ...
 
@@ -234,7 +234,7 @@
         if self.follower is not None and new:
             # Runners write their entries each second, mostly as they were.
             passed = Changes(changes=news, revision=changes.revision)
-            self.follower.forward_changes(passed)
+            self.follower.relay_changes(passed)
         self.on_synced()
 
     def _store_change(self, change: Change) -> None:
--- a/mangoway/scheduling/store_feed.py
+++ b/mangoway/scheduling/store_feed.py
@@ -108,7 +108,7 @@
         self._recent_after_revision = snapshot.revision
         self._send_to_all(self._make_snapshot(snapshot, 0))
 
-    def forward_changes(self, changes: Changes) -> None:
+    def relay_changes(self, changes: Changes) -> None:
         """Relay changes of the store soon, together with those of the meantime."""
         self._record_recent(changes)
         first = not self._pending_changes
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -65,7 +65,7 @@
         if self.passed < 100:
             self.mirror.apply_snapshot(snapshot)
 
-    def forward_changes(self, changes: Changes) -> None:
+    def relay_changes(self, changes: Changes) -> None:
         self.mirror.apply_changes(changes)
 
 
@@ -202,7 +202,7 @@
             def relay_snapshot(self, snapshot: Snapshot) -> None:
                 pass
 
-            def forward_changes(self, changes: Changes) -> None:
+            def relay_changes(self, changes: Changes) -> None:
                 passed.append(changes)
 
         store.put("a", b"1")
--- a/tests/scheduling/test_server.py
+++ b/tests/scheduling/test_server.py
@@ -59,7 +59,7 @@
         monkeypatch.setattr(server_module, "encode_frame", count)
         monkeypatch.setattr(feed_module, "encode_frame", count)
         change = Change(key="k", revision=7, item=None)
-        scheduler.server.feed.forward_changes(Changes(changes=(change,), revision=7))
+        scheduler.server.feed.relay_changes(Changes(changes=(change,), revision=7))
         scheduler.server.feed._relay_changes()
         scheduler.server.send_heartbeats()
         assert encoded == [1, 1]
