--- a/mangoway/coordination/absence.py
+++ b/mangoway/coordination/absence.py
@@ -45,7 +45,7 @@
     _lost_at: dict[str, float] = field(factory=dict, init=False)
     """When the connection to each lost edge broke, by its incarnation."""
 
-    def record_lost(self, incarnation: str) -> None:
+    def record_disconnected(self, incarnation: str) -> None:
         """Note that the connection to an edge broke."""
         self._lost_at[incarnation] = self.clock()
 
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -265,7 +265,7 @@
         if connected:
             self.absent.record_reconnected(incarnation)
         else:
-            self.absent.record_lost(incarnation)
+            self.absent.record_disconnected(incarnation)
 
     async def _async_follow_lead(self) -> None:
         """Tell the core and the edges when this process begins or ceases to lead."""
--- a/tests/coordination/test_absence.py
+++ b/tests/coordination/test_absence.py
@@ -65,7 +65,7 @@
     async def test_lost_edge_is_removed_long_before_its_lease_ends(self) -> None:
         fleet = Fleet()
         await asyncio.sleep(0.1)
-        fleet.absent.record_lost("inc1")
+        fleet.absent.record_disconnected("inc1")
         await asyncio.sleep(WAIT_S)
         assert fleet.list_hosts() == ["h0", "h2", "h3"]
         fleet.stop()
@@ -73,7 +73,7 @@
     async def test_edge_that_connects_again_stays(self) -> None:
         fleet = Fleet()
         await asyncio.sleep(0.1)
-        fleet.absent.record_lost("inc1")
+        fleet.absent.record_disconnected("inc1")
         await asyncio.sleep(0.5)
         fleet.absent.record_reconnected("inc1")
         await asyncio.sleep(WAIT_S)
@@ -83,7 +83,7 @@
     async def test_new_life_of_a_lost_edge_stays(self) -> None:
         fleet = Fleet()
         await asyncio.sleep(0.1)
-        fleet.absent.record_lost("inc1")
+        fleet.absent.record_disconnected("inc1")
         fleet.announce(1, "inc9")
         await asyncio.sleep(WAIT_S)
         assert len(fleet.list_hosts()) == 4
@@ -93,7 +93,7 @@
         """It lives, though it doesn't reach the leader."""
         fleet = Fleet()
         await asyncio.sleep(0.1)
-        fleet.absent.record_lost("inc1")
+        fleet.absent.record_disconnected("inc1")
         await asyncio.sleep(WAIT_S)
         fleet.announce(1, "inc1")
         await asyncio.sleep(3 * WAIT_S)
@@ -105,7 +105,7 @@
         fleet = Fleet()
         await asyncio.sleep(0.1)
         for number in range(3):
-            fleet.absent.record_lost(f"inc{number}")
+            fleet.absent.record_disconnected(f"inc{number}")
         await asyncio.sleep(2 * WAIT_S)
         assert len(fleet.list_hosts()) == 4
         fleet.stop()
@@ -114,7 +114,7 @@
         fleet = Fleet()
         fleet.leads = False
         await asyncio.sleep(0.1)
-        fleet.absent.record_lost("inc1")
+        fleet.absent.record_disconnected("inc1")
         await asyncio.sleep(2 * WAIT_S)
         assert len(fleet.list_hosts()) == 4
         fleet.stop()
