--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -134,7 +134,7 @@
     boot_clock: Callable[[], float] = read_boot_clock
     """Time in seconds that also passes while the host is suspended."""
 
-    answered_at: float = field(default=-1e9, init=False)
+    responded_at: float = field(default=-1e9, init=False)
     """When the store last answered this process."""
 
     known_at: float = field(default=-1e9, init=False)
@@ -288,8 +288,8 @@
         since, self._failing_since = self._failing_since, None
         if since is not None:
             log_event(log.StoreRegained(revision=self.revision or 0))
-        last = max(self.answered_at, self._fed_at)
+        last = max(self.responded_at, self._fed_at)
         if since is not None and now - min(since, last) > OUTAGE_S:
             self.receiver.record_outage_end()
-        self.answered_at = now
+        self.responded_at = now
         self._backoff.reset()
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -278,7 +278,7 @@
         log_event(log.LinkOpened(peer=hello.host))
 
     def _make_heartbeat(self) -> Heartbeat:
-        age_s = self.clock() - self.mirror.answered_at
+        age_s = self.clock() - self.mirror.responded_at
         return Heartbeat(
             leading=self.is_leading(),
             store_age_s=age_s,
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -81,7 +81,7 @@
         self.mirror.apply_snapshot(
             Snapshot(items=(Item(key="k", value=b"1", revision=5),), revision=5)
         )
-        self.mirror.answered_at = clock()
+        self.mirror.responded_at = clock()
         self.server = SchedulerServer(
             core=make_core(),
             clock=clock,
@@ -413,7 +413,7 @@
     async def test_scheduler_without_the_store_is_not_fresh(self) -> None:
         async with connect() as (scheduler, edge):
             assert edge.link.is_fresh()
-            scheduler.mirror.answered_at -= 5.0
+            scheduler.mirror.responded_at -= 5.0
             await async_wait_until(lambda: not edge.link.is_fresh())
 
     async def test_scheduler_that_does_not_lead_is_not_fresh(self) -> None:
