--- a/mangoway/coordination/crash_keeper.py
+++ b/mangoway/coordination/crash_keeper.py
@@ -59,7 +59,7 @@
 
 
 @define(eq=False)
-class CrashKeeper:
+class StatementMaintainer:
     """Looks after the statements while this process leads."""
 
     store: CoordinationStore
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -7,7 +7,7 @@
 from attrs import define, field
 
 from ..coordination.absence import AbsentEdges
-from ..coordination.crash_keeper import CrashKeeper
+from ..coordination.crash_keeper import StatementMaintainer
 from ..coordination.leadership import Leadership
 from ..models.fleet import Role
 from ..models.signals import LeavingReport, RunnerSignals
@@ -80,7 +80,7 @@
     leadership: Leadership = field(init=False)
     server: SchedulerServer = field(init=False)
     absent: AbsentEdges = field(init=False)
-    keeper: CrashKeeper = field(init=False)
+    keeper: StatementMaintainer = field(init=False)
     orders: OrderSender = field(init=False)
     reports: ReportReader = field(init=False)
     control: RunnerControl = field(factory=RunnerControl, init=False)
@@ -135,7 +135,7 @@
             clock=process.clock,
             may_remove=lambda: self.leadership.fence is not None,
         )
-        self.keeper = CrashKeeper(
+        self.keeper = StatementMaintainer(
             store=process.store,
             mirror=process.mirror,
             tracker=process.crashes,
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mangoway.coordination.crash_keeper import CrashKeeper
+from mangoway.coordination.crash_keeper import StatementMaintainer
 from mangoway.coordination.crash_reporter import (
     MAX_PENDING,
     WRITES_A_CALL,
@@ -92,7 +92,7 @@
         self.reporter = CrashReporter(store, PREFIX)
         self.shift_s = 0.0
         self.leads = True
-        self.keeper = CrashKeeper(
+        self.keeper = StatementMaintainer(
             store=store,
             mirror=self.mirror,
             tracker=self.tracker,
