--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -80,7 +80,7 @@
     leadership: Leadership = field(init=False)
     server: SchedulerServer = field(init=False)
     absent: AbsentEdges = field(init=False)
-    keeper: StatementMaintainer = field(init=False)
+    statement_maintainer: StatementMaintainer = field(init=False)
     orders: OrderSender = field(init=False)
     reports: ReportReader = field(init=False)
     control: RunnerControl = field(factory=RunnerControl, init=False)
@@ -135,7 +135,7 @@
             clock=process.clock,
             may_remove=lambda: self.leadership.fence is not None,
         )
-        self.keeper = StatementMaintainer(
+        self.statement_maintainer = StatementMaintainer(
             store=process.store,
             mirror=process.mirror,
             tracker=process.crashes,
@@ -166,7 +166,7 @@
             self.leadership.async_run,
             self.server.async_run,
             self.absent.async_run,
-            self.keeper.async_run,
+            self.statement_maintainer.async_run,
             self._async_follow_lead,
             self.reports.async_run,
             self._async_sum_up,
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -48,7 +48,7 @@
             scheduler.leadership.async_run,
             scheduler.server.async_run,
             scheduler.absent.async_run,
-            scheduler.keeper.async_run,
+            scheduler.statement_maintainer.async_run,
             scheduler.reports.async_run,
         ):
             assert task in kept
