--- a/mangoway/coordination/leadership.py
+++ b/mangoway/coordination/leadership.py
@@ -107,7 +107,7 @@
         """Note that a runner has seen a higher fence number; this one is over."""
         self._refused_fence = max(self._refused_fence, fence)
         log_event(log.FenceRefused(fence=fence))
-        self.presence.forget_lease("a higher fence number is in use")
+        self.presence.discard_lease("a higher fence number is in use")
 
     def stop(self) -> None:
         """Take the key no more."""
@@ -186,7 +186,7 @@
             if not result.committed:
                 log_event(log.LeadershipMissed(reason="another one has taken the key"))
         except LeaseEndedError:
-            self.presence.forget_lease("it has ended")
+            self.presence.discard_lease("it has ended")
         except StoreUnavailableError as error:
             # The write may have taken effect: the view shows it.
             log_event(log.LeadershipMissed(reason=str(error)))
--- a/mangoway/coordination/presence.py
+++ b/mangoway/coordination/presence.py
@@ -81,7 +81,7 @@
                 await self._async_step()
             except LeaseEndedError:
                 self.failing = False
-                self.forget_lease("it has ended")
+                self.discard_lease("it has ended")
             except StoreUnavailableError:
                 # The mirror logs that the store is lost.
                 self.failing = True
@@ -119,7 +119,7 @@
             self.announced = False
             self._key_lost.set()
 
-    def forget_lease(self, reason: str) -> None:
+    def discard_lease(self, reason: str) -> None:
         """Take the lease as ended; another one is made."""
         if self.lease_id:
             log_event(log.LeaseEnded(lease_id=self.lease_id, reason=reason))
