--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -7,8 +7,8 @@
 from attrs import define, field
 
 from ..coordination.absence import AbsentEdges
-from ..coordination.crash_keeper import StatementMaintainer
 from ..coordination.leadership import Leadership
+from ..coordination.statement_maintainer import StatementMaintainer
 from ..models.fleet import Role
 from ..models.signals import LeavingReport, RunnerSignals
 from ..observability import fleet_events as log
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from mangoway.coordination.crash_keeper import StatementMaintainer
 from mangoway.coordination.crash_reporter import (
     MAX_PENDING,
     WRITES_A_CALL,
@@ -22,6 +21,7 @@
     encode_statement,
 )
 from mangoway.coordination.mirror import Mirror
+from mangoway.coordination.statement_maintainer import StatementMaintainer
 from mangoway.coordination.view import FleetView
 from mangoway.models.crash import Charge, Clearance, RequestIdentity, RunStage
 from mangoway.platform.receiver import StoreReceiver
