--- a/mangoway/coordination/__init__.py
+++ b/mangoway/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""What processes agree on through the key-value service: members, leader, view."""
+"""Coordination of processes through the store: membership, leadership, fleet view."""
--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -1,9 +1,10 @@
-"""What processes tell each other, through the store, of crashes and requests.
+"""Crash statements that processes exchange through the store.
 
-An edge writes what it had at a runner that crashed, and which requests have ended well
-in spite of such charges. Each process reads all of it with the other keys of the store,
-so that it holds with a leader, with a standby and without any scheduler. These keys
-have no lease: what a request did outlives the edge that saw it.
+An edge writes which requests it had in progress at a runner that crashed, and which
+requests with such charges have succeeded. Each process reads all statements along with
+the other keys of the store, so that they apply with a leader, with a standby and
+without any scheduler. The keys have no lease: a statement stays valid after the edge
+that wrote it has stopped.
 """
 
 from collections.abc import Iterable
@@ -22,57 +23,61 @@
 
 
 class StatementError(Exception):
-    """A statement can't be read."""
+    """A crash statement can't be decoded."""
 
 
 @frozen(kw_only=True)
 class CrashStatement:
-    """What one edge had at a runner that crashed."""
+    """Requests that one edge had in progress at a runner that crashed."""
 
     life: str
+    """The incarnation of the runner, as text."""
+
     edge: str
     charges: tuple[Charge, ...]
 
     @property
     def key(self) -> str:
-        """Return its key, without the prefix of the system's keys."""
+        """Return the key, without the prefix of the system's own keys."""
         return f"{CRASH_KEYS}{self.life}/{self.edge}"
 
     def apply_to(self, tracker: CrashTracker) -> None:
-        """Enter it in a book."""
+        """Add the statement to a tracker."""
         tracker.add_crash(self.key, self.charges)
 
 
 @frozen(kw_only=True)
 class ClearanceStatement:
-    """A request has ended well, so it has not caused some crashes."""
+    """A request has succeeded, so it did not cause some crashes."""
 
     clearance: Clearance
 
     @property
     def key(self) -> str:
-        """Return its key, without the prefix of the system's keys."""
+        """Return the key, without the prefix of the system's own keys."""
         return CLEARANCE_KEYS + self.clearance.identity.text
 
     def apply_to(self, tracker: CrashTracker) -> None:
-        """Enter it in a book."""
+        """Add the statement to a tracker."""
         tracker.add_clearance(self.key, self.clearance)
 
 
 @frozen(kw_only=True)
 class BlockStatement:
-    """A request is held back, and for which crashes."""
+    """A request is blocked, with the charges that led to it."""
 
     content: str
+    """Digest of the request's content."""
+
     charges: tuple[Charge, ...]
 
     @property
     def key(self) -> str:
-        """Return its key, without the prefix of the system's keys."""
+        """Return the key, without the prefix of the system's own keys."""
         return BLOCK_KEYS + self.content
 
     def apply_to(self, tracker: CrashTracker) -> None:
-        """Enter it in a book."""
+        """Add the statement to a tracker."""
         tracker.add_block(self.key, self.charges)
 
 
@@ -84,11 +89,13 @@
     if isinstance(statement, ClearanceStatement):
         return orjson.dumps(sorted(statement.clearance.lives))
     if isinstance(statement, CrashStatement):
-        return orjson.dumps(_list_rows(statement.charges))
+        return orjson.dumps(_encode_charges(statement.charges))
     lives = sorted({each.life for each in statement.charges})
     return orjson.dumps(
         {
-            life: _list_rows(each for each in statement.charges if each.life == life)
+            life: _encode_charges(
+                each for each in statement.charges if each.life == life
+            )
             for life in lives
         }
     )
@@ -98,45 +105,48 @@
     """Decode a statement.
 
     Args:
-        key: Its key, without the prefix of the system's keys.
-        value: Its value.
+        key: Key of the statement, without the prefix of the system's own keys.
+        value: Encoded statement.
 
     Raises:
-        StatementError: If it can't be read.
+        StatementError: If it can't be decoded.
     """
     try:
         document = orjson.loads(value)
         if key.startswith(CLEARANCE_KEYS):
-            identity = _read_identity(key.removeprefix(CLEARANCE_KEYS))
+            identity = _decode_identity(key.removeprefix(CLEARANCE_KEYS))
             lives = frozenset(str(each) for each in document)
             return ClearanceStatement(
                 clearance=Clearance(identity=identity, lives=lives)
             )
         if key.startswith(BLOCK_KEYS):
             charges = tuple(
-                _read_charge(row, life)
+                _decode_charge(row, life)
                 for life, rows in document.items()
                 for row in rows
             )
             content = key.removeprefix(BLOCK_KEYS)
             return BlockStatement(content=content, charges=charges)
         life, edge = key.removeprefix(CRASH_KEYS).split("/")
-        charges = tuple(_read_charge(row, life) for row in document)
+        charges = tuple(_decode_charge(row, life) for row in document)
         return CrashStatement(life=life, edge=edge, charges=charges)
     except (AttributeError, LookupError, TypeError, ValueError) as error:
-        raise StatementError(f"{key} can't be read: {error!r}") from error
+        raise StatementError(f"cannot decode statement {key}: {error!r}") from error
 
 
-def _list_rows(charges: Iterable[Charge]) -> list[list[Any]]:
-    """Return charges of one life; all hosts read them, so that they are short."""
+def _encode_charges(charges: Iterable[Charge]) -> list[list[Any]]:
+    """Return the rows of charges with the same runner incarnation.
+
+    Rows are compact, because all hosts read them.
+    """
     rows = [[each.identity.text, each.stage.value, int(each.alone)] for each in charges]
     return sorted(rows)
 
 
-def _read_charge(row: Any, life: str) -> Charge:
-    return Charge(_read_identity(row[0]), life, RunStage(row[1]), alone=bool(row[2]))
+def _decode_charge(row: Any, life: str) -> Charge:
+    return Charge(_decode_identity(row[0]), life, RunStage(row[1]), alone=bool(row[2]))
 
 
-def _read_identity(text: str) -> RequestIdentity:
+def _decode_identity(text: str) -> RequestIdentity:
     content, variant = text.split(".")
     return RequestIdentity(content, variant)
--- a/mangoway/coordination/leadership.py
+++ b/mangoway/coordination/leadership.py
@@ -1,4 +1,4 @@
-"""Takes and keeps the scheduler's key, of which there is one holder at a time."""
+"""Leader election: acquires and holds the scheduler's key in the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,24 +21,25 @@
 from .view import FleetView, Leader
 
 YIELD_S: Final = 0.4
-"""Time for which a scheduler without edges leaves a free key to one that has some and
-knows what they run and ask for: a little longer than between two looks."""
+"""Time for which a scheduler without edges leaves a free key to one that has edges, and
+so has the state of their requests. A little longer than the time between two checks."""
 
-RETRY_S: Final = 0.25
-"""Pause between two looks at whether the key is free; a look costs no call."""
+CHECK_S: Final = 0.25
+"""Time between two checks of whether the key is free; a check needs no store call."""
 
 
 @define(eq=False)
 class Leadership:
-    """Holds the scheduler's key with the lease of the process's presence.
+    """Holder of the scheduler's key, bound to the lease of the process's presence.
 
-    The key's revision is the fence number, which grows with each holder. Whether the
-    key is held is read from the view and the lease's own clock, so that a lost answer
-    to the write needs no further call.
+    The key's revision is the fence number, which increases with each holder. Whether
+    this process holds the key is derived from the view and the expiry of the lease, so
+    that a lost response to the write needs no further call.
 
-    Where runners check fence numbers, the holder also goes on while the store answers
-    nobody's renewals: if another has taken the key meanwhile, runners that it ordered
-    refuse the lower number, and all others are still this holder's.
+    If runners check fence numbers, the holder continues while the store does not
+    respond to renewals. If another process has acquired the key since, the runners that
+    received its orders reject the lower fence number, and all other runners still
+    belong to this holder.
     """
 
     store: CoordinationStore
@@ -46,35 +47,35 @@
     presence: Presence
     prefix: str
     order_delay_s: float
-    """Time after a change of holder in which no orders are given: two holders must
-    not take turns within it."""
+    """Time after a change of holder in which no orders are sent, so that the orders of
+    two holders never interleave."""
 
     runners_check_fences: bool = False
     has_edges: Callable[[], bool] = lambda: True
-    """Whether edges ask this process for places already."""
+    """Whether edges already request grants from this process."""
 
     clock: Callable[[], float] = read_boot_clock
     _free_since: float | None = field(default=None, init=False)
-    """When the key was first seen free, after somebody else had held it."""
+    """When the key was first seen free after another process had held it."""
 
     _held_fence: int | None = field(default=None, init=False)
     _last_fence: int = field(default=0, init=False)
-    """The fence number under which the key was last held with a valid lease."""
+    """Fence number with which the key was last held under a valid lease."""
 
-    _orders_from: float = field(default=0.0, init=False)
+    _orders_allowed_from: float = field(default=0.0, init=False)
     _refused_fence: int = field(default=0, init=False)
     _stopped: bool = field(default=False, init=False)
-    _seen_held: bool = field(default=False, init=False)
-    """Whether the key was held by anybody in this process's life."""
+    _was_held: bool = field(default=False, init=False)
+    """Whether any process has held the key since this process started."""
 
     async def async_run(self) -> None:
-        """Take the key whenever it is free, until cancelled."""
+        """Acquire the key whenever it is free, until stopped or cancelled."""
         while not self._stopped:
             self.update()
-            self._note_free()
-            if self._may_take() and not self._yields():
-                await self._async_take()
-            await asyncio.sleep(RETRY_S)
+            self._update_free_since()
+            if self._can_acquire() and not self._should_yield():
+                await self._async_acquire()
+            await asyncio.sleep(CHECK_S)
 
     @property
     def fence(self) -> int | None:
@@ -84,10 +85,10 @@
 
     @property
     def is_granting(self) -> bool:
-        """Return whether edges are to ask this process for places.
+        """Return whether edges should request grants from this process.
 
-        Grants need no lease: two processes that grant overfill runners a little, and
-        the runners refuse what they have no room for.
+        Grants need no lease. Two processes that grant at the same time overload runners
+        slightly, and the runners reject the requests for which they have no slot.
         """
         if self._stopped:
             return False
@@ -98,81 +99,85 @@
 
     @property
     def may_order(self) -> bool:
-        """Return whether orders may be given now."""
+        """Return whether orders may be sent now."""
         fence = self.fence
-        waited = self.clock() >= self._orders_from
-        return fence is not None and waited and fence > self._refused_fence
+        is_delay_over = self.clock() >= self._orders_allowed_from
+        return fence is not None and is_delay_over and fence > self._refused_fence
 
     def handle_fence_refused(self, fence: int) -> None:
-        """Note that a runner has seen a higher fence number; this one is over."""
+        """Stop using a fence number after a runner has seen a higher one."""
         self._refused_fence = max(self._refused_fence, fence)
         log_event(log.FenceRefused(fence=fence))
         self.presence.discard_lease("a higher fence number is in use")
 
     def stop(self) -> None:
-        """Take the key no more."""
+        """Stop acquiring the key."""
         self._stopped = True
         self._held_fence = None
 
     def update(self) -> None:
-        """Take over what the view and the lease say about the key."""
+        """Update the fence number from the view and the lease."""
         fence = self._find_fence()
         if fence == self._held_fence:
             return
         if fence is not None and fence != self._last_fence:
-            self._begin(fence)
+            self._start_term(fence)
         elif fence is None and self._held_fence is not None:
             log_event(log.LeadershipLost(fence=self._held_fence))
         self._held_fence = fence
 
     def _find_fence(self) -> int | None:
         leader = self.view.leader
-        own = self.presence.member.incarnation
-        if self._stopped or leader is None or leader.member.incarnation != own:
+        own_incarnation = self.presence.member.incarnation
+        if (
+            self._stopped
+            or leader is None
+            or leader.member.incarnation != own_incarnation
+        ):
             return None
         if leader.lease_id == self.presence.lease_id and self.presence.is_valid():
             return leader.fence
-        unanswered = self.presence.failing and leader.fence == self._last_fence
-        return leader.fence if unanswered and self.runners_check_fences else None
+        is_unrenewed = self.presence.failing and leader.fence == self._last_fence
+        return leader.fence if is_unrenewed and self.runners_check_fences else None
 
-    def _begin(self, fence: int) -> None:
-        """Wait out the holder before, who may still order in good faith."""
+    def _start_term(self, fence: int) -> None:
+        """Start a term; the previous holder may send orders until the delay is over."""
         self._last_fence = fence
-        self._orders_from = self.clock() + self.order_delay_s
+        self._orders_allowed_from = self.clock() + self.order_delay_s
         log_event(log.LeadershipTaken(fence=fence, orders_after_s=self.order_delay_s))
 
-    def _may_take(self) -> bool:
+    def _can_acquire(self) -> bool:
         return (
-            (self.view.leader is None or self._is_own_past(self.view.leader))
+            (self.view.leader is None or self._is_earlier_incarnation(self.view.leader))
             and self.view.table is not None
             and self.presence.is_valid()
         )
 
-    def _note_free(self) -> None:
+    def _update_free_since(self) -> None:
         if self.view.leader is not None:
             self._free_since = None
-            self._seen_held = True
-        elif self._free_since is None and self._seen_held:
+            self._was_held = True
+        elif self._free_since is None and self._was_held:
             self._free_since = self.clock()
 
-    def _yields(self) -> bool:
-        """Return whether the key is left to a scheduler that stands in."""
+    def _should_yield(self) -> bool:
+        """Return whether to leave the key to a standby that has edges."""
         if self._free_since is None or self.has_edges():
             return False
         return self.clock() < self._free_since + YIELD_S
 
-    def _is_own_past(self, leader: Leader) -> bool:
-        """Return whether the key is held by an earlier life of this process.
+    def _is_earlier_incarnation(self, leader: Leader) -> bool:
+        """Return whether an earlier incarnation of this process holds the key.
 
-        That one has ended, since this one listens at its address: there is no need to
-        wait for the end of its lease.
+        That incarnation has ended, since this one listens on the same address.
+        Therefore its lease need not expire first.
         """
         own = self.presence.member
         same = (leader.member.host, leader.member.peer_address)
         earlier = leader.member.incarnation != own.incarnation
         return earlier and same == (own.host, own.peer_address)
 
-    async def _async_take(self) -> None:
+    async def _async_acquire(self) -> None:
         key = self.prefix + LEADER_KEY
         write = Write(
             key=key,
@@ -180,13 +185,17 @@
             lease_id=self.presence.lease_id,
         )
         leader = self.view.leader
-        held = Precondition(key=key, revision=0 if leader is None else leader.fence)
+        precondition = Precondition(
+            key=key, revision=0 if leader is None else leader.fence
+        )
         try:
-            result = await self.store.async_commit((held,), (write,))
+            result = await self.store.async_commit((precondition,), (write,))
             if not result.committed:
-                log_event(log.LeadershipMissed(reason="another one has taken the key"))
+                log_event(
+                    log.LeadershipMissed(reason="another process has acquired the key")
+                )
         except LeaseEndedError:
             self.presence.discard_lease("it has ended")
         except StoreUnavailableError as error:
-            # The write may have taken effect: the view shows it.
+            # The write may still have taken effect; in that case the view will show it.
             log_event(log.LeadershipMissed(reason=str(error)))
--- a/mangoway/coordination/members.py
+++ b/mangoway/coordination/members.py
@@ -1,4 +1,4 @@
-"""Processes of the system as they announce themselves in the store."""
+"""Encoding of the members that processes announce in the store."""
 
 from typing import Final
 
@@ -12,7 +12,7 @@
 
 
 class MemberError(Exception):
-    """The announcement of a member can't be read."""
+    """The announcement of a member can't be decoded."""
 
 
 def encode_member(member: Member) -> bytes:
@@ -24,11 +24,11 @@
     """Decode a member.
 
     Raises:
-        MemberError: If it can't be read.
+        MemberError: If it can't be decoded.
     """
     try:
         fields = orjson.loads(value)
         known = {each.name: fields[each.name] for each in attrs_fields(Member)}
         return Member(**{**known, "role": Role(fields["role"])})
     except (LookupError, TypeError, ValueError) as error:
-        raise MemberError(f"member can't be read: {error!r}") from error
+        raise MemberError(f"cannot decode member: {error!r}") from error
--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -1,8 +1,8 @@
 """Keeps a process's copy of the store's keys current.
 
-The leading scheduler reads the store and passes on what it reads; all others follow it,
-since each change that the store sends to a watcher is a call that is paid for. Who
-hears nothing fresh from the leader reads the store itself.
+The leading scheduler reads the store and relays its state to all other processes, since
+each change that the store sends to a watcher is billed as a call. A process that
+receives no recent state from the leader reads the store itself.
 """
 
 import asyncio
@@ -27,160 +27,162 @@
 )
 
 LEADER_WATCH_S: Final = 0.3
-"""Time that a watch of the leader waits. All others rely on it, so that it must notice
-soon that the store fell silent: a drain has to be obeyed and a configuration in force
-within two seconds. Others read themselves once its last answer is 0.8 s old."""
+"""Time for which a watch of the leader waits for changes. All other processes depend on
+the leader, so it must soon detect a silent store: a drain and a configuration must take
+effect within two seconds. Other processes read the store themselves once the last
+response to the leader is 0.8 s old."""
 
 OWN_WATCH_S: Final = 0.5
-"""Time that a watch of any other process waits while it hears nothing of the leader:
-with its margin it must show a silent connection in the rest of the two seconds."""
+"""The same for a watch of any other process while the leader relays nothing. With its
+margin, it must detect a silent connection in the remainder of the two seconds."""
 
-FIRST_WATCH_S: Final = 0.01
-UNSURE_AGE_S: Final = 3.0
-"""Time for which a watch waits that only shows that what is known is current, and the
-age of the knowledge from which it is made: at a start and after an outage."""
+STALE_WATCH_S: Final = 0.01
+STALE_AGE_S: Final = 3.0
+"""Wait of a watch that only verifies the mirrored state, and the age of that state from
+which such a watch is started: at the start of the process and after an outage."""
 
 OUTAGE_S: Final = 1.5
-"""Time without an answer from which keys may have lapsed: a runner's entry does after
-three heartbeats, 3.6 s, and an outage is noticed late."""
+"""Time without a response after which keys may have expired. The entry of a runner
+expires after three heartbeats, 3.6 s, and an outage is detected late."""
 
-LEADER_PACE_S: Final = 0.25
-"""Least time between two watches of the leader. Runners write their entries about once
-a second, so that a watch is answered at once wherever there are many: without a pause
-the leader would make a call for each of them."""
+LEADER_WATCH_INTERVAL_S: Final = 0.25
+"""Minimum time between the starts of two watches of the leader. Runners write their
+entries about once a second, so that with many runners each watch returns at once.
+Without the interval, the leader would make a call for each entry."""
 
-OWN_PACE_S: Final = 0.4
-"""Least time between two watches. Without it each of many processes that start together
-is woken by each announcement of the others, and each call is paid for."""
+OWN_WATCH_INTERVAL_S: Final = 0.4
+"""The same for any other process. Without it, each announcement would wake all of many
+processes that start together, and each of their calls is billed."""
 
-OWN_READS_PER_S: Final = 120.0
-"""Watches that all processes together begin in a second while they hear of no leader:
-with 48 processes one each 0.4 s, with 200 one each 1.7 s. If 200 processes watched
-every 0.4 s, five seconds without a leader would cost 2,500 calls."""
+OWN_WATCHES_PER_S: Final = 120.0
+"""Watches that all processes together start per second without a leader. With 48
+processes, each starts one every 0.4 s; with 200, one every 1.7 s. If 200 processes
+started one every 0.4 s, five seconds without a leader would cost 2,500 calls."""
 
-MAX_OWN_PACE_S: Final = 2.0
-"""Longest time between two such watches, from 240 processes on: a drain has to be
-obeyed and a configuration in force within four seconds there."""
+MAX_OWN_WATCH_INTERVAL_S: Final = 2.0
+"""Maximum time between two such watches, reached with 240 processes. With so many, a
+drain and a configuration must take effect within four seconds."""
 
 FIRST_RETRY_S: Final = 0.1
-MOST_RETRY_S: Final = 1.0
-"""Bounds of the wait after a failed call: with these a fleet of 83 makes under a tenth
-of the reads that its store allows."""
+MAX_RETRY_S: Final = 1.0
+"""Bounds of the delay after a failed call. With them, a fleet of 83 uses less than a
+tenth of the reads that its store allows."""
 
 FEED_CHECK_S: Final = 0.1
-"""Time between two looks at whether the leader still passes changes on."""
+"""Time between two checks of whether the leader still relays the store."""
 
 
 class Receiver(Protocol):
-    """Takes what the mirror reads."""
+    """Consumer of the mirrored state of the store."""
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take a full reading."""
+        """Replace the state with a snapshot."""
         ...
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take changes in order."""
+        """Apply changes in order."""
         ...
 
     def has_effect(self, change: Change) -> bool:
-        """Return whether a change will show in what was taken so far."""
+        """Return whether a change would alter the state."""
         ...
 
     def count_processes(self) -> int:
-        """Return the processes of the system that are known, this one included."""
+        """Return the number of known processes of the system, including this one."""
         ...
 
     def record_outage_end(self, retention_s: float | None = None) -> None:
-        """Note that the store answers again after an outage in which keys may lapse.
+        """Record the end of an outage during which keys may have expired.
 
         Args:
-            retention_s: Seconds for which keys that vanish are kept; None: the usual.
+            retention_s: Seconds for which removed keys are still kept; None for the
+                default.
         """
         ...
 
 
 class Feed(Protocol):
-    """Another process that passes on what it reads in the store."""
+    """Another process that relays the state of the store."""
 
     def is_fresh(self) -> bool:
-        """Return whether it has heard of the store lately."""
+        """Return whether the other process has relayed recent state."""
         ...
 
 
 class Follower(Protocol):
-    """Is told what a mirror reads."""
+    """Relay of the mirrored state to other processes."""
 
     def relay_snapshot(self, snapshot: Snapshot) -> None:
-        """Pass a full reading on."""
+        """Relay a snapshot."""
         ...
 
     def relay_changes(self, changes: Changes) -> None:
-        """Pass changes on; without any, that the store has reached a revision."""
+        """Relay changes; if there are none, only the revision of the store."""
         ...
 
 
 @define(eq=False)
 class Mirror:
-    """Keeps a receiver current for as long as `async_run` runs."""
+    """Mirror of the store that updates a receiver while `async_run` runs."""
 
     store: CoordinationStore
     receiver: Receiver
     clock: Callable[[], float]
     on_synced: Callable[[], None] = lambda: None
-    """Called after each reading or change that was taken."""
+    """Called after each snapshot or batch of changes has been applied."""
 
     feed: Feed | None = None
     follower: Follower | None = None
     boot_clock: Callable[[], float] = read_boot_clock
-    """Time in seconds that also passes while the host is suspended."""
+    """Clock in seconds that also advances while the host is suspended."""
 
     responded_at: float = field(default=-1e9, init=False)
-    """When the store last answered this process."""
+    """When the store last responded to this process."""
 
     known_at: float = field(default=-1e9, init=False)
-    """Time on the boot clock up to which all that the store acknowledged is known here:
-    when the answer that shows it was asked for, not when it came."""
+    """Time on the boot clock up to which all acknowledged writes are mirrored: when the
+    request to the store was sent, not when its response arrived."""
 
     items: dict[str, Item] = field(factory=dict, init=False)
-    """All keys as they are known."""
+    """All mirrored items by key."""
 
     revision: int | None = field(default=None, init=False)
-    """Revision up to which changes were taken; None before the first reading."""
+    """Revision up to which changes are applied; None before the first snapshot."""
 
-    _fed_at: float = field(default=-1e9, init=False)
-    """When another process last passed on what the store said."""
+    _relayed_at: float = field(default=-1e9, init=False)
+    """When another process last relayed the state of the store."""
 
     _backoff: Backoff = field(
-        factory=lambda: Backoff(FIRST_RETRY_S, MOST_RETRY_S), init=False
+        factory=lambda: Backoff(FIRST_RETRY_S, MAX_RETRY_S), init=False
     )
     _failing_since: float | None = field(default=None, init=False)
     _watch_from: float = field(default=0.0, init=False)
-    """Earliest time of the next watch."""
+    """Time from which the next watch may start."""
 
-    _relist: bool = field(default=False, init=False)
+    _needs_snapshot: bool = field(default=False, init=False)
 
     async def async_run(self) -> None:
         """Follow the store until cancelled."""
         while True:
             if self.feed is not None and self.feed.is_fresh():
-                self._fed_at = self.clock()
+                self._relayed_at = self.clock()
                 await async_sleep_to_tick(FEED_CHECK_S)
                 continue
             try:
                 await self._async_step()
             except HistoryLostError as error:
                 log_event(log.StoreHistoryLost(reason=str(error)))
-                self._relist = True
+                self._needs_snapshot = True
             except StoreUnavailableError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 await asyncio.sleep(self._backoff.next())
 
     def measure_age(self) -> float:
-        """Return the seconds for which something may have changed unknown to us."""
+        """Return for how many seconds the store may have changed unnoticed."""
         return self.boot_clock() - self.known_at
 
     def advance_known_at(self, at: float) -> None:
-        """Note that all is known here that the store acknowledged before a time.
+        """Record that all writes acknowledged before a time are mirrored.
 
         Args:
             at: Time on this host's boot clock.
@@ -188,16 +190,16 @@
         self.known_at = max(self.known_at, at)
 
     def make_snapshot(self) -> Snapshot | None:
-        """Return all keys as they are known; None before the first reading."""
+        """Return a snapshot of the mirrored items; None before the first snapshot."""
         if self.revision is None:
             return None
         return Snapshot(items=tuple(self.items.values()), revision=self.revision)
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take a full reading, unless nothing in it is new.
+        """Apply a snapshot unless its revision is known already.
 
-        One of a revision that is known must not be passed on: two processes that follow
-        each other would send it back and forth for good.
+        A snapshot of a known revision must not be relayed, because two processes that
+        follow each other would send it back and forth without end.
         """
         if self.revision is not None and snapshot.revision <= self.revision:
             return
@@ -211,30 +213,30 @@
     def apply_partial_snapshot(
         self, keys: tuple[str, ...], items: tuple[Item, ...], revision: int
     ) -> None:
-        """Take a full reading of another process.
+        """Apply a snapshot of another process, without the items that are known here.
 
         Args:
-            keys: All keys that there are.
-            items: Those of them that were not known here.
-            revision: Revision of the reading.
+            keys: All keys of the snapshot.
+            items: Those items of the snapshot that are not known here.
+            revision: Revision of the snapshot.
         """
         known = {**self.items, **{item.key: item for item in items}}
         present = tuple(known[key] for key in keys if key in known)
         self.apply_snapshot(Snapshot(items=present, revision=revision))
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take the changes that are new."""
+        """Apply those changes that are newer than the known revision."""
         known = self.revision or 0
         new = tuple(each for each in changes.changes if each.revision > known)
         for change in new:
             self._store_change(change)
         self.revision = max(known, changes.revision)
-        news = tuple(each for each in new if self.receiver.has_effect(each))
+        effective = tuple(each for each in new if self.receiver.has_effect(each))
         self.receiver.apply_changes(Changes(changes=new, revision=changes.revision))
         if self.follower is not None and new:
-            # Runners write their entries each second, mostly as they were.
-            passed = Changes(changes=news, revision=changes.revision)
-            self.follower.relay_changes(passed)
+            # Runners write their entries every second, mostly unchanged.
+            relayed = Changes(changes=effective, revision=changes.revision)
+            self.follower.relay_changes(relayed)
         self.on_synced()
 
     def _store_change(self, change: Change) -> None:
@@ -244,51 +246,51 @@
             self.items[change.key] = change.item
 
     async def _async_step(self) -> None:
-        if self.revision is None or self._relist:
-            # A reading may be some seconds old as long as the changes since are kept.
-            exact, asked_at = self._relist, self.boot_clock()
+        if self.revision is None or self._needs_snapshot:
+            # A snapshot may be some seconds old if the store still keeps later changes.
+            exact, requested_at = self._needs_snapshot, self.boot_clock()
             snapshot = await self.store.async_list("", exact=exact)
-            self._relist = False
-            self._note_answer()
+            self._needs_snapshot = False
+            self._record_response()
             self.apply_snapshot(snapshot)
             if exact:
-                self.advance_known_at(asked_at)
+                self.advance_known_at(requested_at)
             return
         await asyncio.sleep(max(0.0, self._watch_from - self.clock()))
-        unsure = self.measure_age() > UNSURE_AGE_S
-        # The first reading may be old, and nothing is served on it alone.
-        wait_s = FIRST_WATCH_S if unsure else self._choose_wait()
-        pace_s = 0.0 if unsure else self._choose_pace()
-        self._watch_from = self.clock() + pace_s
-        asked_at = self.boot_clock()
+        is_stale = self.measure_age() > STALE_AGE_S
+        # The first snapshot may be old, so no request is served based on it alone.
+        wait_s = STALE_WATCH_S if is_stale else self._choose_wait()
+        interval_s = 0.0 if is_stale else self._choose_interval()
+        self._watch_from = self.clock() + interval_s
+        requested_at = self.boot_clock()
         changes = await self.store.async_watch("", self.revision, wait_s)
-        self._note_answer()
+        self._record_response()
         self.apply_changes(changes)
-        self.advance_known_at(asked_at)
+        self.advance_known_at(requested_at)
 
     def _choose_wait(self) -> float:
-        """Return how long a watch waits for a change."""
+        """Return for how long a watch waits for changes."""
         return OWN_WATCH_S if self.follower is None else LEADER_WATCH_S
 
-    def _choose_pace(self) -> float:
-        """Return the least time between two watches."""
+    def _choose_interval(self) -> float:
+        """Return the minimum time between the starts of two watches."""
         if self.follower is not None:
-            return LEADER_PACE_S
-        wanted_s = self.receiver.count_processes() / OWN_READS_PER_S
-        return min(MAX_OWN_PACE_S, max(OWN_PACE_S, wanted_s))
+            return LEADER_WATCH_INTERVAL_S
+        interval_s = self.receiver.count_processes() / OWN_WATCHES_PER_S
+        return min(MAX_OWN_WATCH_INTERVAL_S, max(OWN_WATCH_INTERVAL_S, interval_s))
 
-    def _note_failure(self, error: StoreUnavailableError) -> None:
+    def _record_failure(self, error: StoreUnavailableError) -> None:
         if self._failing_since is None:
             self._failing_since = self.clock()
             log_event(log.StoreLost(reason=str(error)))
 
-    def _note_answer(self) -> None:
-        """Note that the store answers, before what it says is taken."""
+    def _record_response(self) -> None:
+        """Record a response of the store; call this before the response is applied."""
         now = self.clock()
         since, self._failing_since = self._failing_since, None
         if since is not None:
             log_event(log.StoreRegained(revision=self.revision or 0))
-        last = max(self.responded_at, self._fed_at)
+        last = max(self.responded_at, self._relayed_at)
         if since is not None and now - min(since, last) > OUTAGE_S:
             self.receiver.record_outage_end()
         self.responded_at = now
--- a/mangoway/coordination/presence.py
+++ b/mangoway/coordination/presence.py
@@ -1,4 +1,4 @@
-"""Keeps a process announced in the store for as long as it lives."""
+"""Keeps a process announced in the store for as long as it runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,29 +21,29 @@
 )
 
 LEASE_S: Final = 3.0
-"""Time after which a silent process is no longer announced. So long may a fleet be
-without a scheduler, and callers be told the address of a host that is gone: the leader
-takes that of an edge away sooner, but the host may have been the leader's own."""
+"""Time after which a silent process is no longer announced. For this long a fleet may
+have no scheduler, and callers may receive the address of a host that has failed: the
+leader removes the address of an edge sooner, but may have run on the same host."""
 
 RENEW_S: Final = 1.0
-"""A third of the lease, so that two renewals may fail: a scheduler that loses its lease
-loses the lead."""
+"""A third of the lease, so that two renewals may fail. A scheduler that loses its lease
+loses leadership."""
 
 EDGE_RENEW_S: Final = 1.5
-"""The same for an edge, of which one renewal may fail: its key can be written anew.
-Most renewals are those of edges, and each is a call that is paid for."""
+"""The same for an edge. One renewal may fail, since the key of an edge can be written
+again. Most renewals are sent by edges, and each is a store call that is billed."""
 
 ANNOUNCE_SPREAD_S: Final = 0.5
-"""Time over which processes whose keys are gone write them anew: a store that lapses
-takes the keys of all at once."""
+"""Time over which processes spread the rewriting of lost keys. After an outage of the
+store, the keys of all processes may be gone at once."""
 
 FIRST_RETRY_S: Final = 0.2
-MOST_RETRY_S: Final = 1.0
+MAX_RETRY_S: Final = 1.0
 
 
 @define(eq=False)
 class Presence:
-    """Holds a lease with the member's key, and makes both anew when they are lost."""
+    """The member's key and its lease, which are recreated when they are lost."""
 
     store: CoordinationStore
     member: Member
@@ -55,27 +55,27 @@
     clock: Callable[[], float] = read_boot_clock
     lease_id: int = field(default=0, init=False)
     valid_until: float = field(default=0.0, init=False)
-    """Time on the boot clock until which the lease certainly stands."""
+    """Time on the boot clock until which the lease is certainly valid."""
 
     announced: bool = field(default=False, init=False)
-    """Whether the member's key was written with the lease."""
+    """Whether the member's key was written with the current lease."""
 
     failing: bool = field(default=False, init=False)
-    """Whether the last call got no answer."""
+    """Whether the last call received no response."""
 
     _announced_revision: int = field(default=0, init=False)
-    """Revision of the store in which the member's key was written last."""
+    """Revision of the store at which the member's key was last written."""
 
     _leaving: bool = field(default=False, init=False)
     _key_lost: asyncio.Event = field(factory=asyncio.Event, init=False)
-    """Set when the key has to be written again, before the lease is to be renewed."""
+    """Set if the key must be written again before the next renewal of the lease."""
 
     _backoff: Backoff = field(
-        factory=lambda: Backoff(FIRST_RETRY_S, MOST_RETRY_S), init=False
+        factory=lambda: Backoff(FIRST_RETRY_S, MAX_RETRY_S), init=False
     )
 
     async def async_run(self) -> None:
-        """Renew the lease until cancelled or left."""
+        """Renew the lease until the process leaves or the task is cancelled."""
         while not self._leaving:
             try:
                 await self._async_step()
@@ -83,16 +83,16 @@
                 self.failing = False
                 self.discard_lease("it has ended")
             except StoreUnavailableError:
-                # The mirror logs that the store is lost.
+                # The mirror logs the outage.
                 self.failing = True
                 await asyncio.sleep(self._backoff.next())
             else:
                 self.failing = False
                 self._backoff.reset()
-                await self._async_rest()
+                await self._async_wait()
 
     async def async_leave(self) -> None:
-        """Take the member's key away, if the store can be reached."""
+        """Remove the member's key if the store can be reached."""
         self._leaving = True
         lease_id, self.lease_id = self.lease_id, 0
         self.valid_until = 0.0
@@ -101,34 +101,34 @@
         try:
             await self.store.async_end_lease(lease_id)
         except StoreUnavailableError as error:
-            # The lease ends by itself.
+            # The lease expires without further action.
             log_event(log.LeaseKept(reason=str(error)))
 
     def is_valid(self) -> bool:
-        """Return whether the lease certainly stands now."""
+        """Return whether the lease is certainly valid now."""
         return self.lease_id != 0 and self.clock() < self.valid_until
 
     def handle_key_lost(self, revision: int) -> None:
-        """Write the key again, since the store shows that it is gone.
+        """Schedule a write of the key, since it is missing in the store.
 
         Args:
-            revision: Revision of the store at which that was seen; one before the key
-                was written says nothing.
+            revision: Revision of the store at which the key was missing. Revisions
+                before the last write of the key are ignored.
         """
         if not self._leaving and revision >= self._announced_revision:
             self.announced = False
             self._key_lost.set()
 
     def discard_lease(self, reason: str) -> None:
-        """Take the lease as ended; another one is made."""
+        """Treat the lease as ended; `async_run` will request another one."""
         if self.lease_id:
             log_event(log.LeaseEnded(lease_id=self.lease_id, reason=reason))
         self.lease_id = 0
         self.valid_until = 0.0
         self.announced = False
 
-    async def _async_rest(self) -> None:
-        """Wait until the lease is to be renewed or the key to be written."""
+    async def _async_wait(self) -> None:
+        """Wait until the lease must be renewed or the key must be written."""
         try:
             async with asyncio.timeout(self.renew_s):
                 await self._key_lost.wait()
@@ -138,7 +138,7 @@
         await asyncio.sleep(self.random.uniform(0.0, ANNOUNCE_SPREAD_S))
 
     async def _async_step(self) -> None:
-        asked_at = self.clock()
+        requested_at = self.clock()
         if self.lease_id == 0:
             lease_id = await self.store.async_grant_lease(LEASE_S)
             if self._leaving:
@@ -148,7 +148,7 @@
         elif self.announced:
             await self.store.async_renew_lease(self.lease_id)
         if not self._leaving:
-            self.valid_until = max(self.valid_until, asked_at + LEASE_S)
+            self.valid_until = max(self.valid_until, requested_at + LEASE_S)
         if not self.announced and self.lease_id:
             await self._async_announce()
 
--- a/mangoway/coordination/statement_maintainer.py
+++ b/mangoway/coordination/statement_maintainer.py
@@ -1,7 +1,7 @@
-"""Keeps the statements on crashes in the store few, and what follows from them safe.
+"""Maintains the crash statements in the store.
 
-The leading scheduler writes down which requests are held back, and takes away what is
-old. While nobody leads nothing is taken away, and all that is known stays in force.
+The leading scheduler writes the block statements and removes outdated statements of all
+kinds. Without a leader nothing is removed, and all statements stay in force.
 """
 
 import asyncio
@@ -31,36 +31,36 @@
 from .store import CoordinationStore, StoreUnavailableError, Write
 
 CHECK_S: Final = 0.5
-"""Time between two looks."""
+"""Time between two checks of the statements."""
 
-ENTRIES_A_CALL: Final = 16
-"""Keys that one call writes or removes; the platform takes up to 32 entries."""
+MAX_KEYS_PER_CALL: Final = 16
+"""Keys that one call writes or removes; the platform accepts up to 32 entries."""
 
 MAX_CRASH_KEYS: Final = 1024
-"""Statements of edges that are kept: each of 12 edges that had a request at a runner
-writes one, so that they tell of 85 crashes at 195 edges."""
+"""Crash statements that are kept. Of 195 edges, the 12 that had requests in progress at
+a crashed runner write one each, so that the statements cover 85 crashes."""
 
-CLEARED_MARGIN_S: Final = 60.0
-"""Time for which a clearance outlives the charges that it is about."""
+CLEARANCE_MARGIN_S: Final = 60.0
+"""Time for which a clearance is kept longer than the charges that it clears."""
 
-MOST: Final = {
+MAX_KEYS: Final = {
     CRASH_KEYS: MAX_CRASH_KEYS,
     BLOCK_KEYS: MAX_BLOCKED,
     CLEARANCE_KEYS: MAX_CLEARANCES,
 }
-"""Keys of each kind that are kept."""
+"""Keys that are kept of each kind."""
 
-STAY_S: Final = {
+RETENTION_S: Final = {
     CRASH_KEYS: CRASH_RETENTION_S,
     BLOCK_KEYS: BLOCK_S,
-    CLEARANCE_KEYS: CRASH_RETENTION_S + CLEARED_MARGIN_S,
+    CLEARANCE_KEYS: CRASH_RETENTION_S + CLEARANCE_MARGIN_S,
 }
-"""Time for which a key of each kind is kept after this process has seen it."""
+"""Time for which a key is kept after this process first saw it, by kind."""
 
 
 @define(eq=False)
 class StatementMaintainer:
-    """Looks after the statements while this process leads."""
+    """Maintainer of the crash statements while this process leads."""
 
     store: CoordinationStore
     mirror: Mirror
@@ -72,29 +72,31 @@
     prefix: str
     """Prefix of the system's own keys."""
 
-    _seen_at: dict[str, float] = field(factory=dict, init=False)
-    """When each statement was seen first, by key without the prefix."""
+    _first_seen_at: dict[str, float] = field(factory=dict, init=False)
+    """When each statement was first seen, by key without the prefix."""
 
     async def async_run(self) -> None:
-        """Look after the statements until cancelled."""
+        """Maintain the statements until cancelled."""
         while True:
             await asyncio.sleep(CHECK_S)
             await self.async_check()
 
     async def async_check(self) -> None:
-        """Write what is missing, and remove what is old."""
+        """Write missing block statements, and otherwise remove outdated statements."""
         if self.tracker.is_empty:
-            # Every statement in the store is in the book; most days there are none.
-            self._seen_at.clear()
+            # The tracker contains all statements in the store. Mostly there are none.
+            self._first_seen_at.clear()
             return
         keys = self._list_keys()
         now = self.clock()
-        self._seen_at = {key: self._seen_at.get(key, now) for key in keys}
+        self._first_seen_at = {key: self._first_seen_at.get(key, now) for key in keys}
         if not self.may_write():
             return
-        writes = self._list_missing()
-        # What holds a request back stands before the charges behind it go.
-        removed = () if writes else tuple(self._list_old(keys, now)[:ENTRIES_A_CALL])
+        writes = self._list_missing_blocks()
+        # The block statement is written before the charges that led to it are removed.
+        removed = (
+            () if writes else tuple(self._list_outdated(keys, now)[:MAX_KEYS_PER_CALL])
+        )
         if not writes and not removed:
             return
         try:
@@ -113,8 +115,8 @@
         items.sort(key=lambda item: item.revision)
         return [each.key.removeprefix(self.prefix) for each in items]
 
-    def _list_missing(self) -> tuple[Write, ...]:
-        """Return what is to be written of requests that are held back."""
+    def _list_missing_blocks(self) -> tuple[Write, ...]:
+        """Return writes for block statements that the store lacks in this form."""
         missing = []
         for content in self.tracker.list_blocked()[-MAX_BLOCKED:]:
             statement = BlockStatement(
@@ -124,18 +126,18 @@
             written = self.mirror.items.get(key)
             if written is None or written.value != value:
                 missing.append(Write(key=key, value=value))
-        return tuple(missing[:ENTRIES_A_CALL])
+        return tuple(missing[:MAX_KEYS_PER_CALL])
 
-    def _list_old(self, keys: list[str], now: float) -> list[str]:
-        """Return the keys that are too old, too many, or hold nothing any more."""
-        held = {BLOCK_KEYS + each for each in self.tracker.list_blocked()}
-        old = []
+    def _list_outdated(self, keys: list[str], now: float) -> list[str]:
+        """Return the keys that are expired, in excess, or block no request any more."""
+        block_keys = {BLOCK_KEYS + each for each in self.tracker.list_blocked()}
+        outdated = []
         for kind in STATEMENT_KEYS:
-            alike = [each for each in keys if each.startswith(kind)]
-            beyond = len(alike) - MOST[kind]
-            for number, key in enumerate(alike):
-                expired = now - self._seen_at[key] > STAY_S[kind]
-                idle = kind == BLOCK_KEYS and key not in held
-                if number < beyond or expired or idle:
-                    old.append(key)
-        return old
+            kind_keys = [each for each in keys if each.startswith(kind)]
+            excess = len(kind_keys) - MAX_KEYS[kind]
+            for number, key in enumerate(kind_keys):
+                expired = now - self._first_seen_at[key] > RETENTION_S[kind]
+                obsolete = kind == BLOCK_KEYS and key not in block_keys
+                if number < excess or expired or obsolete:
+                    outdated.append(key)
+        return outdated
--- a/mangoway/coordination/store.py
+++ b/mangoway/coordination/store.py
@@ -1,7 +1,7 @@
-"""The store calls that coordination needs, and what they return.
+"""Interface of the store for coordination, and the data that its calls return.
 
-`mangoway.key_value` speaks of compare-and-swap with read-back; this interface is
-narrower and closer to one call each, since every call of the platform is paid for.
+`mangoway.key_value` offers compare-and-swap with read-back. This interface is narrower,
+and each method maps to about one call, since every call of the platform is billed.
 """
 
 from typing import Protocol
@@ -12,21 +12,21 @@
 
 
 class StoreUnavailableError(MangowayError):
-    """A call got no usable answer; a write may still have taken effect."""
+    """A call received no usable response; a write may still have taken effect."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(ErrorCode.PLATFORM_UNAVAILABLE, detail)
 
 
 class LeaseEndedError(MangowayError):
-    """The lease of a call does not exist any more."""
+    """The lease of a call no longer exists."""
 
     def __init__(self, lease_id: int) -> None:
         super().__init__(ErrorCode.PLATFORM_UNAVAILABLE, f"lease {lease_id} has ended")
 
 
 class HistoryLostError(MangowayError):
-    """The changes after a revision are no longer kept; read everything again."""
+    """The store no longer keeps the changes after a revision; a snapshot is needed."""
 
     def __init__(self, revision: int) -> None:
         super().__init__(
@@ -46,7 +46,7 @@
 
 @frozen(kw_only=True)
 class Snapshot:
-    """All items under a prefix, and the revision from which to follow changes."""
+    """All items under a prefix, and the revision after which to follow changes."""
 
     items: tuple[Item, ...]
     revision: int
@@ -59,12 +59,12 @@
     key: str
     revision: int
     item: Item | None
-    """The item as it was written; None if the key was removed."""
+    """The written item; None if the key was removed."""
 
 
 @frozen(kw_only=True)
 class Changes:
-    """Changes in order, and the revision from which to continue."""
+    """Changes in order, and the revision after which to continue."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -72,7 +72,7 @@
 
 @frozen(kw_only=True)
 class Precondition:
-    """A key that must have this revision; 0: it must not exist."""
+    """A revision that a key must have; with 0 the key must not exist."""
 
     key: str
     revision: int
@@ -80,7 +80,7 @@
 
 @frozen(kw_only=True)
 class Write:
-    """A key to set, bound to a lease unless that is 0."""
+    """A key to set; it is bound to a lease unless the id is 0."""
 
     key: str
     value: bytes
@@ -89,26 +89,26 @@
 
 @frozen(kw_only=True)
 class CommitResult:
-    """Whether the preconditions held, and the revision of the change."""
+    """Whether the preconditions were met, and the revision of the change."""
 
     committed: bool
     revision: int
 
 
 class CoordinationStore(Protocol):
-    """One call of the platform's store each; all raise `StoreUnavailableError`."""
+    """Store of the platform; all calls may raise `StoreUnavailableError`."""
 
     async def async_read(self, key: str) -> Item | None:
         """Read one key."""
         ...
 
     async def async_list(self, prefix: str, *, exact: bool = True) -> Snapshot:
-        """Read all keys with a prefix; pages are read one after the other.
+        """Return a snapshot of all keys with a prefix; pages are read one by one.
 
         Args:
-            prefix: What their names begin with.
-            exact: Whether the reading must show all that was written before the call;
-                one that may be some seconds old costs a tenth.
+            prefix: Prefix of the keys.
+            exact: Whether the snapshot must include all earlier writes. One that may
+                be some seconds old costs a tenth.
         """
         ...
 
@@ -116,7 +116,7 @@
         """Wait for changes after a revision.
 
         Raises:
-            HistoryLostError: If the store has forgotten some of them.
+            HistoryLostError: If the store no longer keeps some of them.
         """
         ...
 
@@ -134,19 +134,19 @@
         ...
 
     async def async_grant_lease(self, ttl_s: float) -> int:
-        """Make a lease and return its id."""
+        """Create a lease and return its id."""
         ...
 
     async def async_renew_lease(self, lease_id: int) -> None:
         """Renew a lease.
 
         Raises:
-            LeaseEndedError: If it has ended.
+            LeaseEndedError: If the lease has ended.
         """
         ...
 
     async def async_end_lease(self, lease_id: int) -> None:
-        """End a lease; its keys are removed."""
+        """End a lease, which removes its keys."""
         ...
 
     def close(self) -> None:
--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -1,4 +1,4 @@
-"""What a process knows of the fleet: configuration, runners, members, leader."""
+"""A process's view of the fleet: configuration, runners, members and leader."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -13,20 +13,19 @@
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
 
-RETURN_TIME_S: Final = 2.2
-"""Time from the end of an outage for which an entry that vanished is still kept: the
-platform says that entries of living runners are back about 2 s after an outage. What
-the store removes 3 s after one counts at once again, so this must be less."""
-
+OUTAGE_RETENTION_S: Final = 2.2
+"""Time after the end of an outage for which removed entries are kept. According to the
+platform, the entries of running runners are back about 2 s after an outage. A removal
+3 s after an outage must take effect at once, so this must be less."""
 
 MAX_LEAVING: Final = 16_384
-"""Lives that are known to leave: more than all runners of a fleet. Their entries may
-come back after an outage, so that they are remembered beyond these."""
+"""Runner incarnations that are kept as leaving: more than the runners of a fleet. They
+outlast the entries, since these may come back after an outage."""
 
 
 @frozen(kw_only=True)
 class Leader:
-    """The holder of the scheduler's key; its fence number grows with each holder."""
+    """Holder of the scheduler's key; the fence number increases with each holder."""
 
     member: Member
     fence: int
@@ -35,65 +34,67 @@
 
 @define(eq=False)
 class FleetView:
-    """Soft state that the store's changes keep current; it outlives outages."""
+    """State of the fleet as received from the store; it is kept during outages."""
 
     on_change: list[Callable[[], None]] = field(factory=list)
-    """Called after each change of the runners or of the leader."""
+    """Called after each change of the configuration, the runners or the leader."""
 
     table: RoutingTable | None = field(default=None, init=False)
     runners: dict[str, RunnerEntry] = field(factory=dict, init=False)
     members: dict[str, Member] = field(factory=dict, init=False)
-    """By key."""
+    """Members by store key."""
 
     leader: Leader | None = field(default=None, init=False)
     _kept_until: float = field(default=0.0, init=False)
-    """Time until which entries that vanish are kept, since they may come back."""
+    """Time until which removed entries are kept, since they may come back."""
 
     _leaving: dict[str, int] = field(factory=dict, init=False)
-    """Runners whose answers say that they leave, with the starts of these lives."""
+    """Runners that report that they leave, with the start time of that incarnation."""
 
     _missing: set[str] = field(factory=set, init=False)
-    """Runners whose entries vanished and are kept."""
+    """Runners whose entries were removed from the store and are kept here."""
 
-    _gathering: bool = field(default=False, init=False)
-    """Whether changes are told together later."""
+    _is_deferring: bool = field(default=False, init=False)
+    """Whether listeners are notified of changes later, all at once."""
 
-    _changed: bool = field(default=False, init=False)
-    """Whether something changed that was not told yet."""
+    _has_unnotified_change: bool = field(default=False, init=False)
+    """Whether there was a change since listeners were last notified."""
 
     @contextmanager
     def defer_notifications(self) -> Iterator[None]:
-        """Tell the changes of one reading together.
+        """Notify listeners once at the end of the block, not after each change.
 
-        Who is told looks at all runners: told of each of thousands, a scheduler that
-        starts would be busy for many seconds.
+        Each listener iterates over all runners. If it were notified of each of
+        thousands, a scheduler that starts would be busy for many seconds.
         """
-        if self._gathering:
+        if self._is_deferring:
             yield
             return
-        self._gathering = True
+        self._is_deferring = True
         try:
             yield
         finally:
-            self._gathering = False
-            if self._changed:
+            self._is_deferring = False
+            if self._has_unnotified_change:
                 self._notify()
 
-    def record_outage_end(self, now: float, retention_s: float = RETURN_TIME_S) -> None:
-        """Note that the store answers again after an outage in which keys lapsed.
+    def record_outage_end(
+        self, now: float, retention_s: float = OUTAGE_RETENTION_S
+    ) -> None:
+        """Record the end of an outage during which keys may have expired.
 
         Args:
             now: Time in seconds.
-            retention_s: Seconds from now for which entries that vanish are kept.
+            retention_s: Seconds from now for which removed entries are kept.
         """
         self._kept_until = max(self._kept_until, now + retention_s)
 
     def get_retention_s(self, now: float) -> float:
-        """Return for how much longer entries that vanish are kept."""
+        """Return the remaining seconds for which removed entries are kept."""
         return max(0.0, self._kept_until - now)
 
     def apply_table(self, table: RoutingTable) -> bool:
-        """Put a newer configuration in force; an older one is ignored."""
+        """Apply a configuration and return True if it is newer than the current one."""
         if self.table is not None and table.version <= self.table.version:
             return False
         self.table = table
@@ -102,16 +103,16 @@
         return True
 
     def update_runner(self, entry: RunnerEntry) -> None:
-        """Take a runner's entry as it is now."""
+        """Add or update a runner from its current entry."""
         self._missing.discard(entry.runner_id)
         known = self.runners.get(entry.runner_id)
         if known == entry:
             return
         if known is not None and 0 < entry.started_ms < known.started_ms:
-            # Written by an earlier life, and late.
+            # A late write by an earlier incarnation.
             return
         self.runners[entry.runner_id] = entry
-        if known is None or _is_news(known, entry):
+        if known is None or _has_state_changed(known, entry):
             log_event(
                 log.RunnerSeen(
                     runner_id=entry.runner_id,
@@ -124,46 +125,46 @@
             )
         self._notify()
 
-    def record_leaving(self, said: LeavingReport) -> bool:
-        """Take that a life of a runner leaves, whatever its entry says.
+    def record_leaving(self, report: LeavingReport) -> bool:
+        """Record that a runner incarnation leaves, regardless of its entry.
 
         Returns:
-            Whether that was not known.
+            Whether this was not known before.
         """
-        known = self._leaving.get(said.runner_id)
-        if known is not None and not is_later_life(said.started_ms, known):
+        known = self._leaving.get(report.runner_id)
+        if known is not None and not is_later_life(report.started_ms, known):
             return False
         if len(self._leaving) >= MAX_LEAVING:
             del self._leaving[next(iter(self._leaving))]
-        self._leaving[said.runner_id] = said.started_ms
+        self._leaving[report.runner_id] = report.started_ms
         self._notify()
         return True
 
     def list_leaving(self) -> list[LeavingReport]:
-        """Return the runners that say that they leave."""
+        """Return a report for each runner that leaves."""
         return [
             LeavingReport(runner_id=runner_id, started_ms=started_ms)
             for runner_id, started_ms in self._leaving.items()
         ]
 
     def is_open(self, entry: RunnerEntry) -> bool:
-        """Return whether a runner takes new requests."""
+        """Return whether a runner accepts new requests."""
         if entry.draining:
             return False
         left_ms = self._leaving.get(entry.runner_id)
         return left_ms is None or is_later_life(entry.started_ms, left_ms)
 
     def contains_entry(self, entry: RunnerEntry) -> bool:
-        """Return whether an entry is in the view as it is, and for sure."""
+        """Return whether the view contains this entry and the store still does."""
         known = self.runners.get(entry.runner_id)
         return known == entry and entry.runner_id not in self._missing
 
     def withdraw_runner(self, runner_id: str) -> None:
-        """Take a runner away whose entry can't be read any more."""
-        self._drop_runner(runner_id, "its entry can't be read")
+        """Remove a runner whose entry can no longer be decoded."""
+        self._drop_runner(runner_id, "its entry cannot be decoded")
 
     def remove_runner(self, runner_id: str, now: float) -> None:
-        """Take a runner away, or keep it for a while just after an outage."""
+        """Remove a runner, or keep it for a while if an outage has just ended."""
         if runner_id not in self.runners:
             return
         if now < self._kept_until:
@@ -172,27 +173,27 @@
         self._drop_runner(runner_id, "its entry was removed")
 
     def expire_missing(self, now: float) -> None:
-        """Take away the runners whose entries have not come back in time."""
+        """Remove the runners whose entries have not come back in time."""
         if now < self._kept_until:
             return
         for runner_id in list(self._missing):
             self._drop_runner(runner_id, "its entry has not come back")
 
     def keep_only_runners(self, present: frozenset[str], now: float) -> None:
-        """Take away the runners that a full reading did not show."""
+        """Remove the runners that a snapshot does not contain."""
         for runner_id in set(self.runners) - present:
             self.remove_runner(runner_id, now)
 
     def update_member(self, key: str, member: Member) -> None:
-        """Take a member's announcement."""
+        """Add or update a member."""
         self.members[key] = member
 
     def remove_member(self, key: str) -> None:
-        """Take a member away."""
+        """Remove a member."""
         self.members.pop(key, None)
 
     def update_leader(self, leader: Leader | None) -> None:
-        """Take who holds the scheduler's key; None: nobody."""
+        """Update the holder of the scheduler's key; None if it is free."""
         if leader == self.leader:
             return
         self.leader = leader
@@ -206,7 +207,7 @@
         self._notify()
 
     def list_runners(self, service: str) -> list[RunnerEntry]:
-        """Return the runners of a service that take new requests."""
+        """Return the runners of a service that accept new requests."""
         return [
             each
             for each in self.runners.values()
@@ -214,11 +215,11 @@
         ]
 
     def list_open_runners(self) -> tuple[RunnerEntry, ...]:
-        """Return the runners of all services that take new requests."""
+        """Return the runners of all services that accept new requests."""
         return tuple(each for each in self.runners.values() if self.is_open(each))
 
     def find_open_runner(self, runner_id: str) -> RunnerEntry | None:
-        """Return a runner if it takes new requests."""
+        """Return a runner if it accepts new requests."""
         entry = self.runners.get(runner_id)
         return entry if entry is not None and self.is_open(entry) else None
 
@@ -229,13 +230,13 @@
             self._notify()
 
     def _notify(self) -> None:
-        self._changed = self._gathering
-        if self._gathering:
+        self._has_unnotified_change = self._is_deferring
+        if self._is_deferring:
             return
-        for call in self.on_change:
-            call()
+        for callback in self.on_change:
+            callback()
 
 
-def _is_news(known: RunnerEntry, entry: RunnerEntry) -> bool:
-    """Return whether a runner drains, or drains no more, or has started again."""
+def _has_state_changed(known: RunnerEntry, entry: RunnerEntry) -> bool:
+    """Return whether a runner's draining state changed or the runner has restarted."""
     return known.draining != entry.draining or known.started_ms != entry.started_ms
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -8,7 +8,7 @@
 
 from mangoway.coordination.crash_reporter import (
     MAX_PENDING,
-    WRITES_A_CALL,
+    MAX_WRITES_PER_CALL,
     CrashReporter,
 )
 from mangoway.coordination.crashes import (
@@ -194,7 +194,7 @@
         store.down = down
         told: list[str] = []
         async with start_nodes(store, 1) as [node]:
-            node.reporter.tell = lambda key, value: not told.append(key)
+            node.reporter.send_to_peers = lambda key, value: not told.append(key)
             node.reporter.post(make_crash("i-0@0"))
             await asyncio.sleep(0.6)
         assert told == (["crashes/i-0@0/e1"] if down else [])
@@ -205,10 +205,10 @@
         store.down = True
         told: list[str] = []
         async with start_nodes(store, 1) as [node]:
-            node.reporter.tell = lambda key, value: not told.append(key)
-            for number in range(3 * WRITES_A_CALL):
+            node.reporter.send_to_peers = lambda key, value: not told.append(key)
+            for number in range(3 * MAX_WRITES_PER_CALL):
                 node.reporter.post(make_crash(f"i-{number}@0"))
-            await async_wait_until(lambda: len(told) == 3 * WRITES_A_CALL)
+            await async_wait_until(lambda: len(told) == 3 * MAX_WRITES_PER_CALL)
 
     async def test_without_a_link_nobody_is_told(self) -> None:
         """It is told once there is one."""
@@ -223,7 +223,7 @@
             return linked
 
         async with start_nodes(store, 1) as [node]:
-            node.reporter.tell = tell
+            node.reporter.send_to_peers = tell
             node.reporter.post(make_crash("i-0@0"))
             await asyncio.sleep(0.4)
             linked = True
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -4,7 +4,7 @@
 import pytest
 
 from mangoway.coordination.store import Item, Snapshot
-from mangoway.coordination.view import RETURN_TIME_S, FleetView
+from mangoway.coordination.view import OUTAGE_RETENTION_S, FleetView
 from mangoway.platform.receiver import StoreReceiver
 
 from ..fakes.fleet import make_runner, make_table
@@ -66,9 +66,9 @@
         view.update_runner(make_runner("r1"))
         view.record_outage_end(now=10.0)
         view.remove_runner("r1", now=10.1)
-        view.expire_missing(now=10.0 + RETURN_TIME_S - 0.1)
+        view.expire_missing(now=10.0 + OUTAGE_RETENTION_S - 0.1)
         assert view.find_open_runner("r1") is not None
-        view.expire_missing(now=10.0 + RETURN_TIME_S)
+        view.expire_missing(now=10.0 + OUTAGE_RETENTION_S)
         assert view.find_open_runner("r1") is None
 
     def test_entry_removed_late_after_an_outage_is_not_kept_longer(self) -> None:
@@ -77,7 +77,7 @@
         view.update_runner(make_runner("r1"))
         view.record_outage_end(now=10.0)
         view.remove_runner("r1", now=11.5)
-        view.expire_missing(now=10.0 + RETURN_TIME_S)
+        view.expire_missing(now=10.0 + OUTAGE_RETENTION_S)
         assert view.find_open_runner("r1") is None
 
     def test_entry_that_comes_back_stays(self) -> None:
