--- a/tests/coordination/test_absence.py
+++ b/tests/coordination/test_absence.py
@@ -1,4 +1,4 @@
-"""Tests of removing the announcements of edges that are gone, in virtual time."""
+"""Tests of removing the announcements of absent edges, in virtual time."""
 
 import asyncio
 
@@ -60,7 +60,7 @@
 
 
 class TestAbsentEdges:
-    """What becomes of announcements when connections break."""
+    """Announcements of edges whose connections break."""
 
     async def test_lost_edge_is_removed_long_before_its_lease_ends(self) -> None:
         fleet = Fleet()
@@ -70,7 +70,7 @@
         assert fleet.list_hosts() == ["h0", "h2", "h3"]
         fleet.stop()
 
-    async def test_edge_that_connects_again_stays(self) -> None:
+    async def test_edge_that_reconnects_stays(self) -> None:
         fleet = Fleet()
         await asyncio.sleep(0.1)
         fleet.absent.record_disconnected("inc1")
@@ -80,7 +80,7 @@
         assert len(fleet.list_hosts()) == 4
         fleet.stop()
 
-    async def test_new_life_of_a_lost_edge_stays(self) -> None:
+    async def test_new_incarnation_of_a_lost_edge_stays(self) -> None:
         fleet = Fleet()
         await asyncio.sleep(0.1)
         fleet.absent.record_disconnected("inc1")
@@ -90,7 +90,7 @@
         fleet.stop()
 
     async def test_edge_that_is_announced_again_is_left_alone(self) -> None:
-        """It lives, though it doesn't reach the leader."""
+        """The edge is running, even if it does not reach the leader."""
         fleet = Fleet()
         await asyncio.sleep(0.1)
         fleet.absent.record_disconnected("inc1")
@@ -110,7 +110,7 @@
         assert len(fleet.list_hosts()) == 4
         fleet.stop()
 
-    async def test_only_the_leader_removes(self) -> None:
+    async def test_only_the_leader_removes_announcements(self) -> None:
         fleet = Fleet()
         fleet.leads = False
         await asyncio.sleep(0.1)
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of what processes tell each other of crashes through the store."""
+"""Tests of the crash statements that processes exchange through the store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -41,19 +41,19 @@
     return CrashStatement(life=life, edge=edge, charges=(Charge(identity, life),))
 
 
-def make_cleared(*lives: str) -> ClearanceStatement:
+def make_clearance(*lives: str) -> ClearanceStatement:
     clearance = Clearance(identity=CULPRIT, lives=frozenset(lives))
     return ClearanceStatement(clearance=clearance)
 
 
 class TestCodec:
-    """Statements as the store keeps them."""
+    """Encoding of statements in the store."""
 
     @pytest.mark.parametrize(
         "statement",
         [
             make_crash("i-1@0"),
-            make_cleared("i-1@0", "i-2@5"),
+            make_clearance("i-1@0", "i-2@5"),
             BlockStatement(
                 content=CULPRIT.content,
                 charges=(Charge(CULPRIT, "i-1@0", RunStage.BEGUN, True),),
@@ -61,7 +61,7 @@
         ],
         ids=lambda each: type(each).__name__,
     )
-    def test_statement_is_read_as_it_was_written(self, statement: Statement) -> None:
+    def test_encoded_statement_is_decoded_unchanged(self, statement: Statement) -> None:
         value = encode_statement(statement)
         assert decode_statement(statement.key, value) == statement
         assert len(PREFIX + statement.key) <= 200
@@ -76,13 +76,15 @@
             ("held/x", b"[]"),
         ],
     )
-    def test_what_cannot_be_read_is_said(self, key: str, value: bytes) -> None:
+    def test_undecodable_statement_raises_an_error(
+        self, key: str, value: bytes
+    ) -> None:
         with pytest.raises(StatementError):
             decode_statement(key, value)
 
 
-class Node:
-    """A process that follows the store, as an edge without a leader does."""
+class Process:
+    """A process that follows the store, like an edge without a leader."""
 
     def __init__(self, store: FakeCoordinationStore) -> None:
         self.clock = asyncio.get_running_loop().time
@@ -92,7 +94,7 @@
         self.reporter = CrashReporter(store, PREFIX)
         self.shift_s = 0.0
         self.leads = True
-        self.keeper = StatementMaintainer(
+        self.maintainer = StatementMaintainer(
             store=store,
             mirror=self.mirror,
             tracker=self.tracker,
@@ -111,126 +113,125 @@
 
 
 @asynccontextmanager
-async def start_nodes(
+async def start_processes(
     store: FakeCoordinationStore, count: int
-) -> AsyncIterator[list[Node]]:
-    nodes = [Node(store) for _ in range(count)]
+) -> AsyncIterator[list[Process]]:
+    processes = [Process(store) for _ in range(count)]
     try:
-        yield nodes
+        yield processes
     finally:
-        for node in nodes:
-            node.stop()
+        for process in processes:
+            process.stop()
 
 
-class TestSpread:
-    """What all processes know, whoever saw it."""
+class TestDistribution:
+    """Distribution of statements to all processes."""
 
-    async def test_crashes_at_three_hosts_hold_back_at_all(self) -> None:
-        async with start_nodes(FakeCoordinationStore(), 4) as nodes:
-            began = nodes[0].clock()
-            for number, node in enumerate(nodes[:3]):
-                node.reporter.post(make_crash(f"i-{number}@0", f"e{number}"))
+    async def test_crashes_seen_by_three_hosts_block_at_all(self) -> None:
+        async with start_processes(FakeCoordinationStore(), 4) as processes:
+            started_at = processes[0].clock()
+            for number, process in enumerate(processes[:3]):
+                process.reporter.post(make_crash(f"i-{number}@0", f"e{number}"))
             await async_wait_until(
-                lambda: all(each.tracker.is_blocked(CULPRIT) for each in nodes)
+                lambda: all(each.tracker.is_blocked(CULPRIT) for each in processes)
             )
-            assert nodes[0].clock() - began < 1.0
+            assert processes[0].clock() - started_at < 1.0
 
-    async def test_host_that_has_just_joined_knows_it(self) -> None:
+    async def test_host_that_has_just_joined_blocks_the_request(self) -> None:
         store = FakeCoordinationStore()
         for number in range(3):
             statement = make_crash(f"i-{number}@0")
             store.put(PREFIX + statement.key, encode_statement(statement))
-        async with start_nodes(store, 1) as [node]:
-            await async_wait_until(lambda: node.tracker.is_blocked(CULPRIT))
+        async with start_processes(store, 1) as [process]:
+            await async_wait_until(lambda: process.tracker.is_blocked(CULPRIT))
 
-    async def test_clearance_reaches_all(self) -> None:
-        async with start_nodes(FakeCoordinationStore(), 2) as nodes:
+    async def test_clearance_unblocks_at_all(self) -> None:
+        async with start_processes(FakeCoordinationStore(), 2) as processes:
             for number in range(3):
-                nodes[0].reporter.post(make_crash(f"i-{number}@0"))
-            await async_wait_until(lambda: nodes[1].tracker.is_blocked(CULPRIT))
-            nodes[0].reporter.post(make_cleared("i-0@0", "i-1@0", "i-2@0"))
-            await async_wait_until(lambda: not nodes[1].tracker.is_blocked(CULPRIT))
+                processes[0].reporter.post(make_crash(f"i-{number}@0"))
+            await async_wait_until(lambda: processes[1].tracker.is_blocked(CULPRIT))
+            processes[0].reporter.post(make_clearance("i-0@0", "i-1@0", "i-2@0"))
+            await async_wait_until(lambda: not processes[1].tracker.is_blocked(CULPRIT))
 
-    async def test_unreadable_statement_leaves_the_others(self) -> None:
+    async def test_undecodable_statement_does_not_affect_others(self) -> None:
         store = FakeCoordinationStore()
         store.put(PREFIX + "crashes/i-0@0/e9", b"\xff")
-        async with start_nodes(store, 1) as [node]:
+        async with start_processes(store, 1) as [process]:
             for number in range(3):
-                node.reporter.post(make_crash(f"i-{number}@0"))
-            await async_wait_until(lambda: node.tracker.is_blocked(CULPRIT))
+                process.reporter.post(make_crash(f"i-{number}@0"))
+            await async_wait_until(lambda: process.tracker.is_blocked(CULPRIT))
 
 
 class TestReporter:
-    """How an edge writes what it knows."""
+    """Writing the statements of an edge."""
 
-    async def test_what_breaks_together_takes_one_call(self) -> None:
+    async def test_simultaneous_crashes_take_one_call(self) -> None:
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
+        async with start_processes(store, 1) as [process]:
             for number in range(10):
-                node.reporter.post(make_crash(f"i-{number}@0"))
+                process.reporter.post(make_crash(f"i-{number}@0"))
             await async_wait_until(lambda: len(store.items) == 10)
         assert store.calls.count("commit") == 1
 
-    async def test_outage_is_outlasted(self) -> None:
+    async def test_statement_is_written_after_an_outage(self) -> None:
         store = FakeCoordinationStore()
         store.down = True
-        async with start_nodes(store, 1) as [node]:
-            node.reporter.post(make_crash("i-0@0"))
+        async with start_processes(store, 1) as [process]:
+            process.reporter.post(make_crash("i-0@0"))
             await asyncio.sleep(0.3)
             store.down = False
             await async_wait_until(lambda: len(store.items) == 1)
 
-    async def test_lost_answer_does_no_harm(self) -> None:
+    async def test_lost_response_causes_no_duplicate(self) -> None:
         store = FakeCoordinationStore()
         store.lose_answers = 1
-        async with start_nodes(store, 1) as [node]:
-            node.reporter.post(make_crash("i-0@0"))
-            await async_wait_until(lambda: not node.reporter._pending)
+        async with start_processes(store, 1) as [process]:
+            process.reporter.post(make_crash("i-0@0"))
+            await async_wait_until(lambda: not process.reporter._pending)
         assert len(store.items) == 1
 
     @pytest.mark.parametrize("down", [True, False])
-    async def test_others_are_told_once_if_the_store_is_away(self, down: bool) -> None:
+    async def test_peers_receive_it_once_if_the_store_is_down(self, down: bool) -> None:
         store = FakeCoordinationStore()
         store.down = down
-        told: list[str] = []
-        async with start_nodes(store, 1) as [node]:
-            node.reporter.send_to_peers = lambda key, value: not told.append(key)
-            node.reporter.post(make_crash("i-0@0"))
+        sent: list[str] = []
+        async with start_processes(store, 1) as [process]:
+            process.reporter.send_to_peers = lambda key, value: not sent.append(key)
+            process.reporter.post(make_crash("i-0@0"))
             await asyncio.sleep(0.6)
-        assert told == (["crashes/i-0@0/e1"] if down else [])
+        assert sent == (["crashes/i-0@0/e1"] if down else [])
 
-    async def test_all_that_waits_is_told(self) -> None:
-        """Also what is beyond one call of the store."""
+    async def test_all_pending_statements_are_sent_to_peers(self) -> None:
+        """They are not limited to the batch of one store call."""
         store = FakeCoordinationStore()
         store.down = True
-        told: list[str] = []
-        async with start_nodes(store, 1) as [node]:
-            node.reporter.send_to_peers = lambda key, value: not told.append(key)
+        sent: list[str] = []
+        async with start_processes(store, 1) as [process]:
+            process.reporter.send_to_peers = lambda key, value: not sent.append(key)
             for number in range(3 * MAX_WRITES_PER_CALL):
-                node.reporter.post(make_crash(f"i-{number}@0"))
-            await async_wait_until(lambda: len(told) == 3 * MAX_WRITES_PER_CALL)
+                process.reporter.post(make_crash(f"i-{number}@0"))
+            await async_wait_until(lambda: len(sent) == 3 * MAX_WRITES_PER_CALL)
 
-    async def test_without_a_link_nobody_is_told(self) -> None:
-        """It is told once there is one."""
+    async def test_statement_is_sent_to_peers_once_there_is_a_link(self) -> None:
         store = FakeCoordinationStore()
         store.down = True
-        told: list[str] = []
-        linked = False
+        sent: list[str] = []
+        is_linked = False
 
-        def tell(key: str, value: bytes) -> bool:
-            if linked:
-                told.append(key)
-            return linked
+        def send(key: str, value: bytes) -> bool:
+            if is_linked:
+                sent.append(key)
+            return is_linked
 
-        async with start_nodes(store, 1) as [node]:
-            node.reporter.send_to_peers = tell
-            node.reporter.post(make_crash("i-0@0"))
+        async with start_processes(store, 1) as [process]:
+            process.reporter.send_to_peers = send
+            process.reporter.post(make_crash("i-0@0"))
             await asyncio.sleep(0.4)
-            linked = True
-            await async_wait_until(lambda: told == ["crashes/i-0@0/e1"])
+            is_linked = True
+            await async_wait_until(lambda: sent == ["crashes/i-0@0/e1"])
 
-    async def test_call_at_its_largest_fits_a_frame_of_the_links(self) -> None:
-        """Twelve requests a runner: 200 hosts are told of each."""
+    async def test_largest_crash_statement_fits_a_link_frame(self) -> None:
+        """It contains the twelve requests of a runner, and is sent to 200 hosts."""
         charges = [
             Charge(
                 RequestIdentity(f"{number:012}", "v" * 12), "i-7f3a91c2@1700000000000"
@@ -242,108 +243,108 @@
         )
         assert len(statement.key + encode_statement(statement).decode()) < 500
 
-    async def test_what_waits_is_bounded(self) -> None:
+    async def test_pending_statements_are_bounded(self) -> None:
         reporter = CrashReporter(FakeCoordinationStore(), PREFIX)
         for number in range(MAX_PENDING + 50):
             reporter.post(make_crash(f"i-{number}@0"))
         assert len(reporter._pending) == MAX_PENDING
 
 
-class TestKeeper:
-    """What the leader looks after."""
+class TestMaintainer:
+    """Maintenance of the statements by the leader."""
 
-    async def async_hold(self, node: Node) -> None:
+    async def async_block(self, process: Process) -> None:
         for number in range(3):
-            node.reporter.post(make_crash(f"i-{number}@0"))
-        await async_wait_until(lambda: node.tracker.is_blocked(CULPRIT))
-        await async_wait_until(lambda: len(node.mirror.items) == 3)
+            process.reporter.post(make_crash(f"i-{number}@0"))
+        await async_wait_until(lambda: process.tracker.is_blocked(CULPRIT))
+        await async_wait_until(lambda: len(process.mirror.items) == 3)
 
-    async def test_leader_looks_by_itself(self) -> None:
-        """Nobody else writes down what is held back."""
+    async def test_leader_writes_block_statements(self) -> None:
+        """No other process writes them."""
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
-            task = asyncio.create_task(node.keeper.async_run())
-            await self.async_hold(node)
-            await async_wait_until(lambda: len(node.mirror.items) == 4)
+        async with start_processes(store, 1) as [process]:
+            task = asyncio.create_task(process.maintainer.async_run())
+            await self.async_block(process)
+            await async_wait_until(lambda: len(process.mirror.items) == 4)
             task.cancel()
 
-    async def test_what_is_held_back_outlasts_the_charges(self) -> None:
+    async def test_block_statement_outlasts_the_charges(self) -> None:
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
-            await self.async_hold(node)
-            await node.keeper.async_check()
-            await async_wait_until(lambda: len(node.mirror.items) == 4)
-            await node.keeper.async_check()
-            node.shift_s = CRASH_RETENTION_S + 1
-            await node.keeper.async_check()
-            await async_wait_until(lambda: len(node.mirror.items) == 1)
-            assert node.tracker.is_blocked(CULPRIT)
-            node.shift_s = BLOCK_S + CRASH_RETENTION_S + 2
-            await node.keeper.async_check()
-            await async_wait_until(lambda: not node.mirror.items)
-            assert not node.tracker.is_blocked(CULPRIT)
-
-    async def test_charges_stay_until_what_they_hold_is_written(self) -> None:
+        async with start_processes(store, 1) as [process]:
+            await self.async_block(process)
+            await process.maintainer.async_check()
+            await async_wait_until(lambda: len(process.mirror.items) == 4)
+            await process.maintainer.async_check()
+            process.shift_s = CRASH_RETENTION_S + 1
+            await process.maintainer.async_check()
+            await async_wait_until(lambda: len(process.mirror.items) == 1)
+            assert process.tracker.is_blocked(CULPRIT)
+            process.shift_s = BLOCK_S + CRASH_RETENTION_S + 2
+            await process.maintainer.async_check()
+            await async_wait_until(lambda: not process.mirror.items)
+            assert not process.tracker.is_blocked(CULPRIT)
+
+    async def test_charges_are_kept_until_the_block_is_written(self) -> None:
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
-            await self.async_hold(node)
-            await node.keeper.async_check()
-            held = PREFIX + BlockStatement(content=CULPRIT.content, charges=()).key
-            await async_wait_until(lambda: held in store.items)
-            store.remove(held)
-            await async_wait_until(lambda: held not in node.mirror.items)
-            node.shift_s = CRASH_RETENTION_S + 1
-            await node.keeper.async_check()
-            assert held in store.items
+        async with start_processes(store, 1) as [process]:
+            await self.async_block(process)
+            await process.maintainer.async_check()
+            block_key = PREFIX + BlockStatement(content=CULPRIT.content, charges=()).key
+            await async_wait_until(lambda: block_key in store.items)
+            store.remove(block_key)
+            await async_wait_until(lambda: block_key not in process.mirror.items)
+            process.shift_s = CRASH_RETENTION_S + 1
+            await process.maintainer.async_check()
+            assert block_key in store.items
             assert len(store.items) == 4
 
-    async def test_cleared_request_is_not_kept_held_back(self) -> None:
+    async def test_block_of_a_cleared_request_is_removed(self) -> None:
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
-            await self.async_hold(node)
-            await node.keeper.async_check()
-            node.reporter.post(make_cleared("i-0@0", "i-1@0", "i-2@0"))
-            await async_wait_until(lambda: len(node.mirror.items) == 5)
-            await node.keeper.async_check()
+        async with start_processes(store, 1) as [process]:
+            await self.async_block(process)
+            await process.maintainer.async_check()
+            process.reporter.post(make_clearance("i-0@0", "i-1@0", "i-2@0"))
+            await async_wait_until(lambda: len(process.mirror.items) == 5)
+            await process.maintainer.async_check()
             assert len(store.items) == 4
 
-    async def test_variant_that_follows_is_written_as_well(self) -> None:
+    async def test_block_of_a_later_variant_is_added(self) -> None:
         store = FakeCoordinationStore()
         other = RequestIdentity(CULPRIT.content, "w")
-        async with start_nodes(store, 1) as [node]:
-            await self.async_hold(node)
-            await node.keeper.async_check()
+        async with start_processes(store, 1) as [process]:
+            await self.async_block(process)
+            await process.maintainer.async_check()
             for number in range(3):
                 statement = make_crash(f"j-{number}@0", identity=other)
-                node.reporter.post(statement)
-            await async_wait_until(lambda: len(node.mirror.items) == 7)
-            await node.keeper.async_check()
+                process.reporter.post(statement)
+            await async_wait_until(lambda: len(process.mirror.items) == 7)
+            await process.maintainer.async_check()
             calls = store.calls.count("commit")
-            await async_wait_until(lambda: node.mirror.revision == store.revision)
-            await node.keeper.async_check()
+            await async_wait_until(lambda: process.mirror.revision == store.revision)
+            await process.maintainer.async_check()
             assert store.calls.count("commit") == calls
-            node.shift_s = CRASH_RETENTION_S + 1
-            await node.keeper.async_check()
-            await async_wait_until(lambda: len(node.mirror.items) == 1)
-            assert node.tracker.is_blocked(CULPRIT)
-            assert node.tracker.is_blocked(other)
+            process.shift_s = CRASH_RETENTION_S + 1
+            await process.maintainer.async_check()
+            await async_wait_until(lambda: len(process.mirror.items) == 1)
+            assert process.tracker.is_blocked(CULPRIT)
+            assert process.tracker.is_blocked(other)
 
-    async def test_only_a_leader_changes_the_store(self) -> None:
+    async def test_only_a_leader_writes_to_the_store(self) -> None:
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
-            await self.async_hold(node)
-            node.leads = False
-            await node.keeper.async_check()
-            node.shift_s = CRASH_RETENTION_S + 1
-            await node.keeper.async_check()
+        async with start_processes(store, 1) as [process]:
+            await self.async_block(process)
+            process.leads = False
+            await process.maintainer.async_check()
+            process.shift_s = CRASH_RETENTION_S + 1
+            await process.maintainer.async_check()
             assert len(store.items) == 3
 
-    async def test_outage_is_borne(self) -> None:
+    async def test_check_is_repeated_after_an_outage(self) -> None:
         store = FakeCoordinationStore()
-        async with start_nodes(store, 1) as [node]:
-            await self.async_hold(node)
+        async with start_processes(store, 1) as [process]:
+            await self.async_block(process)
             store.down = True
-            await node.keeper.async_check()
+            await process.maintainer.async_check()
             store.down = False
-            await node.keeper.async_check()
+            await process.maintainer.async_check()
             assert len(store.items) == 4
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -1,4 +1,4 @@
-"""Tests of who leads, in virtual time."""
+"""Tests of the leader election, in virtual time."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 class Receiver:
-    """Decodes the leader's key into a view."""
+    """A receiver that decodes the leader's key into a view."""
 
     def __init__(self, view: FleetView) -> None:
         self.view = view
@@ -30,12 +30,12 @@
     def apply_snapshot(self, snapshot: Snapshot) -> None:
         self.view.update_leader(None)
         for item in snapshot.items:
-            self._take(item)
+            self._apply(item)
 
     def apply_changes(self, changes: Changes) -> None:
         for change in changes.changes:
             if change.item is not None:
-                self._take(change.item)
+                self._apply(change.item)
             elif change.key == PREFIX + LEADER_KEY:
                 self.view.update_leader(None)
 
@@ -46,9 +46,9 @@
         return 1
 
     def record_outage_end(self, retention_s: float | None = None) -> None:
-        """Nothing depends on it here."""
+        """Ignore the call."""
 
-    def _take(self, item: Item) -> None:
+    def _apply(self, item: Item) -> None:
         if item.key == PREFIX + LEADER_KEY:
             self.view.update_leader(
                 Leader(
@@ -60,7 +60,7 @@
 
 
 class Candidate:
-    """A process that would lead."""
+    """A process that takes part in the election."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         name: str,
         *,
         fences: bool = False,
-        life: int = 1,
+        incarnation: int = 1,
         address: str = "127.0.0.1:1",
     ) -> None:
         self.clock_offset = 0.0
@@ -78,7 +78,7 @@
             host=name,
             role=Role.SCHEDULER,
             data_centre="dc1",
-            incarnation=f"inc-{name}-{life}",
+            incarnation=f"inc-{name}-{incarnation}",
             peer_address=address,
             caller_address="",
         )
@@ -112,10 +112,10 @@
 
 
 class TestElection:
-    """One holder at a time."""
+    """Acquisition of the key by one process at a time."""
 
-    async def test_standby_with_edges_goes_first(self) -> None:
-        """It knows what they run and ask for; the other would begin with nothing."""
+    async def test_standby_with_edges_has_precedence(self) -> None:
+        """It has the state of their requests; the other would start without any."""
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(1)
@@ -129,7 +129,7 @@
         idle.kill()
         busy.kill()
 
-    async def test_standby_without_edges_leads_where_no_other_does(self) -> None:
+    async def test_standby_without_edges_leads_if_there_is_no_other(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(1)
@@ -171,7 +171,7 @@
         await asyncio.sleep(1)
         first = one.leadership.fence
         one.kill()
-        again = Candidate(store, "a", life=2)
+        again = Candidate(store, "a", incarnation=2)
         await asyncio.sleep(1)
         second = again.leadership.fence
         assert first is not None
@@ -181,20 +181,20 @@
         assert again.leadership.fence == second
         again.kill()
 
-    async def test_host_of_the_same_name_elsewhere_waits(self) -> None:
-        """The holder may still live: only its own address shows that it has ended."""
+    async def test_host_of_the_same_name_at_another_address_waits(self) -> None:
+        """The holder may still run; only a process at its address proves its end."""
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(1)
         first = one.leadership.fence
-        other = Candidate(store, "a", life=2, address="127.0.0.2:1")
+        other = Candidate(store, "a", incarnation=2, address="127.0.0.2:1")
         await asyncio.sleep(1)
         assert one.leadership.fence == first
         assert other.leadership.fence is None
         one.kill()
         other.kill()
 
-    async def test_lost_answer_of_the_write_still_leads(self) -> None:
+    async def test_candidate_leads_after_a_lost_response_to_its_write(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(0.1)
@@ -203,7 +203,7 @@
         assert one.leadership.fence is not None
         one.kill()
 
-    async def test_orders_wait_out_the_holder_before(self) -> None:
+    async def test_orders_are_delayed_after_a_change_of_holder(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(1.0)
@@ -215,9 +215,9 @@
 
 
 class TestLoss:
-    """When a holder must stop."""
+    """Loss of the key."""
 
-    async def test_suspended_holder_gives_no_order_after_it_wakes(self) -> None:
+    async def test_suspended_holder_sends_no_orders_once_resumed(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a", fences=True)
         await asyncio.sleep(5)
@@ -236,7 +236,7 @@
         assert one.leadership.is_granting
         one.kill()
 
-    async def test_outage_is_outlasted_where_fences_are_checked(self) -> None:
+    async def test_outage_does_not_end_orders_where_fences_are_checked(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a", fences=True)
         await asyncio.sleep(5)
@@ -253,12 +253,12 @@
         await asyncio.sleep(1)
         store.end_lease(one.presence.lease_id)
         await asyncio.sleep(2)
-        held = [one.leadership.fence, other.leadership.fence]
-        assert sum(fence is not None for fence in held) == 1
+        fences = [one.leadership.fence, other.leadership.fence]
+        assert sum(fence is not None for fence in fences) == 1
         one.kill()
         other.kill()
 
-    async def test_refused_fence_is_never_used_again(self) -> None:
+    async def test_rejected_fence_is_never_used_again(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a", fences=True)
         await asyncio.sleep(5)
@@ -282,9 +282,9 @@
 
 
 class TestPresence:
-    """The announcement of a process."""
+    """Announcement of a process."""
 
-    async def test_lapsed_lease_is_made_anew(self) -> None:
+    async def test_expired_lease_is_replaced(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(2)
@@ -293,7 +293,7 @@
         assert PREFIX + one.presence.member.key in store.items
         one.kill()
 
-    async def test_leaving_takes_the_key_away(self) -> None:
+    async def test_leaving_removes_the_key(self) -> None:
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(2)
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -1,4 +1,4 @@
-"""Tests of the copy of the store's keys, in virtual time."""
+"""Tests of the mirror of the store, in virtual time."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Recorder:
-    """Takes what a mirror reads."""
+    """A receiver that records the state."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -44,7 +44,7 @@
 
 
 class StubFeed:
-    """A leader that is fresh or not."""
+    """A feed whose freshness the test sets."""
 
     def __init__(self, fresh: bool) -> None:
         self.fresh = fresh
@@ -53,16 +53,16 @@
         return self.fresh
 
 
-class PassOn:
-    """Hands what one mirror reads to another, as a link does."""
+class MirrorRelay:
+    """Relays the state of one mirror to another, as a link does."""
 
     def __init__(self, mirror: Mirror) -> None:
         self.mirror = mirror
-        self.passed = 0
+        self.relayed = 0
 
     def relay_snapshot(self, snapshot: Snapshot) -> None:
-        self.passed += 1
-        if self.passed < 100:
+        self.relayed += 1
+        if self.relayed < 100:
             self.mirror.apply_snapshot(snapshot)
 
     def relay_changes(self, changes: Changes) -> None:
@@ -74,9 +74,9 @@
 
 
 class TestMirror:
-    """One reading and one watch."""
+    """Following the store with one snapshot and one watch."""
 
-    async def test_changes_arrive(self) -> None:
+    async def test_changes_are_applied(self) -> None:
         store, recorder = FakeCoordinationStore(), Recorder()
         store.put("a", b"1")
         task = start(Mirror(store, recorder, loop_clock()))
@@ -88,7 +88,7 @@
         assert recorder.values == {"b": b"2"}
         assert recorder.snapshots == 1
 
-    async def test_forgotten_history_is_read_anew(self) -> None:
+    async def test_snapshot_is_read_again_if_history_is_lost(self) -> None:
         store, recorder = FakeCoordinationStore(), Recorder()
         task = start(Mirror(store, recorder, loop_clock()))
         await asyncio.sleep(0.1)
@@ -104,7 +104,7 @@
         assert recorder.outages == 1
 
     async def test_reset_connection_is_no_outage(self) -> None:
-        """A removal just after it must count at once, not be kept as a lapse."""
+        """A removal just after it must take effect at once, unlike an expired key."""
         store, recorder = FakeCoordinationStore(), Recorder()
         task = start(Mirror(store, recorder, loop_clock()))
         await asyncio.sleep(0.1)
@@ -115,7 +115,7 @@
         task.cancel()
         assert recorder.outages == 0
 
-    async def test_silent_watch_is_noticed(self) -> None:
+    async def test_silent_watch_is_replaced(self) -> None:
         store, recorder = FakeCoordinationStore(), Recorder()
         task = start(Mirror(store, recorder, loop_clock()))
         await asyncio.sleep(0.1)
@@ -137,9 +137,9 @@
 
 
 class TestFeed:
-    """Following the leader in place of the store."""
+    """Following the leader instead of the store."""
 
-    async def test_fresh_feed_spares_the_store(self) -> None:
+    async def test_fresh_feed_makes_store_calls_unnecessary(self) -> None:
         store, recorder = FakeCoordinationStore(), Recorder()
         mirror = Mirror(store, recorder, loop_clock(), feed=StubFeed(True))
         task = start(mirror)
@@ -147,7 +147,9 @@
         task.cancel()
         assert store.calls == []
 
-    async def test_stale_feed_is_replaced_from_the_same_revision(self) -> None:
+    async def test_store_is_watched_onwards_if_the_feed_is_stale(
+        self,
+    ) -> None:
         store, recorder = FakeCoordinationStore(), Recorder()
         store.put("a", b"1")
         feed = StubFeed(True)
@@ -162,26 +164,26 @@
         assert recorder.values == {"a": b"1", "b": b"2"}
         assert "list" not in store.calls
 
-    def test_older_reading_is_ignored(self) -> None:
+    def test_older_snapshot_is_ignored(self) -> None:
         recorder = Recorder()
         mirror = Mirror(FakeCoordinationStore(), recorder, lambda: 0.0)
-        new = Item(key="a", value=b"new", revision=9)
-        old = Item(key="a", value=b"old", revision=4)
-        mirror.apply_snapshot(Snapshot(items=(new,), revision=9))
-        mirror.apply_snapshot(Snapshot(items=(old,), revision=5))
+        newer = Item(key="a", value=b"new", revision=9)
+        older = Item(key="a", value=b"old", revision=4)
+        mirror.apply_snapshot(Snapshot(items=(newer,), revision=9))
+        mirror.apply_snapshot(Snapshot(items=(older,), revision=5))
         assert recorder.values == {"a": b"new"}
 
-    def test_two_that_follow_each_other_come_to_rest(self) -> None:
-        """They sent a reading back and forth: 0.05 GB between data centres a day."""
+    def test_two_mirrors_that_follow_each_other_stop_relaying(self) -> None:
+        """A snapshot sent back and forth causes 0.05 GB a day between data centres."""
         one = Mirror(FakeCoordinationStore(), Recorder(), lambda: 0.0)
         other = Mirror(FakeCoordinationStore(), Recorder(), lambda: 0.0)
-        one.follower, other.follower = PassOn(other), PassOn(one)
+        one.follower, other.follower = MirrorRelay(other), MirrorRelay(one)
         item = Item(key="a", value=b"1", revision=4)
         one.apply_snapshot(Snapshot(items=(item,), revision=4))
         assert other.revision == 4
-        assert one.follower.passed + other.follower.passed <= 2
+        assert one.follower.relayed + other.follower.relayed <= 2
 
-    def test_reading_without_known_items_is_completed(self) -> None:
+    def test_partial_snapshot_is_completed_with_known_items(self) -> None:
         recorder = Recorder()
         mirror = Mirror(FakeCoordinationStore(), recorder, lambda: 0.0)
         kept = Item(key="a", value=b"1", revision=2)
@@ -192,18 +194,18 @@
         assert recorder.values == {"a": b"1", "c": b"3"}
 
 
-class TestNews:
-    """What is passed on, and how often a process reads without a leader."""
+class TestRelay:
+    """Relayed changes, and the rate of watches without a leader."""
 
-    async def test_key_that_is_written_as_it_was_is_not_passed_on(self) -> None:
-        store, passed = FakeCoordinationStore(), list[Changes]()
+    async def test_unchanged_write_is_not_relayed(self) -> None:
+        store, relayed = FakeCoordinationStore(), list[Changes]()
 
         class Follower:
             def relay_snapshot(self, snapshot: Snapshot) -> None:
                 pass
 
             def relay_changes(self, changes: Changes) -> None:
-                passed.append(changes)
+                relayed.append(changes)
 
         store.put("a", b"1")
         mirror = Mirror(store, Recorder(), loop_clock(), follower=Follower())
@@ -214,12 +216,14 @@
         store.put("a", b"2")
         await asyncio.sleep(0.5)
         task.cancel()
-        assert [len(each.changes) for each in passed] == [0, 1]
-        assert passed[-1].revision == store.revision
+        assert [len(each.changes) for each in relayed] == [0, 1]
+        assert relayed[-1].revision == store.revision
 
     @pytest.mark.parametrize("processes", [8, 30, 100, 200])
-    async def test_reads_of_all_processes_are_bounded(self, processes: int) -> None:
-        """Each 0.4 s it was, whatever their number: 500 a second of 200."""
+    async def test_rate_of_watches_of_all_processes_is_bounded(
+        self, processes: int
+    ) -> None:
+        """One every 0.4 s by each of 200 processes would be 500 per second."""
         store, recorder = FakeCoordinationStore(), Recorder()
         recorder.processes = processes
         task = start(Mirror(store, recorder, loop_clock()))
@@ -230,8 +234,8 @@
         a_second = processes * store.calls.count("watch") / 10
         assert a_second <= 140
 
-    async def test_first_reading_may_be_old(self) -> None:
-        """It costs a tenth; the watch shows what has changed since."""
+    async def test_first_snapshot_may_be_old(self) -> None:
+        """It costs a tenth, and the watch returns the changes since."""
         store, recorder = FakeCoordinationStore(), Recorder()
         store.put("a", b"1")
         store.stale_list = True
--- a/tests/coordination/test_knowledge.py
+++ b/tests/coordination/test_mirror_age.py
@@ -1,4 +1,4 @@
-"""Tests of up to when a process knows all that the store acknowledged."""
+"""Tests of the age of the mirrored state."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 from ..fakes.polling import async_wait_until
 
 
-class Sink:
-    """Takes what a mirror reads."""
+class IgnoringReceiver:
+    """A receiver that ignores the state."""
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Nothing depends on it here."""
+        """Ignore the call."""
 
     def apply_changes(self, changes: Changes) -> None:
-        """Nothing depends on it here."""
+        """Ignore the call."""
 
     def has_effect(self, change: Change) -> bool:
         return True
@@ -25,28 +25,28 @@
         return 1
 
     def record_outage_end(self, retention_s: float | None = None) -> None:
-        """Nothing depends on it here."""
+        """Ignore the call."""
 
 
 class ShiftedClock:
-    """A boot clock that a test moves on, as a suspension of the host does."""
+    """A boot clock that a test advances, as a suspension of the host does."""
 
     def __init__(self) -> None:
-        self.passed_s = 0.0
+        self.suspended_s = 0.0
 
     def __call__(self) -> float:
-        return asyncio.get_running_loop().time() + self.passed_s
+        return asyncio.get_running_loop().time() + self.suspended_s
 
 
 def make_mirror(store: FakeCoordinationStore, clock: ShiftedClock) -> Mirror:
-    return Mirror(store, Sink(), loop_clock(), boot_clock=clock)
+    return Mirror(store, IgnoringReceiver(), loop_clock(), boot_clock=clock)
 
 
-class TestOwnReading:
-    """A process that reads the store itself."""
+class TestAge:
+    """Mirror of a process that reads the store itself."""
 
-    async def test_first_reading_alone_proves_nothing(self) -> None:
-        """It may be some seconds old; the watch after it shows what it lacks."""
+    async def test_first_snapshot_alone_leaves_the_age_unknown(self) -> None:
+        """It may be some seconds old; the next watch returns what it lacks."""
         store, clock = FakeCoordinationStore(), ShiftedClock()
         store.silent_watches = True
         mirror = make_mirror(store, clock)
@@ -57,17 +57,17 @@
         store.silent_watches = False
         task.cancel()
 
-    async def test_it_is_known_soon_after_the_start(self) -> None:
+    async def test_age_is_known_soon_after_the_start(self) -> None:
         store, clock = FakeCoordinationStore(), ShiftedClock()
         mirror = make_mirror(store, clock)
-        began = clock()
+        started_at = clock()
         task = asyncio.create_task(mirror.async_run())
         await asyncio.sleep(0.1)
-        assert mirror.known_at >= began
+        assert mirror.known_at >= started_at
         task.cancel()
 
-    async def test_age_counts_from_the_question(self) -> None:
-        """A watch that waited half a second shows what was so when it began."""
+    async def test_age_counts_from_the_request(self) -> None:
+        """A watch that waited for half a second shows the state at its start."""
         store, clock = FakeCoordinationStore(), ShiftedClock()
         mirror = make_mirror(store, clock)
         task = asyncio.create_task(mirror.async_run())
@@ -76,18 +76,18 @@
         assert mirror.measure_age() > 0.35
         task.cancel()
 
-    async def test_time_suspended_counts(self) -> None:
+    async def test_age_includes_time_of_suspension(self) -> None:
         store, clock = FakeCoordinationStore(), ShiftedClock()
         mirror = make_mirror(store, clock)
         task = asyncio.create_task(mirror.async_run())
         await asyncio.sleep(0.2)
-        clock.passed_s += 5.0
+        clock.suspended_s += 5.0
         assert mirror.measure_age() > 5.0
         await asyncio.sleep(1.5)
         assert mirror.measure_age() < 1.5
         task.cancel()
 
-    async def test_outage_lets_the_knowledge_age(self) -> None:
+    async def test_age_increases_during_an_outage(self) -> None:
         store, clock = FakeCoordinationStore(), ShiftedClock()
         mirror = make_mirror(store, clock)
         task = asyncio.create_task(mirror.async_run())
--- a/tests/coordination/test_presence.py
+++ b/tests/coordination/test_presence.py
@@ -1,4 +1,4 @@
-"""Tests of how a process stays announced, in virtual time."""
+"""Tests of keeping a process announced, in virtual time."""
 
 import asyncio
 
@@ -32,9 +32,9 @@
 
 
 class TestLostKey:
-    """A store that does not show the process."""
+    """A member's key that the store no longer contains."""
 
-    async def test_reading_from_before_the_write_says_nothing(self) -> None:
+    async def test_loss_before_the_last_write_is_ignored(self) -> None:
         store = FakeCoordinationStore()
         presence = make_presence(store)
         task = asyncio.get_running_loop().create_task(presence.async_run())
@@ -43,7 +43,7 @@
         assert presence.announced
         task.cancel()
 
-    async def test_key_that_is_gone_is_written_again(self) -> None:
+    async def test_lost_key_is_written_again(self) -> None:
         store = FakeCoordinationStore()
         presence = make_presence(store)
         task = asyncio.get_running_loop().create_task(presence.async_run())
@@ -56,7 +56,7 @@
         assert store.revision > revision
         task.cancel()
 
-    async def test_it_is_written_before_the_lease_is_to_be_renewed(self) -> None:
+    async def test_lost_key_is_written_before_the_next_renewal(self) -> None:
         store = FakeCoordinationStore()
         presence = make_presence(store, renew_s=EDGE_RENEW_S)
         task = asyncio.get_running_loop().create_task(presence.async_run())
@@ -68,9 +68,9 @@
 
 
 class TestRenewals:
-    """What it costs to stay announced, and for how long one that is gone still is."""
+    """Cost of renewals, and the time for which a stopped process stays announced."""
 
-    async def test_edge_renews_each_second_and_a_half(self) -> None:
+    async def test_edge_renews_every_second_and_a_half(self) -> None:
         store = FakeCoordinationStore()
         presence = make_presence(store, renew_s=EDGE_RENEW_S)
         task = asyncio.get_running_loop().create_task(presence.async_run())
@@ -80,12 +80,12 @@
         assert store.calls.count("renew") <= 20
 
     @pytest.mark.parametrize("renew_s", [RENEW_S, EDGE_RENEW_S])
-    async def test_process_that_is_gone_is_not_announced_for_long(
+    async def test_stopped_process_is_not_announced_for_long(
         self, renew_s: float
     ) -> None:
-        """With a lease of 9 s callers were told a host that was gone for 6.2 s.
+        """With a lease of 9 s, callers received a host that had been gone for 6.2 s.
 
-        The leader had been on the same host, so that nobody took the key away.
+        The leader had run on the same failed host, so no process removed the key.
         """
         store = FakeCoordinationStore()
         presence = make_presence(store, renew_s=renew_s)
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of what a process knows of the fleet."""
+"""Tests of a process's view of the fleet."""
 
 import orjson
 import pytest
@@ -11,9 +11,9 @@
 
 
 class TestTable:
-    """The configuration in force."""
+    """Updates of the configuration."""
 
-    def test_newer_version_is_taken(self) -> None:
+    def test_newer_version_is_applied(self) -> None:
         view = FleetView()
         assert view.apply_table(make_table(version=3))
         assert view.apply_table(make_table(version=7))
@@ -29,9 +29,9 @@
 
 
 class TestRunners:
-    """Runners that come, drain and go."""
+    """Runners that are added, drain and are removed."""
 
-    def test_draining_runner_gets_nothing_more(self) -> None:
+    def test_draining_runner_is_not_listed(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.update_runner(make_runner("r2"))
@@ -39,13 +39,13 @@
         assert [each.runner_id for each in view.list_runners("llm")] == ["r2"]
         assert view.find_open_runner("r1") is None
 
-    def test_late_entry_of_an_earlier_life_is_ignored(self) -> None:
+    def test_late_entry_of_an_earlier_incarnation_is_ignored(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1", started_ms=2000))
         view.update_runner(make_runner("r1", ("a",), started_ms=1000))
         assert view.runners["r1"].started_ms == 2000
 
-    def test_runner_with_an_unreadable_entry_is_not_used(self) -> None:
+    def test_runner_with_an_undecodable_entry_is_removed(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.update_runner(make_runner("r2"))
@@ -55,13 +55,13 @@
         view.update_runner(make_runner("r1"))
         assert len(view.list_runners("llm")) == 2
 
-    def test_removed_runner_is_gone_at_once(self) -> None:
+    def test_removal_takes_effect_at_once(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.remove_runner("r1", now=10.0)
         assert view.list_runners("llm") == []
 
-    def test_entry_that_lapsed_in_an_outage_is_kept_until_it_can_be_back(self) -> None:
+    def test_entry_that_expired_in_an_outage_is_kept_for_a_while(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.record_outage_end(now=10.0)
@@ -71,8 +71,8 @@
         view.expire_missing(now=10.0 + OUTAGE_RETENTION_S)
         assert view.find_open_runner("r1") is None
 
-    def test_entry_removed_late_after_an_outage_is_not_kept_longer(self) -> None:
-        """What goes 1.5 s after an outage must be obeyed within two seconds."""
+    def test_entry_removed_late_after_an_outage_is_kept_no_longer(self) -> None:
+        """A removal 1.5 s after an outage must take effect within two seconds."""
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.record_outage_end(now=10.0)
@@ -80,7 +80,7 @@
         view.expire_missing(now=10.0 + OUTAGE_RETENTION_S)
         assert view.find_open_runner("r1") is None
 
-    def test_entry_that_comes_back_stays(self) -> None:
+    def test_entry_that_comes_back_is_kept(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.record_outage_end(now=10.0)
@@ -89,30 +89,30 @@
         view.expire_missing(now=60.0)
         assert view.find_open_runner("r1") is not None
 
-    def test_full_reading_takes_away_what_it_does_not_show(self) -> None:
+    def test_runners_missing_in_a_snapshot_are_removed(self) -> None:
         view = FleetView()
         view.update_runner(make_runner("r1"))
         view.update_runner(make_runner("r2"))
         view.keep_only_runners(frozenset({"r2"}), now=10.0)
         assert set(view.runners) == {"r2"}
 
-    def test_heartbeat_without_change_notifies_nobody(self) -> None:
+    def test_unchanged_entry_causes_no_notification(self) -> None:
         view = FleetView()
-        told: list[int] = []
+        notifications: list[int] = []
         view.update_runner(make_runner("r1"))
-        view.on_change.append(lambda: told.append(1))
+        view.on_change.append(lambda: notifications.append(1))
         view.update_runner(make_runner("r1"))
-        assert told == []
+        assert notifications == []
 
 
-class TestGathering:
-    """Who is told of changes, and how often."""
+class TestNotifications:
+    """Number of notifications that listeners receive."""
 
     @pytest.mark.parametrize("runners", [30, 300, 3000])
-    def test_reading_is_told_once(self, runners: int) -> None:
-        """Each listener looks at all runners: told of each, it took their square."""
-        view, told = FleetView(), list[int]()
-        view.on_change.append(lambda: told.append(len(view.runners)))
+    def test_snapshot_causes_one_notification(self, runners: int) -> None:
+        """Listeners iterate over all runners, so one per runner would be quadratic."""
+        view, notifications = FleetView(), list[int]()
+        view.on_change.append(lambda: notifications.append(len(view.runners)))
         items = tuple(
             Item(
                 key=f"servers/r{number}",
@@ -123,22 +123,22 @@
         )
         receiver = StoreReceiver(view, lambda: 0.0)
         receiver.apply_snapshot(Snapshot(items=items, revision=runners))
-        assert told == [runners]
+        assert notifications == [runners]
 
-    def test_reading_without_news_is_not_told(self) -> None:
-        view, told = FleetView(), list[int]()
+    def test_unchanged_snapshot_causes_no_notification(self) -> None:
+        view, notifications = FleetView(), list[int]()
         item = Item(key="servers/r0", value=make_entry(0), revision=1)
         receiver = StoreReceiver(view, lambda: 0.0)
         receiver.apply_snapshot(Snapshot(items=(item,), revision=1))
-        view.on_change.append(lambda: told.append(1))
+        view.on_change.append(lambda: notifications.append(1))
         receiver.apply_snapshot(Snapshot(items=(item,), revision=2))
-        assert told == []
+        assert notifications == []
 
-    def test_change_outside_of_a_reading_is_told_at_once(self) -> None:
-        view, told = FleetView(), list[int]()
-        view.on_change.append(lambda: told.append(1))
+    def test_single_change_causes_a_notification_at_once(self) -> None:
+        view, notifications = FleetView(), list[int]()
+        view.on_change.append(lambda: notifications.append(1))
         view.update_runner(make_runner("r1"))
-        assert told == [1]
+        assert notifications == [1]
 
 
 def make_entry(number: int) -> bytes:
