--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -7,8 +7,8 @@
 from attrs import define, field
 
 from ..coordination.absence import AbsentEdges
-from ..coordination.crash_keeper import CrashKeeper
 from ..coordination.leadership import Leadership
+from ..coordination.statement_maintainer import StatementMaintainer
 from ..models.fleet import Role
 from ..models.signals import LeavingReport, RunnerSignals
 from ..observability import fleet_events as log
@@ -80,7 +80,7 @@
     leadership: Leadership = field(init=False)
     server: SchedulerServer = field(init=False)
     absent: AbsentEdges = field(init=False)
-    keeper: CrashKeeper = field(init=False)
+    statement_maintainer: StatementMaintainer = field(init=False)
     orders: OrderSender = field(init=False)
     reports: ReportReader = field(init=False)
     control: RunnerControl = field(factory=RunnerControl, init=False)
@@ -137,7 +137,7 @@
             clock=process.clock,
             may_remove=lambda: self.leadership.fence is not None,
         )
-        self.keeper = CrashKeeper(
+        self.statement_maintainer = StatementMaintainer(
             store=process.store,
             mirror=process.mirror,
             tracker=process.crashes,
@@ -168,7 +168,7 @@
             self.leadership.async_run,
             self.server.async_run,
             self.absent.async_run,
-            self.keeper.async_run,
+            self.statement_maintainer.async_run,
             self._async_track_leadership,
             self.reports.async_run,
             self._async_log_summaries,
@@ -278,7 +278,7 @@
         if connected:
             self.absent.record_reconnected(incarnation)
         else:
-            self.absent.record_lost(incarnation)
+            self.absent.record_disconnected(incarnation)
 
     async def _async_track_leadership(self) -> None:
         """Update the core and the edges when this process starts or stops granting."""
