--- a/mangoway/platform/__init__.py
+++ b/mangoway/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapter for the platform: its names, formats and calls, without any policy."""
--- a/mangoway/platform/documents.py
+++ b/mangoway/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes what the operator and the runners write in the store."""
+"""Decodes documents that the operator and the runners write to the store."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -29,7 +29,7 @@
 CONFIGURATION_KEY: Final = "op/config"
 RUNNER_PREFIX: Final = "servers/"
 OWN_PREFIX: Final = "mangoway/"
-"""Keys of this system; the platform keeps the two prefixes above for itself."""
+"""Prefix of this system's keys; the platform reserves the two prefixes above."""
 
 MS_PER_S: Final = 1000.0
 MAX_PORT: Final = 65_535
@@ -37,15 +37,15 @@
 READY: Final = "ready"
 DRAINING: Final = "draining"
 
-UNREADABLE: Final = (LookupError, TypeError, ValueError, ArithmeticError)
-"""What a document of another shape raises while its fields are taken apart."""
+DECODE_ERRORS: Final = (LookupError, TypeError, ValueError, ArithmeticError)
+"""Errors raised while decoding the fields of a document with an unexpected shape."""
 
 
 def decode_configuration(document: bytes) -> RoutingTable:
     """Decode one version of the operator's configuration.
 
     Raises:
-        DocumentError: If it can't be read.
+        DocumentError: If the configuration is invalid.
     """
     try:
         fields = read_object(orjson.loads(document), "the configuration")
@@ -58,19 +58,21 @@
             limits=_decode_limits(fields.get("limits") or {}),
             customers=_decode_customers(fields.get("tenants")),
         )
-    except UNREADABLE as error:
-        raise DocumentError(f"configuration can't be read: {error!r}") from error
+    except DECODE_ERRORS as error:
+        raise DocumentError(f"invalid configuration: {error!r}") from error
 
 
 def decode_runner(key: str, document: bytes) -> RunnerEntry:
-    """Decode the entry of a runner; other writers may leave anything under its key.
+    """Decode the entry of a runner.
+
+    Other writers may store arbitrary bytes under its key.
 
     Raises:
-        DocumentError: If it can't be read, or names no runner that could be used.
+        DocumentError: If the entry is invalid or describes no usable runner.
     """
     try:
         fields = read_object(orjson.loads(document), "the entry")
-        left_ms = read_number(fields, "remaining_ms")
+        remaining_ms = read_number(fields, "remaining_ms")
         return RunnerEntry(
             runner_id=key.removeprefix(RUNNER_PREFIX),
             service=read_text(fields, "service"),
@@ -78,25 +80,26 @@
             data_centre=read_text(fields, "zone"),
             slots=_read_slots(fields),
             draining=_read_draining(fields),
-            seconds_left=None if left_ms is None else left_ms / MS_PER_S,
+            seconds_left=None if remaining_ms is None else remaining_ms / MS_PER_S,
             models=decode_models(fields.get("models")),
-            started_ms=read_started(fields),
+            started_ms=read_started_ms(fields),
         )
-        # `seq` counts the runner's heartbeats here; in its report it counts orders.
-    except (DocumentError, *UNREADABLE) as error:
-        raise DocumentError(f"entry {key} can't be read: {error}") from error
+        # `seq` is ignored: here it counts heartbeats of the runner, whereas in its
+        # report it counts orders.
+    except (DocumentError, *DECODE_ERRORS) as error:
+        raise DocumentError(f"invalid entry {key}: {error}") from error
 
 
-def read_started(fields: Mapping[str, Any]) -> int:
-    """Return when a runner's present life began, in Unix ms; 0 if it doesn't say."""
+def read_started_ms(fields: Mapping[str, Any]) -> int:
+    """Return the start of a runner's incarnation in Unix ms; 0 if it is missing."""
     return read_integer(fields, "born", 0)
 
 
 def decode_models(value: Any) -> tuple[ResidentModel, ...]:
-    """Decode the list of models that a runner holds.
+    """Decode the list of models that are loaded at a runner.
 
     Raises:
-        DocumentError: If it can't be read.
+        DocumentError: If the list is invalid.
     """
     return tuple(_decode_resident(each) for each in read_list(value, "models"))
 
@@ -107,11 +110,12 @@
     return ResidentModel(
         name=read_text(fields, "name"),
         version=read_integer(fields, "version", 0),
-        adapters=frozenset(_name_adapter(each) for each in adapters),
+        adapters=frozenset(_decode_adapter_name(each) for each in adapters),
     )
 
 
-def _name_adapter(value: Any) -> str:
+def _decode_adapter_name(value: Any) -> str:
+    """Return the name of an adapter, given as text or object, without its version."""
     name = read_text(value if isinstance(value, dict) else {"name": value}, "name")
     return name.partition("@")[0]
 
@@ -120,21 +124,21 @@
     address = read_text(fields, "address")
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise DocumentError(f"no address of a host and port: {address!r}")
+        raise DocumentError(f"address is not host:port: {address!r}")
     return address
 
 
 def _read_slots(fields: Mapping[str, Any]) -> int:
     slots = read_integer(fields, "slots")
     if slots < 1:
-        raise DocumentError(f"a runner without slots: {slots}")
+        raise DocumentError(f"number of slots is not positive: {slots}")
     return slots
 
 
 def _read_draining(fields: Mapping[str, Any]) -> bool:
     state = fields.get("state")
     if state not in (READY, DRAINING):
-        raise DocumentError(f"no known state: {state!r}")
+        raise DocumentError(f"unknown state: {state!r}")
     return bool(state == DRAINING)
 
 
@@ -166,7 +170,7 @@
 
 
 def _decode_customers(value: Any) -> CustomerRegistry | None:
-    """Decode the customers; a configuration without any asks for no keys."""
+    """Return the customers; None if there are none, so that no keys are required."""
     if not value:
         return None
     registry = CustomerRegistry()
@@ -196,9 +200,9 @@
 
 
 def _read_key(value: Any) -> str:
-    """Return a key; an error must not show it."""
+    """Return an API key; error messages must not contain it."""
     if not isinstance(value, str) or not value:
-        raise DocumentError("a key is no text")
+        raise DocumentError("a key is not a non-empty string")
     return value
 
 
@@ -242,14 +246,16 @@
 
 def _decode_limits(value: Any) -> CallerLimits:
     fields = read_object(value, "the limits")
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        max_header_bytes=int(fields.get("max_header_bytes") or usual.max_header_bytes),
-        max_body_bytes=int(fields.get("max_body_bytes") or usual.max_body_bytes),
+        max_header_bytes=int(
+            fields.get("max_header_bytes") or defaults.max_header_bytes
+        ),
+        max_body_bytes=int(fields.get("max_body_bytes") or defaults.max_body_bytes),
         header_timeout_s=float(fields["header_timeout_ms"]) / MS_PER_S
         if fields.get("header_timeout_ms")
-        else usual.header_timeout_s,
+        else defaults.header_timeout_s,
         idle_timeout_s=float(fields["idle_timeout_ms"]) / MS_PER_S
         if fields.get("idle_timeout_ms")
-        else usual.idle_timeout_s,
+        else defaults.idle_timeout_s,
     )
--- a/mangoway/platform/fields.py
+++ b/mangoway/platform/fields.py
@@ -1,70 +1,70 @@
-"""Reads fields of decoded documents, and refuses those of another type."""
+"""Type-checked access to the fields of decoded documents."""
 
 from collections.abc import Mapping
 from typing import Any
 
 
 class DocumentError(Exception):
-    """A document of the platform can't be read."""
+    """A document of the platform is invalid."""
 
 
-def read_object(value: Any, what: str) -> Mapping[str, Any]:
+def read_object(value: Any, description: str) -> Mapping[str, Any]:
     """Return a value that must be an object.
 
     Raises:
-        DocumentError: If it is none.
+        DocumentError: If it is not an object.
     """
     if not isinstance(value, dict):
-        raise DocumentError(f"{what} is no object")
+        raise DocumentError(f"{description} is not an object")
     return value
 
 
-def read_list(value: Any, what: str) -> list[Any]:
-    """Return a value that must be a list; a missing one is empty.
+def read_list(value: Any, description: str) -> list[Any]:
+    """Return a value that must be a list; an empty list if it is None.
 
     Raises:
-        DocumentError: If it is none.
+        DocumentError: If it is not a list.
     """
     if value is None:
         return []
     if not isinstance(value, list):
-        raise DocumentError(f"{what} is no list")
+        raise DocumentError(f"{description} is not a list")
     return value
 
 
 def read_text(fields: Mapping[str, Any], name: str) -> str:
-    """Return a field that must hold text.
+    """Return a field that must be a non-empty string.
 
     Raises:
         DocumentError: If it is missing, empty or of another type.
     """
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise DocumentError(f"{name} is no text: {value!r}")
+        raise DocumentError(f"{name} is not a non-empty string: {value!r}")
     return value
 
 
 def read_integer(
     fields: Mapping[str, Any], name: str, default: int | None = None
 ) -> int:
-    """Return a field that must hold a whole number.
+    """Return a field that must be an integer.
 
     Args:
         fields: The document.
         name: Name of the field.
-        default: Value of a missing field; None if it must be there.
+        default: Value used if the field is missing; None if it is required.
 
     Raises:
         DocumentError: If it is missing or of another type.
     """
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise DocumentError(f"{name} is no whole number: {value!r}")
+        raise DocumentError(f"{name} is not an integer: {value!r}")
     return value
 
 
 def read_number(fields: Mapping[str, Any], name: str) -> float | None:
-    """Return a field that must hold a number; None if it is missing.
+    """Return a field that must be a number; None if it is missing.
 
     Raises:
         DocumentError: If it is of another type.
@@ -73,5 +73,5 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise DocumentError(f"{name} is no number: {value!r}")
+        raise DocumentError(f"{name} is not a number: {value!r}")
     return float(value)
--- a/mangoway/platform/headers.py
+++ b/mangoway/platform/headers.py
@@ -1,24 +1,25 @@
-"""Names of the header fields, each with what it holds."""
+"""Names and formats of the platform's HTTP header fields."""
 
 from typing import Final
 
 REQUEST_ID: Final = b"x-request-id"
 SIGNATURE: Final = b"x-response-signature"
 NOT_EXECUTED: Final = b"x-not-executed"
-"""Set by a runner that refused a request without running it."""
+"""Set by a runner that rejected a request without running it."""
 
 REQUEST_LIMIT: Final = b"server-limit"
-"""Requests a second that a runner takes from all hosts together, a decimal number. It
-holds for as long as the runner's answers name it."""
+"""Rate limit of a runner for all hosts together, a decimal number of requests per
+second. It is in effect for as long as the runner's responses contain it."""
 
 RETRY_AFTER: Final = b"retry-after"
-"""Seconds for which a runner that refuses with 503 wants nothing of this host."""
+"""Cooldown in a 503 response: seconds in which this host must not send requests to the
+runner."""
 
 LEAVING: Final = b"server-leaving"
-"""`1` in all answers of a runner that leaves."""
+"""`1` in all responses of a runner that is leaving."""
 
 DEADLINE: Final = b"x-deadline-ms"
-"""Milliseconds that are left; no point in time."""
+"""Remaining time in milliseconds, not a point in time."""
 
 EXPECTED_INSTANCE: Final = b"x-expect-instance"
 PRIORITY: Final = b"x-request-priority"
@@ -26,16 +27,16 @@
 """`model` or `model/adapter`."""
 
 TOKEN_USAGE: Final = b"x-token-usage"
-"""`prompt,most output`, in tokens."""
+"""`prompt tokens,maximum output tokens`."""
 
 PROMPT_PARTS: Final = b"x-prompt-prefix"
-"""All parts of the prompt in order, as `hex id:tokens`; not only a prefix."""
+"""All parts of the prompt in order, not only a prefix: `hex id:tokens,...`."""
 
 AUTHORIZATION: Final = b"authorization"
-"""`Bearer KEY`, the key of a customer."""
+"""`Bearer KEY` with an API key of a customer."""
 
 CUSTOMER: Final = b"x-tenant"
-"""The customer's name, for runners; callers say it by their key only."""
+"""Name of the customer, sent to runners; callers are identified by key only."""
 
 LENGTH_HINT: Final = b"x-length-hint"
 LAST_EVENT: Final = b"last-event-id"
@@ -54,4 +55,4 @@
         b"kv-fetch",
     }
 )
-"""Fields that only this system may set; a caller's own are not forwarded."""
+"""Fields that only this system may set; those sent by callers are removed."""
--- a/mangoway/platform/pages.py
+++ b/mangoway/platform/pages.py
@@ -1,4 +1,4 @@
-"""What the platform's callers ask an edge besides requests: addresses, readiness."""
+"""Codec of the directory and readiness endpoints of an edge."""
 
 from typing import Final
 from urllib.parse import parse_qs
@@ -14,27 +14,27 @@
 
 
 @frozen(kw_only=True)
-class AddressQuestion:
-    """Which edges to use, asked by a caller."""
+class AddressRequest:
+    """Request of a caller for the addresses of edges."""
 
     name: str
     data_centre: str
 
 
-def decode_address_request(request: Request) -> AddressQuestion | None:
-    """Return what a caller asks the directory; None if it is something else."""
+def decode_address_request(request: Request) -> AddressRequest | None:
+    """Decode a request to the directory; return None for other methods or paths."""
     if request.path != PATH_RESOLVE or request.method != b"GET":
         return None
     query = request.target.partition(b"?")[2].decode("latin-1")
     fields = parse_qs(query)
-    return AddressQuestion(
+    return AddressRequest(
         name=fields.get("name", [""])[0],
-        # `zone` is a data centre; `region` holds several and is not needed.
+        # `zone` is a data centre. `region` is a group of data centres and is ignored.
         data_centre=fields.get("zone", [""])[0],
     )
 
 
 def encode_addresses(addresses: list[str], ttl_s: float) -> tuple[Headers, bytes]:
-    """Return fields and body of the directory's answer."""
+    """Return header fields and body of a response of the directory."""
     body = orjson.dumps({"addresses": addresses, "ttl_s": ttl_s})
     return (JSON_TYPE,), body
--- a/mangoway/platform/receiver.py
+++ b/mangoway/platform/receiver.py
@@ -1,4 +1,4 @@
-"""Turns what the mirror reads in the store into the fleet's view."""
+"""Applies snapshots and changes of the store to the view of the fleet."""
 
 from collections.abc import Callable
 
@@ -28,29 +28,29 @@
 
 @define(eq=False)
 class StoreReceiver:
-    """Decodes keys and values of the store for a view."""
+    """Decodes keys and values of the store and updates a view with them."""
 
     view: FleetView
     clock: Callable[[], float]
-    """Steady time in seconds."""
+    """Monotonic time in seconds."""
 
     crashes: CrashTracker = field(factory=CrashTracker)
     _statements: set[str] = field(factory=set, init=False)
-    """Keys of the statements on crashes that were read."""
+    """Keys of the crash statements in the store."""
 
-    _unreadable: dict[str, int] = field(factory=dict, init=False)
-    """Keys whose value can't be read, with the readings that showed so."""
+    _failure_counts: dict[str, int] = field(factory=dict, init=False)
+    """Number of consecutive failures to decode a value, by key."""
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take a full reading: what it doesn't show is gone."""
+        """Apply a snapshot of the store; keys missing from it count as deleted."""
         with self.view.defer_notifications():
-            self._take_snapshot(snapshot)
+            self._apply_snapshot(snapshot)
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
         now = self.clock()
         keys = frozenset(item.key for item in snapshot.items)
         for item in snapshot.items:
-            self._take_item(item, now)
+            self._apply_item(item, now)
         runners = frozenset(
             key.removeprefix(RUNNER_PREFIX)
             for key in keys
@@ -65,17 +65,17 @@
             self._withdraw_statement(key)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take changes in their order."""
+        """Apply changes in order."""
         now = self.clock()
         with self.view.defer_notifications():
             for change in changes.changes:
-                self._take_change(change, now)
+                self._apply_change(change, now)
 
     def has_effect(self, change: Change) -> bool:
-        """Return whether a change will show in the view.
+        """Return whether a change would alter the view.
 
-        Runners write their entries about once a second, most as they were but for a
-        number that counts these writes.
+        Runners rewrite their entries about once a second, and most rewrites differ only
+        in a counter of these writes.
         """
         if change.item is None or not change.key.startswith(RUNNER_PREFIX):
             return True
@@ -86,26 +86,26 @@
         return not self.view.contains_entry(entry)
 
     def count_processes(self) -> int:
-        """Return the processes of the system that are known, this one included."""
+        """Return the number of known processes of the system, including this one."""
         return max(1, len(self.view.members))
 
     def record_outage_end(self, retention_s: float | None = None) -> None:
-        """Note that the store answers again after an outage.
+        """Record that the store is available again after an outage.
 
         Args:
-            retention_s: Seconds for which entries that vanish are kept; None: the
-                usual.
+            retention_s: Seconds for which entries that are missing from the store are
+                kept; None for the view's default.
         """
         if retention_s is None:
             self.view.record_outage_end(self.clock())
         else:
             self.view.record_outage_end(self.clock(), retention_s)
 
-    def _take_change(self, change: Change, now: float) -> None:
+    def _apply_change(self, change: Change, now: float) -> None:
         if change.item is None:
-            self._unreadable.pop(change.key, None)
+            self._failure_counts.pop(change.key, None)
         if change.item is not None:
-            self._take_item(change.item, now)
+            self._apply_item(change.item, now)
         elif change.key.startswith(RUNNER_PREFIX):
             self.view.remove_runner(change.key.removeprefix(RUNNER_PREFIX), now)
         elif change.key.startswith(OWN_MEMBER_KEYS):
@@ -115,24 +115,27 @@
         elif change.key.startswith(OWN_STATEMENT_KEYS):
             self._withdraw_statement(change.key)
 
-    def _take_item(self, item: Item, now: float) -> None:
+    def _apply_item(self, item: Item, now: float) -> None:
         try:
-            self._decode(item, now)
+            self._decode_and_apply(item, now)
         except (DocumentError, MemberError, StatementError) as error:
-            self._note_unreadable(item.key, str(error))
+            self._handle_invalid_value(item.key, str(error))
         else:
-            self._unreadable.pop(item.key, None)
+            self._failure_counts.pop(item.key, None)
 
-    def _note_unreadable(self, key: str, reason: str) -> None:
-        """Use the runner no more, and log ever less often that it is so."""
+    def _handle_invalid_value(self, key: str, reason: str) -> None:
+        """Stop using the runner if the value is its entry, and log the failure.
+
+        Of consecutive failures, those whose number is a power of ten are logged.
+        """
         if key.startswith(RUNNER_PREFIX):
             self.view.withdraw_runner(key.removeprefix(RUNNER_PREFIX))
-        times = self._unreadable.get(key, 0) + 1
-        self._unreadable[key] = times
+        times = self._failure_counts.get(key, 0) + 1
+        self._failure_counts[key] = times
         if str(times).strip("0") == "1":
             log_event(log.DocumentUnreadable(key=key, reason=reason, times=times))
 
-    def _decode(self, item: Item, now: float) -> None:
+    def _decode_and_apply(self, item: Item, now: float) -> None:
         if item.key == CONFIGURATION_KEY:
             self.view.apply_table(decode_configuration(item.value))
         elif item.key.startswith(RUNNER_PREFIX):
--- a/mangoway/platform/requests.py
+++ b/mangoway/platform/requests.py
@@ -1,4 +1,4 @@
-"""Reads the platform's header fields of a request, and writes those for a runner."""
+"""Decodes header fields of callers' requests and encodes requests for runners."""
 
 from typing import Final
 
@@ -14,29 +14,29 @@
 
 @frozen(kw_only=True)
 class RequestFields:
-    """What the header fields of a request say."""
+    """Decoded header fields of a request."""
 
     request_id: str
     time_left_s: float | None
-    """Time that the caller will wait; None if it doesn't say."""
+    """Time for which the caller waits; None if the request has no deadline."""
 
     model: str
     adapter: str
-    """Empty for the plain model."""
+    """Empty for the model without an adapter."""
 
     prompt: Prompt
     last_event_id: str | None
     has_usage: bool = False
-    """Whether it says how many tokens it takes."""
+    """Whether the request contains a valid token usage."""
 
     @property
     def artifact(self) -> str:
-        """Return the model, with the adapter after a slash."""
+        """Return the model, or `model/adapter` if there is an adapter."""
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
 
 def decode_request(request: Request) -> RequestFields:
-    """Read the fields of a request; what is malformed counts as absent."""
+    """Decode the header fields of a request; malformed ones count as missing."""
     model, _, adapter = (request.find(names.MODEL) or "").partition("/")
     return RequestFields(
         request_id=request.find(names.REQUEST_ID) or "",
@@ -45,12 +45,12 @@
         adapter=adapter,
         prompt=_read_prompt(request),
         last_event_id=request.find(names.LAST_EVENT),
-        has_usage=_says_usage(request),
+        has_usage=_has_valid_usage(request),
     )
 
 
 def read_key(request: Request) -> str | None:
-    """Return the key that a caller shows; None without one."""
+    """Return the API key of a request; None if it has none."""
     scheme, _, key = (request.find(names.AUTHORIZATION) or "").partition(" ")
     return key.strip() or None if scheme.lower() == KEY_SCHEME else None
 
@@ -65,17 +65,18 @@
     customer: str | None = None,
     forwards_credentials: bool = True,
 ) -> Request:
-    """Return a request as it goes to a runner.
+    """Return the request to send to a runner.
 
     Args:
-        request: As the caller sent it.
-        runner_id: Life of the runner that alone may run it.
-        time_left_s: Time after which the runner may stop its work.
-        priority: Rank in the runner's queue, 0 first; None leaves the default.
-        last_event_id: Event after which a stream goes on; None: as the caller said.
-        customer: Name of the customer who asks; None if that isn't known.
-        forwards_credentials: Whether the caller's credentials are the runner's
-            business.
+        request: Request as received from the caller.
+        runner_id: ID of the only runner that may execute the request.
+        time_left_s: Time after which the runner may abort the request.
+        priority: Priority in the runner's queue, 0 is the most urgent; None for the
+            runner's default.
+        last_event_id: ID of the event after which a stream resumes; None to keep the
+            caller's value.
+        customer: Name of the customer; None if it is unknown.
+        forwards_credentials: Whether the runner receives the caller's credentials.
     """
     kept = drop_headers(list_end_to_end(request.headers), names.RESERVED)
     if not forwards_credentials:
@@ -90,8 +91,8 @@
         or request.find(b"transfer-encoding")
     ):
         fields.append((b"Content-Length", b"%d" % len(request.body)))
-    left_ms = max(1, int(time_left_s * MS_PER_S))
-    fields.append((b"X-Deadline-Ms", b"%d" % left_ms))
+    time_left_ms = max(1, int(time_left_s * MS_PER_S))
+    fields.append((b"X-Deadline-Ms", b"%d" % time_left_ms))
     fields.append((b"X-Expect-Instance", runner_id.encode()))
     if priority is not None:
         fields.append((b"X-Request-Priority", b"%d" % priority))
@@ -108,7 +109,7 @@
 
 
 def list_response_headers(headers: Headers) -> Headers:
-    """Return the fields of a runner's response that the caller gets."""
+    """Return the header fields of a runner's response to forward to the caller."""
     return list_end_to_end(headers)
 
 
@@ -133,8 +134,11 @@
     )
 
 
-def _says_usage(request: Request) -> bool:
-    """Return whether both figures can be read: what can't be must not be free."""
+def _has_valid_usage(request: Request) -> bool:
+    """Return whether both token counts are valid.
+
+    A malformed usage must not make a request free of charge.
+    """
     usage = [
         each.strip() for each in (request.find(names.TOKEN_USAGE) or "").split(",")
     ]
--- a/mangoway/platform/runners.py
+++ b/mangoway/platform/runners.py
@@ -1,4 +1,4 @@
-"""Calls that runners answer: their report, and orders to them."""
+"""Client of the control API of runners: reports and orders."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -10,35 +10,35 @@
 from ..models.runner import RunnerReport
 from ..models.signals import RunnerSignals
 from . import headers as names
-from .documents import UNREADABLE, decode_models, read_started
+from .documents import DECODE_ERRORS, decode_models, read_started_ms
 from .fields import DocumentError, read_integer, read_list, read_object
 from .signals import decode_signals
 
 REPORT_TIMEOUT_S: Final = 0.5
-"""A report needs no slot and comes in a few milliseconds."""
+"""A report needs no slot and normally arrives within a few milliseconds."""
 
 ORDER_TIMEOUT_S: Final = 0.8
-"""An order is accepted or refused in a few milliseconds; some are never answered."""
+"""Runners accept or refuse an order within a few milliseconds, or never respond."""
 
 
 class RunnerUnreachableError(Exception):
-    """A runner gave no usable answer; an order may still be carried out."""
+    """A runner sent no valid response; an order may still be executed."""
 
 
 class OrderAnswer(Enum):
-    """What a runner says to an order."""
+    """Response of a runner to an order."""
 
     STARTED = "started"
     ALREADY_HOLDS = "already_holds"
     BUSY_OR_STALE = "busy_or_stale"
-    """Another order is under way, or the expected count of orders is wrong."""
+    """Another order is being executed, or the expected order count is wrong."""
 
     FENCED = "fenced"
     REFUSED = "refused"
     OTHER_RUNNER = "other_runner"
 
 
-ANSWERS: Final = {
+ANSWERS_BY_STATUS: Final = {
     202: OrderAnswer.STARTED,
     200: OrderAnswer.ALREADY_HOLDS,
     409: OrderAnswer.BUSY_OR_STALE,
@@ -58,7 +58,7 @@
     """Empty for the model itself."""
 
     expected_order_count: int
-    """The order is refused if the runner has accepted another number of orders."""
+    """The runner refuses the order if it has accepted another number of orders."""
 
     holder: str
     fence: int
@@ -66,17 +66,17 @@
 
 @define(eq=False)
 class RunnerControl:
-    """Reads reports of runners and sends them orders."""
+    """Requests reports of runners and sends orders to them."""
 
     client: JsonClient = field(factory=JsonClient)
     on_signals: Callable[[str, RunnerSignals], None] = lambda runner_id, signals: None
-    """Told what a runner says of itself in an answer."""
+    """Called with the signals in each response of a runner."""
 
     async def async_read_report(self, address: str, runner_id: str) -> RunnerReport:
-        """Read a runner's report.
+        """Request a runner's report.
 
         Raises:
-            RunnerUnreachableError: If it can't be had.
+            RunnerUnreachableError: If there is no valid response.
         """
         try:
             reply = await self.client.async_call(
@@ -93,10 +93,11 @@
     async def async_send_order(
         self, address: str, runner_id: str, order: RunnerOrder
     ) -> OrderAnswer:
-        """Send an order to one life of a runner.
+        """Send an order to a runner, which refuses it if its ID is another one.
 
         Raises:
-            RunnerUnreachableError: If it is not answered; it may be carried out.
+            RunnerUnreachableError: If there is no valid response; the order may still
+                be executed.
         """
         body = {
             "operation": "model_load" if order.load else "model_unload",
@@ -119,7 +120,7 @@
         except CallFailedError as error:
             raise RunnerUnreachableError(f"{runner_id}: {error}") from error
         self.on_signals(runner_id, decode_signals(reply.headers, reply.status))
-        answer = ANSWERS.get(reply.status)
+        answer = ANSWERS_BY_STATUS.get(reply.status)
         if answer is None:
             raise RunnerUnreachableError(f"{runner_id}: status {reply.status}")
         return answer
@@ -129,14 +130,14 @@
     """Decode a runner's report.
 
     Raises:
-        DocumentError: If it can't be read.
+        DocumentError: If the report is invalid.
     """
     try:
         fields = read_object(value, "the report")
         available = read_object(fields.get("available") or {}, "available")
         return RunnerReport(
             models=decode_models(fields["models"]),
-            # `pending` names adapters as model/adapter@version.
+            # Entries of `pending` have the form model/adapter@version.
             pending_adapters=frozenset(
                 str(each).partition("@")[0]
                 for each in read_list(fields.get("pending"), "pending")
@@ -151,7 +152,7 @@
                 read_list(available.get("in_memory"), "in_memory")
             ),
             on_disk=frozenset(read_list(available.get("on_disk"), "on_disk")),
-            started_ms=read_started(fields),
+            started_ms=read_started_ms(fields),
         )
-    except UNREADABLE as error:
-        raise DocumentError(f"report can't be read: {error!r}") from error
+    except DECODE_ERRORS as error:
+        raise DocumentError(f"invalid report: {error!r}") from error
--- a/mangoway/platform/store.py
+++ b/mangoway/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, behind `CoordinationStore`."""
+"""Client of the platform's store; implements `CoordinationStore`."""
 
 import base64
 import binascii
@@ -22,19 +22,19 @@
 from ..observability.metrics import Metrics
 
 CALL_TIMEOUT_S: Final = 1.2
-"""The store answers in 4 ms, and in 0.25 s when it is slow by the factor of 60 that
-the platform's pages name; more than a second is silence."""
+"""The store responds within 4 ms, or within 0.25 s if it is slower by a factor of 60,
+which the platform documents; after more than a second it counts as unavailable."""
 
 WATCH_MARGIN_S: Final = 0.6
-"""Time that a watch may answer late before it counts as silent: more than twice that
-of a slow store."""
+"""Delay of a watch response after which the store counts as unavailable: more than
+twice the response time of a slow store."""
 
 MS_PER_S: Final = 1000
 
 
 @define(eq=False)
 class PlatformStore:
-    """Makes the calls of the store at one address."""
+    """Client of the store at one address."""
 
     address: str
     metrics: Metrics
@@ -51,12 +51,12 @@
     async def async_list(self, prefix: str, *, exact: bool = True) -> Snapshot:
         """Read all keys with a prefix.
 
-        Pages are no snapshot; changes are followed from the first page's revision,
-        so that what changed between two pages is seen again.
+        The pages together are not a consistent snapshot. The returned revision is that
+        of the first page, so that a watch from it repeats changes made between pages.
 
         Args:
-            prefix: What their names begin with.
-            exact: Whether the reading must show all that was written before the call.
+            prefix: Prefix of the keys.
+            exact: Whether the result must include all writes before the call.
         """
         items: list[Item] = []
         revision: int | None = None
@@ -117,7 +117,7 @@
         return CommitResult(committed=True, revision=int(reply.body["revision"]))
 
     async def async_grant_lease(self, ttl_s: float) -> int:
-        """Make a lease and return its id."""
+        """Create a lease and return its ID."""
         body = {"ttl_ms": int(ttl_s * MS_PER_S)}
         reply = await self._async_call("POST", "/v1/kv-lease", body=body)
         _require_ok(reply)
@@ -131,7 +131,7 @@
         _require_ok(reply)
 
     async def async_end_lease(self, lease_id: int) -> None:
-        """End a lease; one that has ended already is no error."""
+        """End a lease; it is not an error if it has ended already."""
         reply = await self._async_call("DELETE", f"/v1/kv-lease-end/{lease_id}")
         if reply.status != 404:
             _require_ok(reply)
@@ -185,7 +185,7 @@
             lease_id=int(fields.get("lease") or 0),
         )
     except (KeyError, TypeError, ValueError, binascii.Error) as error:
-        raise StoreUnavailableError(f"item can't be read: {error!r}") from error
+        raise StoreUnavailableError(f"invalid item: {error!r}") from error
 
 
 def _decode_change(fields: Any) -> Change:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the documents of the store."""
+"""Tests of the decoding of documents in the store and of reports."""
 
 import orjson
 import pytest
@@ -91,7 +91,7 @@
 
 
 class TestConfiguration:
-    """The operator's configuration."""
+    """Decoding of the operator's configuration."""
 
     def test_route_is_decoded(self) -> None:
         table = decode_configuration(encode())
@@ -117,7 +117,7 @@
         table = decode_configuration(encode(routes=[{**route, "traffic_split": split}]))
         assert [each.weight for each in table.routes[0].shares] == [90, 10]
 
-    def test_missing_limits_are_the_usual(self) -> None:
+    def test_missing_limits_have_defaults(self) -> None:
         limits = decode_configuration(encode()).limits
         assert limits.max_header_bytes == 100
         assert limits.idle_timeout_s == 9.0
@@ -133,13 +133,13 @@
         assert table.find_route("example.test", "/else/") is None
 
     @pytest.mark.parametrize("document", [b"", b"{", b"[]", b'{"version": 1}'])
-    def test_unreadable_document_is_an_error(self, document: bytes) -> None:
+    def test_invalid_document_raises_error(self, document: bytes) -> None:
         with pytest.raises(DocumentError):
             decode_configuration(document)
 
 
 class TestRunner:
-    """A runner's entry."""
+    """Decoding of a runner's entry."""
 
     def test_entry_is_decoded(self) -> None:
         entry = decode_runner("servers/i-1", orjson.dumps(ENTRY))
@@ -147,23 +147,23 @@
         assert not entry.draining
         assert entry.models[0].adapters == frozenset({"a1", "a2"})
 
-    def test_heartbeat_number_is_no_part_of_it(self) -> None:
-        """It was once taken for the count of orders, and all orders were refused."""
+    def test_heartbeat_number_is_ignored(self) -> None:
+        """Using it as the count of accepted orders makes runners refuse all orders."""
         one = decode_runner("servers/i-1", orjson.dumps(ENTRY))
         other = decode_runner("servers/i-1", orjson.dumps({**ENTRY, "seq": 5}))
         assert one == other
 
-    def test_notice_of_a_short_end_is_decoded(self) -> None:
+    def test_remaining_time_of_draining_runner_is_decoded(self) -> None:
         document = {**ENTRY, "state": "draining", "remaining_ms": 1500}
         entry = decode_runner("servers/i-1", orjson.dumps(document))
         assert entry.draining
         assert entry.seconds_left == 1.5
 
-    def test_unreadable_entry_is_an_error(self) -> None:
+    def test_empty_entry_raises_error(self) -> None:
         with pytest.raises(DocumentError):
             decode_runner("servers/i-1", b"{}")
 
-    def test_start_of_its_life_is_decoded(self) -> None:
+    def test_start_of_incarnation_is_decoded(self) -> None:
         document = {**ENTRY, "born": 1_771_816_803_316}
         entry = decode_runner("servers/i-1", orjson.dumps(document))
         assert entry.started_ms == 1_771_816_803_316
@@ -172,7 +172,7 @@
     @pytest.mark.parametrize(
         "document", [b"null", b"7", b'"text"', b"[]", b"[1]", b"true", b"\xff\x00", b""]
     )
-    def test_entry_that_is_no_object_is_an_error(self, document: bytes) -> None:
+    def test_entry_that_is_not_an_object_raises_error(self, document: bytes) -> None:
         with pytest.raises(DocumentError):
             decode_runner("servers/i-1", document)
 
@@ -199,13 +199,13 @@
             {"born": 1.5},
         ],
     )
-    def test_field_of_another_kind_is_an_error(self, change: dict[str, object]) -> None:
-        """Entries of other writers were used: any unknown state counted as ready."""
+    def test_invalid_field_raises_error(self, change: dict[str, object]) -> None:
+        """Invalid entries of other writers are not used; no state defaults to ready."""
         with pytest.raises(DocumentError):
             decode_runner("servers/i-1", orjson.dumps({**ENTRY, **change}))
 
     @pytest.mark.parametrize("name", ["service", "address", "zone", "slots", "state"])
-    def test_missing_field_is_an_error(self, name: str) -> None:
+    def test_missing_field_raises_error(self, name: str) -> None:
         document = {key: value for key, value in ENTRY.items() if key != name}
         with pytest.raises(DocumentError):
             decode_runner("servers/i-1", orjson.dumps(document))
@@ -226,16 +226,16 @@
 )
 
 
-def spoil(document: dict[str, object]) -> st.SearchStrategy[bytes]:
-    """Return encodings of a document of which some fields have other values."""
+def corrupt(document: dict[str, object]) -> st.SearchStrategy[bytes]:
+    """Generate encodings of a document with arbitrary values in some fields."""
     changes = st.dictionaries(st.sampled_from(sorted(document)), json_values)
     return changes.map(lambda each: orjson.dumps({**document, **each}))
 
 
-class TestAnyBytes:
-    """Whatever another writer leaves is decoded, or refused as unreadable."""
+class TestArbitraryInput:
+    """Arbitrary input is decoded or raises the decoder's error, and no other error."""
 
-    @given(st.binary() | json_values.map(orjson.dumps) | spoil(ENTRY))
+    @given(st.binary() | json_values.map(orjson.dumps) | corrupt(ENTRY))
     def test_entry(self, document: bytes) -> None:
         try:
             entry = decode_runner("servers/i-1", document)
@@ -248,8 +248,8 @@
     @given(
         st.binary()
         | json_values.map(orjson.dumps)
-        | spoil({"version": 7, "routes": [ROUTE], "services": [], "limits": {}})
-        | spoil(dict(ROUTE)).map(lambda each: b'{"routes":[%b],"version":1}' % each)
+        | corrupt({"version": 7, "routes": [ROUTE], "services": [], "limits": {}})
+        | corrupt(dict(ROUTE)).map(lambda each: b'{"routes":[%b],"version":1}' % each)
     )
     def test_configuration(self, document: bytes) -> None:
         try:
@@ -257,7 +257,7 @@
         except DocumentError:
             return
 
-    @given(json_values | spoil(REPORT).map(orjson.loads))
+    @given(json_values | corrupt(REPORT).map(orjson.loads))
     def test_report(self, fields: object) -> None:
         try:
             assert isinstance(decode_report(fields), RunnerReport)
@@ -280,7 +280,7 @@
 
 
 class TestCustomers:
-    """Who may ask, by key."""
+    """Decoding of customers and their API keys."""
 
     def decode(self, **changes: object) -> RoutingTable:
         return decode_configuration(encode(tenants=[{**CUSTOMER, **changes}]))
@@ -301,21 +301,21 @@
         assert self.find(table, "k3") is None
 
     @pytest.mark.parametrize("rate", [0, None])
-    def test_rate_of_nothing_is_no_limit(self, rate: int | None) -> None:
+    def test_customer_without_rate_has_no_quota(self, rate: int | None) -> None:
         customer = self.find(self.decode(rate_per_s=rate), "k1")
         assert customer is not None
         assert customer.quota is None
 
-    def test_other_units_count_requests(self) -> None:
+    def test_quota_in_other_units_counts_requests(self) -> None:
         customer = self.find(self.decode(unit="request"), "k1")
         assert customer is not None
         assert customer.compute_cost(1540) == 1
 
-    def test_without_customers_no_keys_are_in_use(self) -> None:
+    def test_configuration_without_customers_needs_no_keys(self) -> None:
         assert decode_configuration(encode()).customers is None
         assert decode_configuration(encode(tenants=[])).customers is None
 
-    def test_route_says_whether_it_is_public(self) -> None:
+    def test_public_routes_are_decoded(self) -> None:
         routes = [{**ROUTE, "public": True}, {**ROUTE, "name": "r-2"}]
         table = decode_configuration(encode(routes=routes))
         assert [each.public for each in table.routes] == [True, False]
@@ -332,14 +332,14 @@
             {"priority": []},
         ],
     )
-    def test_what_cannot_be_read_says_no_key(self, changes: dict[str, object]) -> None:
-        with pytest.raises(DocumentError) as caught:
+    def test_decoding_error_contains_no_key(self, changes: dict[str, object]) -> None:
+        with pytest.raises(DocumentError) as raised:
             self.decode(**changes)
-        assert "k1" not in str(caught.value)
+        assert "k1" not in str(raised.value)
 
-    def test_key_of_two_customers_is_refused(self) -> None:
-        with pytest.raises(DocumentError) as caught:
+    def test_key_shared_by_customers_raises_error_without_key(self) -> None:
+        with pytest.raises(DocumentError) as raised:
             decode_configuration(
                 encode(tenants=[CUSTOMER, {**CUSTOMER, "name": "other"}])
             )
-        assert "k1" not in str(caught.value)
+        assert "k1" not in str(raised.value)
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of the header fields of requests."""
+"""Tests of the platform's header fields of requests."""
 
 import pytest
 
@@ -20,9 +20,9 @@
 
 
 class TestDecoding:
-    """What a caller's fields say."""
+    """Decoding of a caller's header fields."""
 
-    def test_fields_are_read(self) -> None:
+    def test_fields_are_decoded(self) -> None:
         fields = decode_request(
             make_request(
                 (b"X-Request-Id", b"q1"),
@@ -42,7 +42,7 @@
         assert [each.tokens for each in fields.prompt.parts] == [800, 410, 250]
 
     @pytest.mark.parametrize("value", [b"", b"soon", b"1,2,3"])
-    def test_malformed_numbers_count_as_absent(self, value: bytes) -> None:
+    def test_malformed_numbers_count_as_missing(self, value: bytes) -> None:
         fields = decode_request(
             make_request((b"X-Deadline-Ms", value), (b"X-Token-Usage", b"x,y"))
         )
@@ -51,7 +51,7 @@
 
 
 class TestEncoding:
-    """What a runner gets."""
+    """Encoding of a request for a runner."""
 
     def encode(self, request: Request, last_event_id: str | None = None) -> Request:
         return encode_for_runner(
@@ -62,14 +62,14 @@
             last_event_id=last_event_id,
         )
 
-    def test_line_body_and_own_fields_are_unchanged(self) -> None:
+    def test_request_line_body_and_other_fields_are_unchanged(self) -> None:
         request = make_request((b"X-Own", b"1"), (b"X-Model", b"m0"), body=b"abc")
         sent = self.encode(request)
         assert (sent.method, sent.target, sent.body) == (b"POST", b"/chat/2f", b"abc")
         assert (b"X-Own", b"1") in sent.headers
         assert (b"X-Model", b"m0") in sent.headers
 
-    def test_what_is_left_and_the_expected_runner_are_set(self) -> None:
+    def test_remaining_time_runner_and_priority_are_set(self) -> None:
         sent = self.encode(make_request((b"X-Deadline-Ms", b"9000")))
         assert [v for k, v in sent.headers if k.lower() == b"x-deadline-ms"] == [
             b"1250"
@@ -81,29 +81,29 @@
         "name",
         [b"X-Hold", b"X-Pin-Ms", b"X-Kv-Backup", b"Kv-From", b"X-Expect-Instance"],
     )
-    def test_fields_of_this_system_are_not_the_callers(self, name: bytes) -> None:
+    def test_reserved_fields_of_callers_are_removed(self, name: bytes) -> None:
         sent = self.encode(make_request((name, b"forged")))
         assert b"forged" not in [value for _, value in sent.headers]
 
-    def test_fields_of_the_connection_are_dropped(self) -> None:
+    def test_hop_by_hop_fields_are_removed(self) -> None:
         sent = self.encode(
             make_request((b"Connection", b"X-Hop, keep-alive"), (b"X-Hop", b"1"))
         )
         names = {name.lower() for name, _ in sent.headers}
         assert names.isdisjoint({b"connection", b"x-hop", b"keep-alive"})
 
-    def test_body_of_no_bytes_keeps_its_length(self) -> None:
+    def test_empty_body_keeps_content_length(self) -> None:
         sent = self.encode(make_request((b"Content-Length", b"0")))
         assert sent.find(b"content-length") == "0"
 
-    def test_resumed_stream_names_the_last_event(self) -> None:
+    def test_last_event_id_of_resumed_stream_is_replaced(self) -> None:
         sent = self.encode(make_request((b"Last-Event-Id", b"3")), last_event_id="12")
         values = [v for k, v in sent.headers if k.lower() == b"last-event-id"]
         assert values == [b"12"]
 
 
-class TestKey:
-    """The key that a caller shows."""
+class TestCredentials:
+    """API keys, token usage and the customer's name."""
 
     @pytest.mark.parametrize(
         ("value", "key"),
@@ -116,14 +116,14 @@
             (b"", None),
         ],
     )
-    def test_key_is_read(self, value: bytes, key: str | None) -> None:
+    def test_key_is_decoded(self, value: bytes, key: str | None) -> None:
         assert read_key(make_request((b"Authorization", value))) == key
 
     @pytest.mark.parametrize("usage", [b"", b"x,1", b"1", b"1,-2", b"1,2,3"])
-    def test_usage_that_cannot_be_read_is_none(self, usage: bytes) -> None:
+    def test_malformed_usage_counts_as_missing(self, usage: bytes) -> None:
         assert not decode_request(make_request((b"X-Token-Usage", usage))).has_usage
 
-    def test_customer_is_ours_to_set(self) -> None:
+    def test_customer_replaces_field_of_caller(self) -> None:
         sent = encode_for_runner(
             make_request((b"x-TENANT", b"evil"), (b"AUTHORIZATION", b"Bearer abc")),
             runner_id="i-1",
