--- a/mangoway/models/__init__.py
+++ b/mangoway/models/__init__.py
@@ -1,1 +1,1 @@
-"""Typed data shared by all packages."""
+"""Data types shared by all packages."""
--- a/mangoway/models/artifact.py
+++ b/mangoway/models/artifact.py
@@ -1,4 +1,4 @@
-"""What a runner can hold in memory: a model version, or an adapter on it."""
+"""Artifacts that a runner can load: model versions and adapters for them."""
 
 from typing import Self
 
@@ -10,8 +10,8 @@
 ADAPTER_SEPARATOR = "+"
 
 
-def _order_adapter(adapter: AdapterName | None) -> str:
-    """Return what adapters are sorted by; a base comes before its adapters."""
+def _get_adapter_sort_key(adapter: AdapterName | None) -> str:
+    """Return the sort key of an adapter; a base is sorted before its adapters."""
     return adapter or ""
 
 
@@ -19,16 +19,16 @@
 class Artifact:
     """A loadable unit: the weights of a model version, or one adapter for them.
 
-    An adapter can only be resident where its base (`base`) is resident too.
+    An adapter can only be resident at a runner at which its `base` is resident.
     """
 
     model: ModelName
     version: VersionName
-    adapter: AdapterName | None = field(default=None, order=_order_adapter)
+    adapter: AdapterName | None = field(default=None, order=_get_adapter_sort_key)
 
     @property
     def base(self) -> "Artifact":
-        """Return the model version this artifact runs on (itself if no adapter)."""
+        """Return the model version of this artifact (itself if it has no adapter)."""
         if self.adapter is None:
             return self
         return Artifact(self.model, self.version)
@@ -40,9 +40,9 @@
         Raises:
             ValueError: If the text has no version or an empty part.
         """
-        base, found_adapter, adapter = text.partition(ADAPTER_SEPARATOR)
+        base, separator, adapter = text.partition(ADAPTER_SEPARATOR)
         model, _, version = base.partition(VERSION_SEPARATOR)
-        if not model or not version or (found_adapter and not adapter):
+        if not model or not version or (separator and not adapter):
             raise ValueError(f"not an artifact name: {text!r}")
         return cls(
             ModelName(model),
--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -1,4 +1,4 @@
-"""Runners that crashed, and the requests that they had then."""
+"""Crashes of runners, and the requests that ran at the time."""
 
 from enum import Enum
 
@@ -7,65 +7,66 @@
 
 @frozen
 class RequestIdentity:
-    """What stays the same when a request comes again under another id."""
+    """Identity of a request, equal for resubmissions with another request ID."""
 
     content: str
-    """Digest of what is asked: method, host, target and body."""
+    """Digest of method, host, target and body."""
 
     variant: str
-    """Digest of who asks, and of what: credentials, model and prompt."""
+    """Digest of credentials, model and prompt."""
 
     @property
     def text(self) -> str:
-        """Return both in one word, for log lines and keys."""
+        """Return content and variant as one word, for log lines and keys."""
         return f"{self.content}.{self.variant}"
 
 
 @frozen(kw_only=True)
 class RunnerIncarnation:
-    """One life of a runner: it may start again under its id."""
+    """One run of a runner between start and end; a restart keeps the runner's ID."""
 
     runner_id: str
     started_ms: int
-    """Start in Unix milliseconds; 0 if it doesn't say."""
+    """Start in Unix milliseconds; 0 if unknown."""
 
     @property
     def text(self) -> str:
-        """Return it in one word, for log lines and keys."""
+        """Return ID and start as one word, for log lines and keys."""
         return f"{self.runner_id}@{self.started_ms}"
 
 
 class RunStage(Enum):
-    """How far a run had come when its runner crashed."""
+    """Progress of a request when its runner crashed."""
 
     NOTHING_SENT = 0
-    """The runner had sent no event, nor a whole answer."""
+    """The runner had sent neither an event nor a complete response."""
 
     OUTPUT_STARTED = 1
-    """It had sent events for less than half a second."""
+    """The runner had sent events for less than half a second."""
 
     OUTPUT_ONGOING = 2
-    """It had sent events for longer."""
+    """The runner had sent events for longer."""
 
 
 @frozen
 class Charge:
-    """A request was at a runner when that crashed."""
+    """Record of a request that ran at a runner when the runner crashed."""
 
     identity: RequestIdentity
     life: str
-    """The life of the runner, as text."""
+    """The runner incarnation that crashed, as text."""
 
     stage: RunStage = RunStage.NOTHING_SENT
 
     variant_only: bool = False
-    """Whether requests with this content and another variant were served of late, so
-    that the content by itself is not the cause."""
+    """Whether requests with this content and another variant were served recently, so
+    that the content alone is not the cause."""
 
 
 @frozen(kw_only=True)
 class Clearance:
-    """A request ended well at a runner, so it has not caused these crashes."""
+    """Record of a request that succeeded, and so did not cause these crashes."""
 
     identity: RequestIdentity
     lives: frozenset[str]
+    """Runner incarnations whose crashes the request did not cause, as text."""
--- a/mangoway/models/customer.py
+++ b/mangoway/models/customer.py
@@ -1,4 +1,4 @@
-"""Customers: who may ask, by which keys, how urgently, and how much."""
+"""Customers with their API keys, priorities and quotas."""
 
 import secrets
 from collections.abc import Iterable
@@ -9,40 +9,40 @@
 
 DIGEST_BYTES: Final = 16
 _SECRET: Final = secrets.token_bytes(32)
-"""Secret of this process. Digests of another process tell nothing about ours."""
+"""Random key of this process; its digests cannot be compared to those of others."""
 
 
 @frozen(kw_only=True)
 class Quota:
-    """How much a customer may ask for, over all hosts together."""
+    """Quota of a customer over all hosts together, in requests or tokens."""
 
     rate_per_s: float
     burst: float
-    """What it may ask for at once on top."""
+    """Amount that may be consumed at once above the rate."""
 
 
 @frozen(kw_only=True)
 class Customer:
-    """Somebody whose requests are told apart by their keys."""
+    """A customer, identified by the API keys of its requests."""
 
     name: str
     priority: int | None
-    """Rank of its requests, 0 first; None leaves that of the route."""
+    """Priority of its requests, 0 is the most urgent; None for that of the route."""
 
     quota: Quota | None
-    """None without a limit."""
+    """None if there is no limit."""
 
     counts_tokens: bool = False
     """Whether the quota is in tokens; otherwise it is in requests."""
 
     plain_tokens: int = 0
-    """Tokens that a request counts for which doesn't say how many it takes."""
+    """Tokens counted for a request without a token usage."""
 
     def compute_cost(self, tokens: int | None) -> float:
-        """Return what a request takes of the quota.
+        """Return the amount of quota that a request consumes.
 
         Args:
-            tokens: Tokens of its prompt and answer; None if it doesn't say.
+            tokens: Tokens of its prompt and response; None if unknown.
         """
         if not self.counts_tokens:
             return 1.0
@@ -51,13 +51,13 @@
 
 @frozen(eq=False)
 class Credential:
-    """A caller's key as it is kept: nobody reads the key from it."""
+    """Digest of an API key, from which the key cannot be recovered."""
 
     digest: bytes
 
 
 def make_credential(key: str) -> Credential:
-    """Return a key as it is kept."""
+    """Return the credential of an API key."""
     hasher = blake2b(key.encode(), digest_size=DIGEST_BYTES, key=_SECRET)
     return Credential(hasher.digest())
 
@@ -66,8 +66,8 @@
 class CustomerRegistry:
     """The customers of one version of the configuration, by name and by key.
 
-    Keys are kept as digests under a secret, so that the time of a look-up tells a
-    caller nothing about the keys that there are.
+    Keys are stored as keyed digests, so that the duration of a lookup reveals nothing
+    about existing keys to a caller.
     """
 
     _by_name: dict[str, Customer] = field(factory=dict, init=False)
@@ -77,10 +77,10 @@
         """Add a customer with its keys.
 
         Raises:
-            ValueError: If its name or one of the keys is another customer's.
+            ValueError: If another customer has its name or one of its keys.
         """
         if customer.name in self._by_name:
-            raise ValueError(f"two customers are called {customer.name}")
+            raise ValueError(f"two customers have the name {customer.name}")
         self._by_name[customer.name] = customer
         for key in keys:
             owner = self._by_digest.setdefault(make_credential(key).digest, customer)
@@ -88,11 +88,11 @@
                 raise ValueError(f"{owner.name} and {customer.name} share a key")
 
     def find_by_name(self, name: str) -> Customer | None:
-        """Return the customer with a name."""
+        """Return the customer with a name; None if there is none."""
         return self._by_name.get(name)
 
     def find_by_credential(self, credential: Credential) -> Customer | None:
-        """Return the customer whose key it is."""
+        """Return the customer with an API key; None if there is none."""
         return self._by_digest.get(credential.digest)
 
     def list_customers(self) -> list[Customer]:
--- a/mangoway/models/errors.py
+++ b/mangoway/models/errors.py
@@ -8,7 +8,7 @@
 
 
 class ErrorCode(Enum):
-    """Stable code of a failure, as callers and operators see it."""
+    """Stable code of a failure, exposed to callers and operators."""
 
     # Faults of the request.
     MALFORMED_REQUEST = "malformed_request"
@@ -57,17 +57,17 @@
 
 @frozen(kw_only=True)
 class Failure:
-    """A failure as it is answered: code, verdict and when to come back."""
+    """A failure as reported to callers: code, verdict and retry delay."""
 
     code: ErrorCode
     verdict: Verdict
     detail: str
     retry_after: float | None = None
-    """Seconds after which a new try makes sense; None if it never does."""
+    """Seconds after which a retry may succeed; None if a retry is pointless."""
 
 
 class MangowayError(Exception):
-    """Base of all errors of the project; carries a `Failure`."""
+    """Base class of the errors of the project, with a `Failure`."""
 
     def __init__(
         self,
--- a/mangoway/models/fleet.py
+++ b/mangoway/models/fleet.py
@@ -1,4 +1,4 @@
-"""Processes on the users' platform."""
+"""Processes of the fleet on the platform."""
 
 from enum import Enum
 from typing import Final
@@ -6,11 +6,11 @@
 from attrs import frozen
 
 MEMBER_KEYS: Final = "members/"
-"""What the keys begin with under which processes announce themselves."""
+"""Prefix of the keys under which processes register in the store."""
 
 
 class Role(Enum):
-    """What a process does."""
+    """Role of a process."""
 
     EDGE = "edge"
     SCHEDULER = "scheduler"
@@ -18,7 +18,7 @@
 
 @frozen(kw_only=True)
 class Member:
-    """One life of a process."""
+    """One incarnation of a process."""
 
     host: str
     role: Role
@@ -27,12 +27,12 @@
     """Differs with each start of the process."""
 
     peer_address: str
-    """Where other processes reach it; empty if they don't."""
+    """Address for other processes; empty if they do not connect to it."""
 
     caller_address: str
-    """Where callers reach it; empty if they don't."""
+    """Address for callers; empty if they do not connect to it."""
 
     @property
     def key(self) -> str:
-        """Return the key of this member below the system's own prefix."""
+        """Return the store key of this member, relative to the system's prefix."""
         return f"{MEMBER_KEYS}{self.role.value}/{self.host}"
--- a/mangoway/models/identifiers.py
+++ b/mangoway/models/identifiers.py
@@ -3,10 +3,10 @@
 from typing import NewType
 
 HostId = NewType("HostId", str)
-"""Name of an entry host, from its settings."""
+"""Name of a host, from its settings."""
 
 IncarnationId = NewType("IncarnationId", str)
-"""One life of a process: a new value at each start, never used again."""
+"""Identifier of one run of a process between start and end; never reused."""
 
 DataCentreId = NewType("DataCentreId", str)
 """Name of a data centre, from settings or the host list."""
@@ -23,25 +23,25 @@
 ServiceName = NewType("ServiceName", str)
 CallName = NewType("CallName", str)
 CallerId = NewType("CallerId", str)
-"""Name of a caller as the configuration knows it."""
+"""Name of a caller in the configuration."""
 
 RequestId = NewType("RequestId", str)
-"""Identifier of one arrival at one gateway, unique in the whole system."""
+"""Identifier of one arrival of a request at a gateway, unique in the whole system."""
 
 AttemptId = NewType("AttemptId", str)
-"""Identifier of one try of a request at one upstream."""
+"""Identifier of one attempt to run a request at an upstream."""
 
 OrderId = NewType("OrderId", str)
 """Identifier of one order to an engine."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""Key with which a caller marks resubmissions of the same request."""
+"""Key that a caller sends with a request and all its resubmissions."""
 
 ConfigVersion = NewType("ConfigVersion", int)
 """Version of the configuration; grows by one with each accepted edit."""
 
 FenceNumber = NewType("FenceNumber", int)
-"""Number in each order; an engine that checks it refuses lower ones."""
+"""Fence of an order; an engine that checks fences refuses lower ones."""
 
 Revision = NewType("Revision", int)
 """Revision of a key in the key-value service; 0 means the key is absent."""
--- a/mangoway/models/member.py
+++ b/mangoway/models/member.py
@@ -1,4 +1,4 @@
-"""Processes of the system as others see them."""
+"""Membership of processes in the system."""
 
 from enum import Enum
 
@@ -15,7 +15,7 @@
 
 
 class MemberState(Enum):
-    """State of a process; a later one of the same incarnation wins."""
+    """State of a process; a later one of the same incarnation takes precedence."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -30,7 +30,7 @@
     role: ProcessRole
     incarnation: IncarnationId
     started_at: float
-    """Wall-clock start time; a later incarnation of a host replaces an earlier."""
+    """Wall-clock start time; a later incarnation of a host replaces an earlier one."""
 
     data_centre: DataCentreId
     peer_address: str
@@ -41,17 +41,17 @@
 
     state: MemberState = MemberState.LIVE
     beat: int = 0
-    """Heartbeat counter of the process; only it raises the value."""
+    """Heartbeat counter, incremented only by the process itself."""
 
     config_version: ConfigVersion = ConfigVersion(0)
     ready: bool = False
     successor: IncarnationId | None = None
-    """Incarnation that answers for this one's idempotency keys after it left."""
+    """Incarnation that is responsible for this one's idempotency keys after it left."""
 
 
 @frozen(kw_only=True)
 class GatewayAddress:
-    """One entry of an address answer."""
+    """One gateway in an address response."""
 
     host: HostId
     address: str
@@ -61,7 +61,7 @@
 
 @frozen(kw_only=True)
 class AddressAnswer:
-    """Which gateways callers should use, and for how long."""
+    """Gateways that callers should use, and the validity of this list."""
 
     gateways: tuple[GatewayAddress, ...]
     valid_for_s: float
--- a/mangoway/models/offer.py
+++ b/mangoway/models/offer.py
@@ -1,4 +1,4 @@
-"""The effective configuration: what is offered, to whom, and how a site runs it."""
+"""The effective configuration: models, services, callers and the site's policy."""
 
 from collections.abc import Mapping
 
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class AdapterOffer:
-    """An adapter of a model."""
+    """Configuration of an adapter of a model."""
 
     memory_mb: int
     """Memory that it takes beside its model version."""
@@ -31,7 +31,7 @@
 
 @frozen(kw_only=True)
 class VersionOffer:
-    """The weights of one version of a model."""
+    """Configuration of one version of a model."""
 
     memory_mb: int
     """Memory that the weights take on a runner."""
@@ -42,7 +42,7 @@
 
 @frozen(kw_only=True)
 class ModelOffer:
-    """A model with its versions and adapters."""
+    """Configuration of a model with its versions and adapters."""
 
     default_version: VersionName
     """Version that requests get which name none."""
@@ -57,7 +57,7 @@
 
 @frozen(kw_only=True)
 class CallOffer:
-    """One call of a plain service."""
+    """Configuration of one call of a plain service."""
 
     idempotent: bool = False
     """Whether it may run more than once; if not, it is never retried blindly."""
@@ -71,14 +71,14 @@
 
 @frozen(kw_only=True)
 class ServiceOffer:
-    """A plain service."""
+    """Configuration of a plain service."""
 
     calls: Mapping[CallName, CallOffer]
 
 
 @frozen(kw_only=True)
 class CallerOffer:
-    """A caller with its weight and limits."""
+    """Weight and limits of a caller."""
 
     weight: float = 1.0
     """Share relative to other callers when there is not enough for all."""
@@ -106,7 +106,7 @@
 
 @frozen(kw_only=True)
 class RunnerGroup:
-    """Runners that an operator declares for the check that floors fit."""
+    """Runners that an operator declares to check that the floors fit on them."""
 
     data_centre: DataCentreId
     """Data centre in which they are."""
@@ -123,7 +123,7 @@
 
 @frozen(kw_only=True)
 class SitePolicy:
-    """How a site trades moves against attainment, and its platform limits."""
+    """Placement policy of a site, and limits of its platform."""
 
     move_price: float = 100.0
     """Price of one load in units of request-seconds saved; higher means fewer moves."""
@@ -168,7 +168,7 @@
     site: SitePolicy = field(factory=SitePolicy)
 
     def list_artifacts(self) -> tuple[Artifact, ...]:
-        """Return every offered artifact, in a stable order."""
+        """Return all configured artifacts in a stable order."""
         artifacts: list[Artifact] = []
         for name, model in sorted(self.models.items()):
             artifacts.extend(Artifact(name, version) for version in model.versions)
@@ -179,12 +179,12 @@
         return tuple(artifacts)
 
     def find_floor(self, artifact: Artifact) -> int:
-        """Return the ready copies to keep of an artifact; 0 if it is not offered."""
+        """Return the floor of an artifact in ready copies; 0 if not configured."""
         offer = self._find_offer(artifact)
         return 0 if offer is None else offer.floor
 
     def find_memory_mb(self, artifact: Artifact) -> int:
-        """Return the memory an artifact takes; 0 if it is not offered."""
+        """Return the memory size of an artifact; 0 if it is not configured."""
         offer = self._find_offer(artifact)
         return 0 if offer is None else offer.memory_mb
 
--- a/mangoway/models/order.py
+++ b/mangoway/models/order.py
@@ -1,4 +1,4 @@
-"""Orders to engines and the ledger that accounts for them."""
+"""Orders to engines, and the ledger of the memory that they use."""
 
 from enum import Enum
 
@@ -9,7 +9,7 @@
 
 
 class OrderKind(Enum):
-    """What an order asks of an engine."""
+    """Operation that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -17,15 +17,15 @@
 
 
 class OrderOutcome(Enum):
-    """An engine's answer to an order."""
+    """Result of an order, as reported by the engine."""
 
     ACCEPTED = "accepted"
-    """It took effect: memory is taken, or the unload has begun."""
+    """The memory is allocated, or the unload has started."""
 
     REFUSED_STALE_FENCE = "refused_stale_fence"
     REFUSED_NO_MEMORY = "refused_no_memory"
     REFUSED_UNKNOWN = "refused_unknown"
-    """The engine does not have, or cannot find, the artifact."""
+    """The engine does not have or cannot find the artifact."""
 
     REFUSED_INCARNATION = "refused_incarnation"
 
@@ -37,7 +37,7 @@
     id: OrderId
     upstream: UpstreamId
     incarnation: IncarnationId
-    """Engine incarnation that the order is meant for."""
+    """Engine incarnation to which the order applies."""
 
     fence: FenceNumber
     kind: OrderKind
@@ -48,47 +48,48 @@
 
 @frozen(kw_only=True)
 class LedgerEntry:
-    """Memory that an artifact takes, or may take, on a runner."""
+    """Memory that an artifact uses, or may use, on a runner."""
 
     artifact: Artifact
     memory_mb: int
     order: OrderId | None = None
-    """Order that may still take effect; None once its effect is settled."""
+    """Order that may still take effect; None once its outcome is known."""
 
     reserved_fence: FenceNumber = FenceNumber(0)
-    """Fence of that order."""
+    """Fence of `order`."""
 
 
 @frozen(kw_only=True)
 class Ledger:
-    """The memory account of one runner, kept under one key.
+    """Memory accounting of one runner, stored under one key.
 
-    Invariant: the sum of `entries` and `kv_cache_floor_mb` never exceeds `size_mb`.
+    Invariant: the sum of `kv_cache_floor_mb` and the memory of all `resident` and
+    `reserved` entries never exceeds `size_mb`.
     """
 
     upstream: UpstreamId
     incarnation: IncarnationId
-    """Engine incarnation that the entries speak of."""
+    """Engine incarnation to which the entries apply."""
 
     size_mb: int
     kv_cache_floor_mb: int
     fence: FenceNumber
-    """Highest fence number given to an order."""
+    """Highest fence assigned to an order."""
 
     resident: tuple[LedgerEntry, ...] = ()
     reserved: tuple[LedgerEntry, ...] = ()
     """Loads that may still take effect."""
 
     writer: str = field(default="", eq=False)
-    """Controller incarnation that wrote it, for operators."""
+    """Controller incarnation that wrote the ledger, as information for operators."""
 
     @property
     def committed_mb(self) -> int:
-        """Return all memory that is taken or may be taken, KV cache floor included."""
+        """Return the memory that is or may be used, including the KV cache floor."""
         entries = (*self.resident, *self.reserved)
         return self.kv_cache_floor_mb + sum(entry.memory_mb for entry in entries)
 
     @property
     def free_mb(self) -> int:
-        """Return memory that a new reservation may take."""
+        """Return the memory available for new reservations."""
         return self.size_mb - self.committed_mb
--- a/mangoway/models/prompt.py
+++ b/mangoway/models/prompt.py
@@ -1,4 +1,4 @@
-"""The prompt of a generation, as its caller describes it."""
+"""Prompt of a generation request, as described by its caller."""
 
 from attrs import frozen
 
@@ -13,12 +13,12 @@
 
 @frozen(kw_only=True)
 class Prompt:
-    """Sizes of a prompt and of its answer in tokens; 0 where not known."""
+    """Sizes of a prompt and its output in tokens; 0 where unknown."""
 
     tokens: int
     max_output_tokens: int
     expected_output_tokens: int
-    """The caller's own estimate; right at the median, often far off."""
+    """Estimate of the caller; correct at the median, but often far off."""
 
     parts: tuple[PromptPart, ...]
-    """All parts in order; the last one belongs to the request or its session."""
+    """All parts in order; the last one is specific to the request or its session."""
--- a/mangoway/models/request.py
+++ b/mangoway/models/request.py
@@ -1,4 +1,4 @@
-"""A request as the decision cores see it, without its body."""
+"""Requests without their bodies, as input of the decision cores."""
 
 from enum import Enum
 
@@ -16,7 +16,7 @@
 
 
 class WorkClass(Enum):
-    """Kind of work: somebody waits for it, or it is due at a deadline."""
+    """Class of work: a user waits for the response, or it is due at a deadline."""
 
     URGENT = "urgent"
     PATIENT = "patient"
@@ -34,14 +34,14 @@
 
 
 Target = Artifact | ServiceCall
-"""What a request asks for."""
+"""Target of a request: an artifact, or a call of a plain service."""
 
 
 @frozen(kw_only=True)
 class Request:
     """One arrival of a caller's request at a gateway.
 
-    Times are seconds on the clock that the core is given.
+    Times are seconds on the clock of the decision core.
     """
 
     id: RequestId
@@ -50,7 +50,7 @@
     target: Target
     arrived_at: float
     deadline: float
-    """Time by which the whole answer is due."""
+    """Time by which the complete response is due."""
 
     first_token_deadline: float | None = None
     """Time by which the first token is due; None for patient work and calls."""
@@ -58,16 +58,16 @@
     idempotent: bool = True
     key: IdempotencyKey | None = None
     key_home: IncarnationId | None = None
-    """Gateway incarnation that the key names as its home; None for a plain key."""
+    """Gateway incarnation that is the home of the key; None for a plain key."""
 
     fingerprint: int = 0
-    """Hash of caller, target and body; a key may only be reused with the same."""
+    """Hash of caller, target and body; a key may only be reused with the same hash."""
 
     prompt_tokens: int = 0
     max_tokens: int = 0
     """Upper bound of generated tokens; 0 for service calls."""
 
     prefix_hashes: tuple[int, ...] = ()
-    """Hashes of the prompt's leading blocks, each covering all before it."""
+    """Hashes of the prompt's leading blocks, each including all preceding blocks."""
 
     streamed: bool = False
--- a/mangoway/models/routing.py
+++ b/mangoway/models/routing.py
@@ -1,4 +1,4 @@
-"""Routes and services as one version of the routing configuration declares them."""
+"""Routes and services of one version of the routing configuration."""
 
 from enum import Enum
 from typing import Final
@@ -12,15 +12,16 @@
 DEFAULT_HEADER_TIMEOUT_S: Final = 3.0
 DEFAULT_IDLE_TIMEOUT_S: Final = 15.0
 
-LEAST_PATIENCE_S: Final = 2.0
-OBJECTIVES_OF_PATIENCE: Final = 4.0
-GAPS_OF_PATIENCE: Final = 8.0
-"""Callers leave a stream after a gap of two seconds, four times the objective or eight
-times the longest pause, whichever is longest; so the platform's protocol says."""
+MIN_PATIENCE_S: Final = 2.0
+PATIENCE_PER_OBJECTIVE: Final = 4.0
+PATIENCE_PER_GAP_OBJECTIVE: Final = 8.0
+"""Callers abandon a stream after a pause of two seconds, four times the latency
+objective or eight times the gap objective, whichever is longest; the platform's
+protocol specifies this."""
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Kind of a route, which determines whether its requests may be retried."""
 
     SAFE = "safe"
     NON_IDEMPOTENT = "non_idempotent"
@@ -29,7 +30,7 @@
 
 @frozen(kw_only=True)
 class TrafficShare:
-    """A service that gets part of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -37,7 +38,7 @@
 
 @frozen(kw_only=True)
 class Route:
-    """Where requests with one host and path prefix go, and how they are treated."""
+    """Services and objectives for requests with a host and path prefix."""
 
     name: str
     host: str
@@ -45,34 +46,35 @@
     kind: RouteKind
     timeout_s: float
     objective_s: float
-    """Latency objective: to the whole answer, of streams to the first event."""
+    """Latency objective: time to the complete response, or to the first event of a
+    stream."""
 
     priority: int
-    """Rank among the routes; 0 is the most urgent."""
+    """Priority among the routes; 0 is the most urgent."""
 
     shares: tuple[TrafficShare, ...]
     max_attempts: int
     resumable: bool = False
-    """Whether a stream may go on at another runner from its last event."""
+    """Whether a stream may be resumed at another runner after its last event."""
 
     gap_objective_s: float = 0.0
-    """Longest pause between two events of a stream that is still on time."""
+    """Longest pause between two events of a stream that meets the objective."""
 
     public: bool = False
-    """Whether anybody may ask, without a key."""
+    """Whether requests need no API key."""
 
     @property
     def patience_s(self) -> float:
         """Return how long a caller waits for the first event of a stream."""
         return max(
-            LEAST_PATIENCE_S,
-            OBJECTIVES_OF_PATIENCE * self.objective_s,
-            GAPS_OF_PATIENCE * self.gap_objective_s,
+            MIN_PATIENCE_S,
+            PATIENCE_PER_OBJECTIVE * self.objective_s,
+            PATIENCE_PER_GAP_OBJECTIVE * self.gap_objective_s,
         )
 
     @property
     def idempotent(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.SAFE
@@ -80,50 +82,50 @@
 
 @frozen(kw_only=True)
 class ModelProfile:
-    """Size and load times of a model that an engine may hold."""
+    """Size and load times of a model that an engine can load."""
 
     name: str
     weights_mb: float
     load_s: float
-    """Time of a load from the weight store."""
+    """Duration of a load from the weight store."""
 
     memory_load_s: float
-    """Time of a load from the runner's host memory."""
+    """Duration of a load from the runner's host memory."""
 
     disk_load_s: float
-    """Time of a load from the runner's disk."""
+    """Duration of a load from the runner's disk."""
 
     adapters: int
-    """Number of adapters that are offered with it."""
+    """Number of adapters of the model."""
 
     adapter_mb: float
 
 
 @frozen(kw_only=True)
 class EngineProfile:
-    """What the runners of a service with a model engine can do."""
+    """Capacity of the runners of a service with a model engine."""
 
     slots: int
     kv_capacity_tokens: int
     weights_mb: float
     adapter_slots: int
     loads_per_s: float
-    """Loads from the weight store that all runners together may begin a second."""
+    """Loads from the weight store that all runners together may start per second."""
 
     models: dict[str, ModelProfile]
     disk_mb: float = 0.0
-    """Disk of a runner on which it keeps copies of weights, the latest used ones."""
+    """Disk space of a runner for copies of the most recently used weights."""
 
     @property
     def mean_load_s(self) -> float:
-        """Return the mean time of a load from the weight store over all models."""
+        """Return the mean duration of a load from the weight store over all models."""
         loads = [each.load_s for each in self.models.values()]
         return sum(loads) / max(1, len(loads))
 
 
 @frozen(kw_only=True)
 class ServiceProfile:
-    """A service: a group of runners that answer the same requests."""
+    """A service: a group of runners that serve the same requests."""
 
     name: str
     health_path: str
@@ -133,7 +135,7 @@
 
 @frozen(kw_only=True)
 class CallerLimits:
-    """What callers may send, and how long they may take."""
+    """Limits on the size of callers' requests and on the time to send them."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -150,7 +152,7 @@
     services: dict[str, ServiceProfile]
     limits: CallerLimits = CallerLimits()
     customers: CustomerRegistry | None = None
-    """Who may ask on routes that are not public; None where no keys are in use."""
+    """Customers for routes that are not public; None if no API keys are required."""
 
     _by_host: dict[str, tuple[Route, ...]] = field(init=False, repr=False, eq=False)
 
@@ -165,7 +167,7 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of a path."""
+        """Return the route of a host with the longest prefix that matches a path."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/mangoway/models/runner.py
+++ b/mangoway/models/runner.py
@@ -1,11 +1,11 @@
-"""Runners as the platform announces them and as they report about themselves."""
+"""Entries of runners in the platform's directory, and reports of runners."""
 
 from attrs import frozen
 
 
 @frozen(kw_only=True)
 class ResidentModel:
-    """A model that a runner holds, with its adapters."""
+    """A model that is loaded at a runner, with its loaded adapters."""
 
     name: str
     version: int
@@ -14,10 +14,10 @@
 
 @frozen(kw_only=True)
 class RunnerEntry:
-    """What the platform's directory says of one life of a runner."""
+    """Entry of one runner incarnation in the platform's directory."""
 
     runner_id: str
-    """Names the runner; it may start again under the same id."""
+    """ID of the runner; a restart may keep it."""
 
     service: str
     address: str
@@ -25,26 +25,26 @@
     slots: int
     draining: bool
     seconds_left: float | None
-    """Time until a runner that leaves at short notice is gone; None if unknown."""
+    """Time until a runner that leaves at short notice ends; None if unknown."""
 
     models: tuple[ResidentModel, ...]
-    """What it held when it wrote this, up to a heartbeat ago."""
+    """Models loaded when the runner wrote the entry, up to one heartbeat ago."""
 
     started_ms: int = 0
-    """When its present life began, in Unix milliseconds; 0 if it doesn't say. A later
-    one is a new life, which holds and knows nothing of the one before."""
+    """Start of the runner's incarnation in Unix milliseconds; 0 if unknown. A later
+    start means a new incarnation, without the models and state of the previous one."""
 
 
 @frozen(kw_only=True)
 class RunnerReport:
-    """State of a runner with an engine as of some hundred milliseconds ago."""
+    """State of a runner with a model engine, up to some hundred milliseconds old."""
 
     models: tuple[ResidentModel, ...]
     pending_adapters: frozenset[str]
-    """Adapters on their way to the runner, as `model/adapter`."""
+    """Adapters that are being loaded, as `model/adapter`."""
 
     busy: bool
-    """Whether an order is being carried out."""
+    """Whether an order is being executed."""
 
     order_count: int
     queued: int
@@ -52,15 +52,23 @@
     kv_used_tokens: int
     kv_capacity_tokens: int
     in_host_memory: frozenset[str]
-    """Models whose weights lie in the runner's host memory."""
+    """Models whose weights are in the runner's host memory."""
 
     on_disk: frozenset[str]
-    """Models whose weights lie on the runner's disk."""
+    """Models whose weights are on the runner's disk."""
 
     started_ms: int = 0
-    """When the life that reports began, as in the entry."""
+    """Start of the reporting incarnation, as in the entry."""
 
 
-def is_later_incarnation(started_ms: int, known_ms: int) -> bool:
-    """Return whether one life of a runner began after another; 0: not known when."""
-    return 0 < known_ms < started_ms
+def is_later_incarnation(started_ms: int, other_started_ms: int) -> bool:
+    """Return whether a runner incarnation started after another one.
+
+    Args:
+        started_ms: Start of the incarnation in Unix milliseconds; 0 if unknown.
+        other_started_ms: Start of the other one; 0 if unknown.
+
+    Returns:
+        False if one of the starts is unknown.
+    """
+    return 0 < other_started_ms < started_ms
--- a/mangoway/models/signals.py
+++ b/mangoway/models/signals.py
@@ -1,4 +1,4 @@
-"""What a runner says of itself in an answer to a request."""
+"""Signals that a runner sends in the header fields of its responses."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class DroppedField:
-    """A field of an answer that can't be read."""
+    """A header field of a response that is ignored since its value is invalid."""
 
     name: str
     value: str
@@ -15,33 +15,33 @@
 
 @frozen(kw_only=True)
 class RunnerSignals:
-    """The statements of one answer."""
+    """Signals of one response."""
 
     limit: float | None = None
-    """Requests a second that the runner takes from all hosts together; None: as many
-    as come."""
+    """Rate limit of the runner in requests per second, for all hosts together; None if
+    there is no limit."""
 
     is_limit_known: bool = True
-    """Whether the answer says anything of the limit: one that can't be read doesn't."""
+    """Whether `limit` is meaningful; False if the response has only invalid limits."""
 
     leaving: bool = False
-    """Whether the runner is about to end, and takes no new requests."""
+    """Whether the runner is about to end and accepts no new requests."""
 
     rest_s: float = 0.0
-    """Time for which the runner wants no more requests of this host; 0: it may be
-    sent the next one at once."""
+    """Cooldown: time for which the runner wants no more requests of this host; 0 if the
+    next request may be sent at once."""
 
     dropped: tuple[DroppedField, ...] = ()
 
 
 NO_SIGNALS: Final = RunnerSignals()
-"""An answer that says nothing."""
+"""Signals of a response without signal fields."""
 
 
 @frozen(kw_only=True)
 class LeavingReport:
-    """A runner said in an answer that it leaves."""
+    """Report that a runner signalled in a response that it is leaving."""
 
     runner_id: str
     started_ms: int
-    """Life of the runner, as in its entry."""
+    """Start of the runner's incarnation, as in its entry."""
--- a/mangoway/models/upstream.py
+++ b/mangoway/models/upstream.py
@@ -1,4 +1,4 @@
-"""What upstreams say about themselves."""
+"""Descriptions and reports of upstreams."""
 
 from enum import Enum
 
@@ -31,7 +31,7 @@
 
 @frozen(kw_only=True)
 class ResidentArtifact:
-    """One artifact in a runner's memory, as the engine reports it."""
+    """One artifact in a runner's memory, as reported by the engine."""
 
     artifact: Artifact
     memory_mb: int
@@ -40,7 +40,7 @@
 
 @frozen(kw_only=True)
 class UpstreamAddress:
-    """Where an upstream is, from the host list."""
+    """Address of an upstream, from the host list."""
 
     id: UpstreamId
     kind: UpstreamKind
@@ -56,17 +56,17 @@
 
 @frozen(kw_only=True)
 class EngineDescription:
-    """What an engine says of itself when it is met."""
+    """Description of an engine, requested from it when it is first reached."""
 
     upstream: UpstreamId
     incarnation: IncarnationId
     memory_mb: int
     accelerators: int = 1
     checks_fences: bool = False
-    """Whether it refuses orders with an old fence; unknown counts as False."""
+    """Whether the engine refuses orders with an old fence; False if unknown."""
 
     max_running: int = 1
-    """Requests that it batches at once."""
+    """Maximum number of requests in a batch."""
 
     tokens_per_second: float = 0.0
     """Decode throughput of the whole runner at full batch; 0 if unknown."""
@@ -74,7 +74,7 @@
 
 @frozen(kw_only=True)
 class CacheChange:
-    """Prefix blocks that entered or left an engine's cache."""
+    """Prefix blocks that were added to or removed from an engine's cache."""
 
     sequence: int
     added: tuple[int, ...] = ()
@@ -83,18 +83,18 @@
 
 @frozen(kw_only=True)
 class EngineReport:
-    """Load, memory and cache of an engine at one moment; it may arrive late."""
+    """Load, memory and cache of an engine at one point in time; may arrive late."""
 
     upstream: UpstreamId
     incarnation: IncarnationId
     reported_at: float
-    """Time of the report on the receiver's clock (received, less stated age)."""
+    """Time of the report on the receiver's clock: time of receipt minus its age."""
 
     running: int
     waiting: int
     kv_cache_used_mb: int = 0
     fence: FenceNumber = FenceNumber(0)
-    """Highest fence number the engine has seen; 0 if it does not check."""
+    """Highest fence that the engine has received; 0 if it does not check fences."""
 
     residents: tuple[ResidentArtifact, ...] = ()
     cache_changes: tuple[CacheChange, ...] = field(default=(), repr=False)
