--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -57,7 +57,7 @@
     future: "asyncio.Future[GrantResponse]"
 
     runner_id: str | None = None
-    reading: bool = True
+    prefilling: bool = True
     waiting_since: float | None = None
     """Time since which it waits for another scheduler; None if it does not wait."""
 
@@ -134,7 +134,7 @@
         tracked = self._requests.get(request_id)
         if tracked is None:
             return
-        tracked.reading = False
+        tracked.prefilling = False
         if tracked.link is not None:
             message = FirstEventSeen(edge=self.incarnation, request_id=request_id)
             tracked.link.send(message)
@@ -294,7 +294,7 @@
                 RequestAdopted(
                     grant_request=tracked.grant_request,
                     runner_id=tracked.runner_id,
-                    prefilling=tracked.reading,
+                    prefilling=tracked.prefilling,
                 )
             )
         for tracked in self._pop_waiting():
@@ -313,7 +313,7 @@
             if tracked.link is link and tracked.runner_id is not None:
                 tracked.link = None
                 self.local.adopt(
-                    tracked.grant_request, tracked.runner_id, tracked.reading
+                    tracked.grant_request, tracked.runner_id, tracked.prefilling
                 )
         for grant_request, future in self._pending.pop_all():
             tracked = self._requests[grant_request.request_id]
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -86,11 +86,13 @@
         """Let customers overdraw their quotas briefly, except the exhausted ones."""
         self.core.state.quotas.allow_overdraft(exhausted, self.clock())
 
-    def adopt(self, grant_request: GrantRequest, runner_id: str, reading: bool) -> None:
+    def adopt(
+        self, grant_request: GrantRequest, runner_id: str, prefilling: bool
+    ) -> None:
         """Count a running request that another provider has granted."""
         self.handle(
             RequestAdopted(
-                grant_request=grant_request, runner_id=runner_id, prefilling=reading
+                grant_request=grant_request, runner_id=runner_id, prefilling=prefilling
             )
         )
 
