--- a/mangoway/platform/store.py
+++ b/mangoway/platform/store.py
@@ -52,7 +52,8 @@
         """Read all keys with a prefix.
 
         The pages together are not a consistent snapshot. The returned revision is that
-        of the first page, so that a watch from it repeats changes made between two pages.
+        of the first page, so that a watch from it repeats changes made between two
+        pages.
 
         Args:
             prefix: Prefix of the keys.
