--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -139,12 +139,17 @@
 
     Rows are compact, because all hosts read them.
     """
-    rows = [[each.identity.text, each.stage.value, int(each.alone)] for each in charges]
+    rows = [
+        [each.identity.text, each.stage.value, int(each.variant_only)]
+        for each in charges
+    ]
     return sorted(rows)
 
 
 def _decode_charge(row: Any, life: str) -> Charge:
-    return Charge(_decode_identity(row[0]), life, RunStage(row[1]), alone=bool(row[2]))
+    return Charge(
+        _decode_identity(row[0]), life, RunStage(row[1]), variant_only=bool(row[2])
+    )
 
 
 def _decode_identity(text: str) -> RequestIdentity:
--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -22,7 +22,7 @@
 
 
 @frozen(kw_only=True)
-class RunnerLife:
+class RunnerIncarnation:
     """One life of a runner: it may start again under its id."""
 
     runner_id: str
@@ -41,10 +41,10 @@
     NOTHING_SENT = 0
     """The runner had sent no event, nor a whole answer."""
 
-    BEGUN = 1
+    OUTPUT_STARTED = 1
     """It had sent events for less than half a second."""
 
-    GOING_ON = 2
+    OUTPUT_ONGOING = 2
     """It had sent events for longer."""
 
 
@@ -58,7 +58,7 @@
 
     stage: RunStage = RunStage.NOTHING_SENT
 
-    alone: bool = False
+    variant_only: bool = False
     """Whether requests with this content and another variant were served of late, so
     that the content by itself is not the cause."""
 
