--- a/mangoway/daemons/controller.py
+++ b/mangoway/daemons/controller.py
@@ -15,7 +15,7 @@
 from ..policy.membership.events import ListedHost
 from ..settings.process import ControllerSettings
 from ..util.address import split_address
-from ..util.collector import exempt_start
+from ..util.collector import freeze_startup_objects
 from ..util.signals import StopSignals
 from .const import EXIT_CUT_OFF, EXIT_IDLE
 from .controller_node import ControllerNode
@@ -59,7 +59,7 @@
     metrics_server = MetricsServer(node.gauges.render)
     try:
         await _async_start(node, metrics_server)
-        exempt_start()
+        freeze_startup_objects()
         signal_name = await signals.async_wait()
         return await _async_leave(node, signal_name, forced)
     finally:
--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -36,7 +36,7 @@
 from ..scheduling.messages import RelayedStatement
 from ..settings.fleet import EdgeSettings
 from ..util.clock import read_boot_clock
-from ..util.collector import exempt_start
+from ..util.collector import freeze_startup_objects
 from ..util.ticks import async_sleep_to_tick
 from .fleet_process import (
     FleetProcess,
@@ -81,7 +81,7 @@
     edge = EdgeProcess(settings)
     signals = listen_for_signals(edge.force)
     await edge.async_start()
-    exempt_start()
+    freeze_startup_objects()
     await edge.async_leave(await signals.async_wait())
 
 
--- a/mangoway/daemons/gateway.py
+++ b/mangoway/daemons/gateway.py
@@ -21,7 +21,7 @@
 from ..policy.membership.core import MembershipCore
 from ..policy.membership.events import ListedHost
 from ..settings.process import GatewaySettings
-from ..util.collector import exempt_start
+from ..util.collector import freeze_startup_objects
 from ..util.signals import StopSignals
 from .const import EXIT_CUT_OFF, EXIT_IDLE
 from .gateway_node import GatewayNode, NodeSettings
@@ -60,7 +60,7 @@
     outcome = StopOutcome.FORCED
     try:
         await process.async_start()
-        exempt_start()
+        freeze_startup_objects()
         outcome = await process.async_leave(await signals.async_wait())
     finally:
         await process.async_stop(force=outcome is not StopOutcome.IDLE)
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -27,7 +27,7 @@
 from ..scheduling.messages import Message
 from ..scheduling.server import SchedulerServer
 from ..settings.fleet import SchedulerSettings
-from ..util.collector import exempt_start
+from ..util.collector import freeze_startup_objects
 from ..util.ticks import async_sleep_to_tick
 from .fleet_process import (
     FleetProcess,
@@ -67,7 +67,7 @@
     scheduler = SchedulerProcess(settings)
     signals = listen_for_signals(lambda: None)
     await scheduler.async_start()
-    exempt_start()
+    freeze_startup_objects()
     await scheduler.async_leave(await signals.async_wait())
 
 
--- a/mangoway/util/collector.py
+++ b/mangoway/util/collector.py
@@ -3,7 +3,7 @@
 import gc
 
 
-def exempt_start() -> None:
+def freeze_startup_objects() -> None:
     """Keep what the start has made out of later collections.
 
     Modules and classes live as long as the process, and a full collection that goes
--- a/tests/util/test_collector.py
+++ b/tests/util/test_collector.py
@@ -2,7 +2,7 @@
 
 import gc
 
-from mangoway.util.collector import exempt_start
+from mangoway.util.collector import freeze_startup_objects
 
 
 class TestExemptStart:
@@ -10,7 +10,7 @@
 
     def test_what_is_there_is_not_collected_again(self) -> None:
         kept: list[object] = []
-        exempt_start()
+        freeze_startup_objects()
         try:
             assert all(each is not kept for each in gc.get_objects())
             assert gc.get_freeze_count() > 0
