--- a/mangoway/daemons/key_hand_over.py
+++ b/mangoway/daemons/key_hand_over.py
@@ -15,7 +15,7 @@
 from ..peers import peers_pb2 as pb
 from ..peers.directory import Directory
 from ..peers.forwarding import Forwarder
-from ..peers.hand_over import HandOverIntake, KeyHandOver, StoredAnswer
+from ..peers.hand_over import HandOverAssembler, KeyHandOver, StoredAnswer
 from ..policy.dispatch.core import DispatchCore
 from ..policy.dispatch.events import DispatchEvent, KeyRecord, PeerKeysReceived
 from .const import HAND_OVER_BATCH_RECORDS
@@ -87,7 +87,7 @@
         self, chunks: AsyncIterable[pb.KeyChunk]
     ) -> pb.HandOverReply:
         """Receive a complete hand-over and add its records and answers."""
-        intake = HandOverIntake(time.time())
+        intake = HandOverAssembler(time.time())
         async for chunk in chunks:
             intake.add(chunk)
             await asyncio.sleep(0)
--- a/mangoway/peers/hand_over.py
+++ b/mangoway/peers/hand_over.py
@@ -50,7 +50,7 @@
 
 
 @define(eq=False)
-class HandOverIntake:
+class HandOverAssembler:
     """Takes the messages of one hand-over, one at a time."""
 
     _now: float
--- a/tests/peers/test_hand_over.py
+++ b/tests/peers/test_hand_over.py
@@ -14,7 +14,7 @@
 from mangoway.peers import peers_pb2 as pb
 from mangoway.peers.client import PeerClient
 from mangoway.peers.hand_over import (
-    HandOverIntake,
+    HandOverAssembler,
     KeyHandOver,
     StoredAnswer,
     make_chunks,
@@ -62,7 +62,7 @@
             evolve(record, expires_at=record.expires_at + 400)
             for record in keys.records
         ]
-        intake = HandOverIntake(500.0)
+        intake = HandOverAssembler(500.0)
         for chunk in chunks:
             assert len(chunk.records) <= 2
             assert len(chunk.answers) <= 2
@@ -71,7 +71,7 @@
 
     def test_missing_part_of_an_answer_is_refused(self) -> None:
         part = pb.AnswerPart(answer_id="r-1", body=b"half")
-        intake = HandOverIntake(0.0)
+        intake = HandOverAssembler(0.0)
         intake.add(pb.KeyChunk(home="home.1", answers=[part], last=True))
         with pytest.raises(MangowayError):
             intake.finish()
