--- a/mangoway/daemons/controller_node.py
+++ b/mangoway/daemons/controller_node.py
@@ -20,7 +20,7 @@
 from ..peers.client import PeerClients
 from ..peers.directory import Directory
 from ..peers.network import PeerNetwork
-from ..peers.reports import ReportBook
+from ..peers.reports import ReportTracker
 from ..peers.server import PeerReceivers, PeerServer
 from ..policy.membership.core import MembershipCore
 from ..policy.membership.events import ListedHost
@@ -52,7 +52,7 @@
     network: PeerNetwork = field(init=False)
     server: PeerServer = field(init=False)
     gauges: ControllerGauges = field(init=False)
-    _book: ReportBook = field(factory=ReportBook, init=False)
+    _book: ReportTracker = field(factory=ReportTracker, init=False)
     _journal: Journal = field(factory=Journal, init=False)
     _lease_task: "asyncio.Task[None] | None" = field(default=None, init=False)
 
--- a/mangoway/daemons/gateway_node.py
+++ b/mangoway/daemons/gateway_node.py
@@ -32,7 +32,7 @@
 from ..peers.demand import DemandSender
 from ..peers.directory import Directory
 from ..peers.forwarding import Forwarder
-from ..peers.reports import ReportBook
+from ..peers.reports import ReportTracker
 from ..peers.server import PeerReceivers, PeerServer
 from ..policy.dispatch.actions import ReportDemand
 from ..policy.dispatch.core import DispatchCore
@@ -101,7 +101,7 @@
         )
         self.tasks = Tasks(_log_failed_task)
         self.directory = Directory(settings.incarnation)
-        self.book = ReportBook()
+        self.book = ReportTracker()
         self.clients = PeerClients()
         self.forwarder = Forwarder(self.clients)
         self.session = UpstreamSession()
--- a/mangoway/peers/heartbeat.py
+++ b/mangoway/peers/heartbeat.py
@@ -19,7 +19,7 @@
 from .member_codec import decode_members, encode_members
 from .messages import ReceivedHeartbeat
 from .report_codec import ReportDecoder, ReportEncoder
-from .reports import BookEntry, ReportBook
+from .reports import ReportEntry, ReportTracker
 from .slots import PeerView, SenderViews, SlotsExhausted, SlotTable
 
 
@@ -40,7 +40,7 @@
     """
 
     own: IncarnationId
-    book: ReportBook
+    book: ReportTracker
     make_session: Callable[[], int]
     _session: int = field(init=False)
     _table: SlotTable = field(init=False)
@@ -167,7 +167,7 @@
             view.reports_up_to = 0
 
 
-def _has_heard(heard: dict[UpstreamId, float], entry: BookEntry) -> bool:
+def _has_heard(heard: dict[UpstreamId, float], entry: ReportEntry) -> bool:
     """Return whether a peer's report of a runner is as new as an entry."""
     reported_at = heard.get(entry.report.upstream)
     if reported_at is None:
--- a/mangoway/peers/network.py
+++ b/mangoway/peers/network.py
@@ -25,7 +25,7 @@
 from .heartbeat import HeartbeatCodec
 from .member_log import MemberLog
 from .membership import MembershipDriver
-from .reports import ReportBook
+from .reports import ReportTracker
 from .server import PeerReceivers
 
 
@@ -42,7 +42,7 @@
     store: KeyValueStore
     clients: PeerClients
     directory: Directory
-    book: ReportBook
+    book: ReportTracker
     journal: Journal
     tasks: Tasks
     rng: Random
--- a/mangoway/peers/report_codec.py
+++ b/mangoway/peers/report_codec.py
@@ -8,7 +8,7 @@
 from ..models.identifiers import FenceNumber, IncarnationId, UpstreamId
 from ..models.upstream import EngineReport, Residency, ResidentArtifact
 from . import peers_pb2 as pb
-from .reports import BookEntry, ReportBook
+from .reports import ReportEntry, ReportTracker
 from .slots import PeerView, SenderView, SlotTable
 
 AGE_UNITS_PER_S = 100
@@ -32,13 +32,13 @@
         self._heartbeat = heartbeat
         self._now = now
 
-    def add(self, entries: Iterable[BookEntry]) -> None:
+    def add(self, entries: Iterable[ReportEntry]) -> None:
         """Add entries of the report book."""
         for entry in entries:
             self._add_load(entry)
             self._add_residency(entry)
 
-    def _add_load(self, entry: BookEntry) -> None:
+    def _add_load(self, entry: ReportEntry) -> None:
         report = entry.report
         loads = self._heartbeat.loads
         age_s = max(0.0, self._now - report.reported_at)
@@ -49,7 +49,7 @@
         loads.kv_cache_used_mb.append(report.kv_cache_used_mb)
         loads.residency_digests.append(entry.digest)
 
-    def _add_residency(self, entry: BookEntry) -> None:
+    def _add_residency(self, entry: ReportEntry) -> None:
         report = entry.report
         runner = self._find_slot(report.upstream)
         if self._view.residencies.get(runner) == entry.digest:
@@ -81,7 +81,7 @@
     has to send again; the reports that need them are left out.
     """
 
-    def __init__(self, view: SenderView, book: ReportBook, now: float) -> None:
+    def __init__(self, view: SenderView, book: ReportTracker, now: float) -> None:
         self._view = view
         self._book = book
         self._now = now
--- a/mangoway/peers/reports.py
+++ b/mangoway/peers/reports.py
@@ -13,7 +13,7 @@
 
 
 @frozen(kw_only=True)
-class BookEntry:
+class ReportEntry:
     """A report with what is needed to pass it on."""
 
     report: EngineReport
@@ -28,10 +28,10 @@
 
 
 @define(eq=False)
-class ReportBook:
+class ReportTracker:
     """Newest report of each runner, in the order in which they came."""
 
-    _entries: OrderedDict[UpstreamId, BookEntry] = field(
+    _entries: OrderedDict[UpstreamId, ReportEntry] = field(
         factory=OrderedDict, init=False
     )
     _updates: int = field(default=0, init=False)
@@ -52,7 +52,7 @@
         if not self.is_news(report.upstream, report.reported_at):
             return False
         self._updates += 1
-        self._entries[report.upstream] = BookEntry(
+        self._entries[report.upstream] = ReportEntry(
             report=report,
             digest=_find_digest(report, known),
             update=self._updates,
@@ -71,7 +71,7 @@
             return True
         return reported_at > known.report.reported_at + SAME_REPORT_S
 
-    def get(self, upstream: UpstreamId) -> BookEntry | None:
+    def get(self, upstream: UpstreamId) -> ReportEntry | None:
         """Return the newest entry of a runner."""
         return self._entries.get(upstream)
 
@@ -81,7 +81,7 @@
             if upstream not in keep:
                 del self._entries[upstream]
 
-    def list_since(self, update: int, limit: int) -> list[BookEntry]:
+    def list_since(self, update: int, limit: int) -> list[ReportEntry]:
         """Return the newest entries after an update, in the order they came.
 
         Where there are more than the limit, the older ones are left out: they are
@@ -91,7 +91,7 @@
         newest.reverse()
         return newest
 
-    def _iterate_back_to(self, update: int) -> Iterator[BookEntry]:
+    def _iterate_back_to(self, update: int) -> Iterator[ReportEntry]:
         for entry in reversed(self._entries.values()):
             if entry.update <= update:
                 return
@@ -108,7 +108,7 @@
     return xxhash.xxh32_intdigest("\n".join(texts).encode())
 
 
-def _find_digest(report: EngineReport, known: BookEntry | None) -> int:
+def _find_digest(report: EngineReport, known: ReportEntry | None) -> int:
     if known is None or not _has_same_residency(report, known.report):
         return digest_residency(report)
     return known.digest
--- a/tests/peers/test_heartbeat.py
+++ b/tests/peers/test_heartbeat.py
@@ -27,14 +27,14 @@
 from mangoway.peers import slots
 from mangoway.peers.const import MAX_REPORTS_PER_HEARTBEAT
 from mangoway.peers.heartbeat import HeartbeatCodec
-from mangoway.peers.reports import ReportBook
+from mangoway.peers.reports import ReportTracker
 
 NAMES = st.text("abcdef-", min_size=1, max_size=6)
 
 
 def _make_codec(name: str, first_session: int) -> HeartbeatCodec:
     sessions: Iterator[int] = count(first_session)
-    return HeartbeatCodec(IncarnationId(name), ReportBook(), lambda: next(sessions))
+    return HeartbeatCodec(IncarnationId(name), ReportTracker(), lambda: next(sessions))
 
 
 def _make_member(number: int, **changes: object) -> Member:
@@ -225,7 +225,7 @@
         assert list(ages) == list(range(100 * MAX_REPORTS_PER_HEARTBEAT, 0, -100))
 
     def test_older_report_does_not_replace_a_newer_one(self) -> None:
-        book = ReportBook()
+        book = ReportTracker()
         book.offer(_make_report(1, 5.0, running=8))
         assert not book.offer(_make_report(1, 4.0, running=1), source=7)
         entry = book.get(UpstreamId("runner-1"))
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -23,7 +23,7 @@
 from mangoway.peers import peers_pb2 as pb
 from mangoway.peers.heartbeat import HeartbeatCodec
 from mangoway.peers.membership import MembershipDriver
-from mangoway.peers.reports import ReportBook
+from mangoway.peers.reports import ReportTracker
 from mangoway.policy.membership.actions import (
     MembersChanged,
     MembershipAction,
@@ -130,7 +130,7 @@
 
     def __init__(self, net: Net, name: str, life: int) -> None:
         self.members: tuple[Member, ...] = ()
-        self.book = ReportBook()
+        self.book = ReportTracker()
         self.tasks = Tasks(net.errors.append)
         own = make_member(name, life)
         self.driver = MembershipDriver(
@@ -265,7 +265,9 @@
     driver = MembershipDriver(
         core=core,
         own=own,
-        codec=HeartbeatCodec(own.incarnation, ReportBook(), lambda: next(net.sessions)),
+        codec=HeartbeatCodec(
+            own.incarnation, ReportTracker(), lambda: next(net.sessions)
+        ),
         clients=net,  # type: ignore[arg-type]
         tasks=Tasks(net.errors.append),
         on_members=lambda _: None,
