--- a/mangoway/daemons/controller.py
+++ b/mangoway/daemons/controller.py
@@ -97,7 +97,7 @@
         ListedHost(peer_address=each.peer_address, leaving=each.leaving)
         for each in listing.processes
     )
-    node.async_list_hosts(listing.upstreams, hosts)
+    node.async_update_hosts(listing.upstreams, hosts)
 
 
 async def _async_leave(
--- a/mangoway/daemons/controller_node.py
+++ b/mangoway/daemons/controller_node.py
@@ -52,7 +52,7 @@
     network: PeerNetwork = field(init=False)
     server: PeerServer = field(init=False)
     gauges: ControllerGauges = field(init=False)
-    _book: ReportTracker = field(factory=ReportTracker, init=False)
+    _report_tracker: ReportTracker = field(factory=ReportTracker, init=False)
     _journal: Journal = field(factory=Journal, init=False)
     _lease_task: "asyncio.Task[None] | None" = field(default=None, init=False)
 
@@ -91,16 +91,16 @@
         self.tasks.async_start(async_watch_loop(self.metrics))
         self._lease_task = self.tasks.async_start(self.lease.async_run())
 
-    def async_list_hosts(
+    def async_update_hosts(
         self, upstreams: Iterable[UpstreamAddress], hosts: Iterable[ListedHost]
     ) -> None:
         """Update the runners and processes from the host list."""
         runners = tuple(
             upstream for upstream in upstreams if upstream.kind is UpstreamKind.ENGINE
         )
-        self._book.forget(frozenset(runner.id for runner in runners))
+        self._report_tracker.retain(frozenset(runner.id for runner in runners))
         self.placement.async_set_runners(runners)
-        self.network.async_list_hosts(hosts)
+        self.network.async_update_hosts(hosts)
 
     async def async_leave(self, deadline_s: float) -> bool:
         """Release the lease and wait for orders in progress.
@@ -150,7 +150,7 @@
             store=self.store,
             clients=self.clients,
             directory=self.directory,
-            book=self._book,
+            report_tracker=self._report_tracker,
             journal=self._journal,
             tasks=self.tasks,
             rng=rng,
--- a/mangoway/daemons/gateway.py
+++ b/mangoway/daemons/gateway.py
@@ -163,7 +163,7 @@
             store=self.store,
             clients=node.clients,
             directory=node.directory,
-            book=node.book,
+            report_tracker=node.report_tracker,
             journal=node.journal,
             tasks=node.tasks,
             rng=rng,
@@ -185,7 +185,7 @@
 
     def _apply_host_list(self, listing: HostListing) -> None:
         self.node.set_upstreams(listing.upstreams)
-        self.network.async_list_hosts(
+        self.network.async_update_hosts(
             ListedHost(peer_address=each.peer_address, leaving=each.leaving)
             for each in listing.processes
         )
--- a/mangoway/daemons/gateway_node.py
+++ b/mangoway/daemons/gateway_node.py
@@ -101,7 +101,7 @@
         )
         self.tasks = Tasks(_log_failed_task)
         self.directory = Directory(settings.incarnation)
-        self.book = ReportTracker()
+        self.report_tracker = ReportTracker()
         self.clients = PeerClients()
         self.forwarder = Forwarder(self.clients)
         self.session = UpstreamSession()
@@ -153,7 +153,7 @@
         self._upstream_log = UpstreamLog()
         self._live_gateways: frozenset[IncarnationId] | None = None
         """Live gateways among which polling of the engines is divided."""
-        self.book.listen(self._handle_peer_report)
+        self.report_tracker.add_listener(self._handle_peer_report)
 
     @property
     def idle(self) -> bool:
@@ -200,7 +200,7 @@
         known = tuple(upstreams)
         self._upstream_log.record_listed(known)
         self.dispatcher.set_upstreams(known)
-        self.book.forget(frozenset(self.dispatcher.upstreams))
+        self.report_tracker.retain(frozenset(self.dispatcher.upstreams))
         self._assign_engines()
 
     def set_members(self, members: Iterable[Member]) -> None:
@@ -239,7 +239,7 @@
     def async_handle_report(self, report: EngineReport) -> None:
         """Handle a report that this gateway read; it is also passed on to peers."""
         self._upstream_log.record_report(report)
-        if self.book.offer(report):
+        if self.report_tracker.add_if_newer(report):
             self.dispatcher.send(EngineReported(report=report))
 
     def async_handle_silence(self, upstream: UpstreamId, error: MangowayError) -> None:
--- a/mangoway/peers/heartbeat.py
+++ b/mangoway/peers/heartbeat.py
@@ -40,7 +40,7 @@
     """
 
     own: IncarnationId
-    book: ReportTracker
+    report_tracker: ReportTracker
     make_session: Callable[[], int]
     _session: int = field(init=False)
     _table: SlotTable = field(init=False)
@@ -98,7 +98,7 @@
     def _add_reports(self, view: PeerView, heartbeat: pb.Heartbeat, now: float) -> None:
         is_first = not view.reports_up_to
         limit = MAX_FIRST_REPORTS if is_first else MAX_REPORTS_PER_HEARTBEAT
-        entries = self.book.list_since(view.reports_up_to, limit)
+        entries = self.report_tracker.list_since(view.reports_up_to, limit)
         if not entries:
             return
         view.reports_up_to = entries[-1].update
@@ -134,7 +134,7 @@
         sender = self._senders.get(session)
         wanted = Wanted()
         members = decode_members(heartbeat, sender, wanted.members)
-        decoder = ReportDecoder(sender, self.book, now)
+        decoder = ReportDecoder(sender, self.report_tracker, now)
         reports = decoder.decode(heartbeat)
         wanted.names = decoder.unknown_names
         wanted.residencies = decoder.unknown_residencies
@@ -142,7 +142,9 @@
             self._wanted[session] = wanted
         self._heard = {session: decoder.heard}
         newer = tuple(
-            report for report in reports if self.book.offer(report, source=session)
+            report
+            for report in reports
+            if self.report_tracker.add_if_newer(report, source=session)
         )
         own = sender.members.get(OWN_SLOT)
         return ReceivedHeartbeat(
--- a/mangoway/peers/membership.py
+++ b/mangoway/peers/membership.py
@@ -73,14 +73,14 @@
 
     def async_start(self, seeds: Iterable[str]) -> None:
         """Begin with the peer addresses that the settings name."""
-        self.async_list_hosts(ListedHost(peer_address=seed) for seed in seeds)
+        self.async_update_hosts(ListedHost(peer_address=seed) for seed in seeds)
         self._driver.async_handle(Ticked())
 
     def async_stop(self) -> None:
         """Send nothing further."""
         self._driver.async_stop()
 
-    def async_list_hosts(self, hosts: Iterable[ListedHost]) -> None:
+    def async_update_hosts(self, hosts: Iterable[ListedHost]) -> None:
         """Take the processes that the host list or the settings name."""
         self._driver.async_handle(HostListUpdated(hosts=tuple(hosts)))
 
--- a/mangoway/peers/network.py
+++ b/mangoway/peers/network.py
@@ -42,7 +42,7 @@
     store: KeyValueStore
     clients: PeerClients
     directory: Directory
-    book: ReportTracker
+    report_tracker: ReportTracker
     journal: Journal
     tasks: Tasks
     rng: Random
@@ -56,7 +56,9 @@
         self.membership = MembershipDriver(
             core=self.membership_core,
             own=self.own,
-            codec=HeartbeatCodec(self.own.incarnation, self.book, make_session),
+            codec=HeartbeatCodec(
+                self.own.incarnation, self.report_tracker, make_session
+            ),
             clients=self.clients,
             tasks=self.tasks,
             on_members=self._take_members,
@@ -90,9 +92,9 @@
         self.membership.async_stop()
         self.configuration.async_stop()
 
-    def async_list_hosts(self, hosts: Iterable[ListedHost]) -> None:
+    def async_update_hosts(self, hosts: Iterable[ListedHost]) -> None:
         """Take the processes that the host list names."""
-        self.membership.async_list_hosts(hosts)
+        self.membership.async_update_hosts(hosts)
 
     def async_announce(self, successor: IncarnationId | None) -> None:
         """Tell the peers that this process leaves, and who has its keys."""
--- a/mangoway/peers/report_codec.py
+++ b/mangoway/peers/report_codec.py
@@ -81,9 +81,11 @@
     has to send again; the reports that need them are left out.
     """
 
-    def __init__(self, view: SenderView, book: ReportTracker, now: float) -> None:
+    def __init__(
+        self, view: SenderView, report_tracker: ReportTracker, now: float
+    ) -> None:
         self._view = view
-        self._book = book
+        self._report_tracker = report_tracker
         self._now = now
         self.unknown_names: set[int] = set()
         self.unknown_residencies: set[int] = set()
@@ -133,7 +135,7 @@
         if upstream is None:
             return True
         self.heard[UpstreamId(upstream)] = reported_at
-        return self._book.is_news(UpstreamId(upstream), reported_at)
+        return self._report_tracker.is_news(UpstreamId(upstream), reported_at)
 
     def _learn_names(self, names: Iterable[pb.Name]) -> None:
         for name in names:
@@ -147,7 +149,7 @@
             return None
         if residency is not None:
             return self._decode_residency(UpstreamId(upstream), residency)
-        known = self._book.get(UpstreamId(upstream))
+        known = self._report_tracker.get(UpstreamId(upstream))
         if known is None or known.digest != digest:
             self.unknown_residencies.add(runner)
             return None
--- a/mangoway/peers/reports.py
+++ b/mangoway/peers/reports.py
@@ -42,11 +42,11 @@
         """Return the number of the last update."""
         return self._updates
 
-    def listen(self, listener: Callable[[EngineReport], None]) -> None:
+    def add_listener(self, listener: Callable[[EngineReport], None]) -> None:
         """Call `listener` with each newer report that a peer passes on."""
         self._listeners.append(listener)
 
-    def offer(self, report: EngineReport, source: int = 0) -> bool:
+    def add_if_newer(self, report: EngineReport, source: int = 0) -> bool:
         """Keep a report unless a newer one, or the same one, is here."""
         known = self._entries.get(report.upstream)
         if not self.is_news(report.upstream, report.reported_at):
@@ -75,7 +75,7 @@
         """Return the newest entry of a runner."""
         return self._entries.get(upstream)
 
-    def forget(self, keep: frozenset[UpstreamId]) -> None:
+    def retain(self, keep: frozenset[UpstreamId]) -> None:
         """Drop every runner that is not in `keep`."""
         for upstream in tuple(self._entries):
             if upstream not in keep:
--- a/tests/daemons/gateway_world.py
+++ b/tests/daemons/gateway_world.py
@@ -183,7 +183,7 @@
                     make_upstream("s1", service.address, SERVICE),
                 ]
             )
-            await wait_until(lambda node=node: node.book.updates > 0)
+            await wait_until(lambda node=node: node.report_tracker.updates > 0)
         yield world
 
 
--- a/tests/daemons/test_gateway_faults.py
+++ b/tests/daemons/test_gateway_faults.py
@@ -191,10 +191,12 @@
     async def test_report_of_unlisted_runner_is_removed(
         self, world: GatewayWorld
     ) -> None:
-        book = world.node.book
-        (upstream,) = (entry.report.upstream for entry in book.list_since(0, 9))
+        report_tracker = world.node.report_tracker
+        (upstream,) = (
+            entry.report.upstream for entry in report_tracker.list_since(0, 9)
+        )
         world.node.set_upstreams([])
-        assert book.get(upstream) is None
+        assert report_tracker.get(upstream) is None
 
     async def test_refusal_has_a_retry_delay(self, world: GatewayWorld) -> None:
         world.node.set_upstreams([])
--- a/tests/peers/test_heartbeat.py
+++ b/tests/peers/test_heartbeat.py
@@ -159,7 +159,7 @@
     @pytest.mark.parametrize("change", ["uneven", "state", "role", "artifact"])
     def test_malformed_heartbeat_is_refused_with_a_code(self, change: str) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
-        sender.book.offer(_make_report(1, 0.0))
+        sender.report_tracker.add_if_newer(_make_report(1, 0.0))
         heartbeat = sender.encode(100, (_make_member(0),), 0.0)
         match change:
             case "uneven":
@@ -185,19 +185,19 @@
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         for time, residents in enumerate(rounds):
             report = evolve(_make_report(1, float(time)), residents=residents)
-            sender.book.offer(report)
+            sender.report_tracker.add_if_newer(report)
             received = receiver.decode(sender.encode(100, (), float(time)), float(time))
             assert received.reports == (report,)
 
     def test_age_carries_over_to_the_clock_of_the_receiver(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
-        sender.book.offer(_make_report(1, 10.0))
+        sender.report_tracker.add_if_newer(_make_report(1, 10.0))
         received = receiver.decode(sender.encode(100, (), 10.5), 77.0)
         assert received.reports[0].reported_at == pytest.approx(76.5)
 
     def test_report_is_not_sent_back_to_where_it_came_from(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
-        sender.book.offer(_make_report(1, 1.0))
+        sender.report_tracker.add_if_newer(_make_report(1, 1.0))
         receiver.decode(sender.encode(100, (), 1.0), 1.0)
         assert len(receiver.encode(1, (), 1.0).loads.runners) == 0
         assert len(receiver.encode(2, (), 1.0).loads.runners) == 1
@@ -205,8 +205,8 @@
     def test_reply_leaves_out_what_the_peer_has_from_elsewhere(self) -> None:
         one, other = _make_codec("host-0.1", 1), _make_codec("other", 100)
         for number, time in ((1, 5.0), (2, 5.0), (3, 9.0)):
-            one.book.offer(_make_report(number, 5.0), source=7)
-            other.book.offer(_make_report(number, time), source=8)
+            one.report_tracker.add_if_newer(_make_report(number, 5.0), source=7)
+            other.report_tracker.add_if_newer(_make_report(number, time), source=8)
         other.decode(one.encode(100, (), 9.0), 9.0)
         reply = other.encode(1, (), 9.0)
         received = one.decode(reply, 9.0)
@@ -217,27 +217,29 @@
         sender = _make_codec("host-0.1", 1)
         count_all = MAX_REPORTS_PER_HEARTBEAT + 30
         for number in range(count_all):
-            sender.book.offer(_make_report(number, 1.0))
+            sender.report_tracker.add_if_newer(_make_report(number, 1.0))
         assert len(sender.encode(100, (), 1.0).loads.runners) == count_all
         for number in range(count_all):
-            sender.book.offer(_make_report(number, 2.0 + number))
+            sender.report_tracker.add_if_newer(_make_report(number, 2.0 + number))
         ages = sender.encode(100, (), 2.0 + count_all).loads.ages
         assert list(ages) == list(range(100 * MAX_REPORTS_PER_HEARTBEAT, 0, -100))
 
     def test_older_report_does_not_replace_a_newer_one(self) -> None:
-        book = ReportTracker()
-        book.offer(_make_report(1, 5.0, running=8))
-        assert not book.offer(_make_report(1, 4.0, running=1), source=7)
-        entry = book.get(UpstreamId("runner-1"))
+        report_tracker = ReportTracker()
+        report_tracker.add_if_newer(_make_report(1, 5.0, running=8))
+        assert not report_tracker.add_if_newer(
+            _make_report(1, 4.0, running=1), source=7
+        )
+        entry = report_tracker.get(UpstreamId("runner-1"))
         assert entry is not None
         assert entry.report.running == 8
 
     def test_lost_residency_is_asked_for_and_sent_again(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
-        sender.book.offer(_make_report(1, 1.0))
+        sender.report_tracker.add_if_newer(_make_report(1, 1.0))
         sender.encode(100, (), 1.0)
         newer = _make_report(1, 2.0, running=9)
-        sender.book.offer(newer)
+        sender.report_tracker.add_if_newer(newer)
         assert receiver.decode(sender.encode(100, (), 2.0), 2.0).reports == ()
         sender.decode(receiver.encode(1, (), 2.0), 2.0)
         received = receiver.decode(sender.encode(100, (), 2.0), 2.0)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -130,14 +130,14 @@
 
     def __init__(self, net: Net, name: str, life: int) -> None:
         self.members: tuple[Member, ...] = ()
-        self.book = ReportTracker()
+        self.report_tracker = ReportTracker()
         self.tasks = Tasks(net.errors.append)
         own = make_member(name, life)
         self.driver = MembershipDriver(
             core=MembershipCore(own, Random(name)),
             own=own,
             codec=HeartbeatCodec(
-                own.incarnation, self.book, lambda: next(net.sessions)
+                own.incarnation, self.report_tracker, lambda: next(net.sessions)
             ),
             clients=net,  # type: ignore[arg-type]
             tasks=self.tasks,
@@ -218,10 +218,10 @@
                 running=3,
                 waiting=0,
             )
-            net.nodes["n5"].book.offer(report)
+            net.nodes["n5"].report_tracker.add_if_newer(report)
             await asyncio.sleep(5)
             for node in net.nodes.values():
-                entry = node.book.get(UpstreamId("r1"))
+                entry = node.report_tracker.get(UpstreamId("r1"))
                 assert entry is not None
                 assert entry.report.running == 3
                 assert entry.report.reported_at == pytest.approx(now, abs=0.1)
