--- a/mangoway/peers/reports.py
+++ b/mangoway/peers/reports.py
@@ -13,7 +13,7 @@
 
 
 @frozen(kw_only=True)
-class BookEntry:
+class ReportEntry:
     """A report with what is needed to pass it on."""
 
     report: EngineReport
@@ -28,10 +28,10 @@
 
 
 @define(eq=False)
-class ReportBook:
+class ReportTracker:
     """Newest report of each runner, in the order in which they came."""
 
-    _entries: OrderedDict[UpstreamId, BookEntry] = field(
+    _entries: OrderedDict[UpstreamId, ReportEntry] = field(
         factory=OrderedDict, init=False
     )
     _updates: int = field(default=0, init=False)
@@ -42,17 +42,17 @@
         """Return the number of the last update."""
         return self._updates
 
-    def listen(self, listener: Callable[[EngineReport], None]) -> None:
+    def add_listener(self, listener: Callable[[EngineReport], None]) -> None:
         """Call `listener` with each newer report that a peer passes on."""
         self._listeners.append(listener)
 
-    def offer(self, report: EngineReport, source: int = 0) -> bool:
+    def add_if_newer(self, report: EngineReport, source: int = 0) -> bool:
         """Keep a report unless a newer one, or the same one, is here."""
         known = self._entries.get(report.upstream)
         if not self.is_news(report.upstream, report.reported_at):
             return False
         self._updates += 1
-        self._entries[report.upstream] = BookEntry(
+        self._entries[report.upstream] = ReportEntry(
             report=report,
             digest=_find_digest(report, known),
             update=self._updates,
@@ -71,17 +71,17 @@
             return True
         return reported_at > known.report.reported_at + SAME_REPORT_S
 
-    def get(self, upstream: UpstreamId) -> BookEntry | None:
+    def get(self, upstream: UpstreamId) -> ReportEntry | None:
         """Return the newest entry of a runner."""
         return self._entries.get(upstream)
 
-    def forget(self, keep: frozenset[UpstreamId]) -> None:
+    def retain(self, keep: frozenset[UpstreamId]) -> None:
         """Drop every runner that is not in `keep`."""
         for upstream in tuple(self._entries):
             if upstream not in keep:
                 del self._entries[upstream]
 
-    def list_since(self, update: int, limit: int) -> list[BookEntry]:
+    def list_since(self, update: int, limit: int) -> list[ReportEntry]:
         """Return the newest entries after an update, in the order they came.
 
         Where there are more than the limit, the older ones are left out: they are
@@ -91,7 +91,7 @@
         newest.reverse()
         return newest
 
-    def _iterate_back_to(self, update: int) -> Iterator[BookEntry]:
+    def _iterate_back_to(self, update: int) -> Iterator[ReportEntry]:
         for entry in reversed(self._entries.values()):
             if entry.update <= update:
                 return
@@ -108,7 +108,7 @@
     return xxhash.xxh32_intdigest("\n".join(texts).encode())
 
 
-def _find_digest(report: EngineReport, known: BookEntry | None) -> int:
+def _find_digest(report: EngineReport, known: ReportEntry | None) -> int:
     if known is None or not _has_same_residency(report, known.report):
         return digest_residency(report)
     return known.digest
