--- a/mangoway/cli/application.py
+++ b/mangoway/cli/application.py
@@ -1,4 +1,4 @@
-"""The program `mangoway`: its commands and how it ends."""
+"""Program `mangoway`: runs a command and sets the exit code."""
 
 import sys
 from collections.abc import Sequence
@@ -17,11 +17,11 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> NoReturn:
-    """Run one command and exit: 0 done, 1 failed, 2 bad flag or setting."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    app = _make_app(given)
+    """Run a command and exit: 0 success, 1 failure, 2 bad flag or setting."""
+    command_line = list(sys.argv[1:] if arguments is None else arguments)
+    app = _make_app(command_line)
     try:
-        result = app(args=given, prog_name=PROGRAM, standalone_mode=False)
+        result = app(args=command_line, prog_name=PROGRAM, standalone_mode=False)
     except ClickException as error:
         _exit(EXIT_BAD_SETTING, error.format_message())
     except SettingError as error:
@@ -29,7 +29,7 @@
     except MangowayError as error:
         _exit(EXIT_FAILED, str(error))
     except OSError as error:
-        # For example, an address to listen on that is in use or not this host's.
+        # For example, a listen address that is in use or not one of this host.
         _exit(EXIT_FAILED, error.strerror or str(error))
     except (typer.Abort, KeyboardInterrupt):
         _exit(EXIT_FAILED, "aborted")
@@ -44,7 +44,7 @@
         rich_markup_mode=None,
         pretty_exceptions_enable=False,
     )
-    # A callback keeps the command's name even where only one is added.
+    # Without a callback, typer omits the command's name if only one is added.
     app.callback()(_group)
     add_commands(app, arguments[0] if arguments else None)
     return app
--- a/mangoway/cli/commands.py
+++ b/mangoway/cli/commands.py
@@ -1,4 +1,4 @@
-"""The registry of commands; each module of commands adds itself with one line."""
+"""Registry of commands; modules register their commands when they are imported."""
 
 from collections.abc import Callable
 from importlib import import_module
@@ -16,25 +16,26 @@
     "losses",
     "config",
 )
-"""Modules of this package that hold commands, by the name of their command."""
+"""Modules of this package that contain a command; both have the same name."""
 
 _registrations: dict[str, Callable[[typer.Typer], object]] = {}
 
 
 def register_group(name: str, group: typer.Typer, help_text: str) -> None:
-    """Add a group of commands, such as `mangoway config ...`."""
+    """Register a group of commands, such as `mangoway config ...`."""
     _registrations[name] = lambda app: app.add_typer(group, name=name, help=help_text)
 
 
 def register_command(name: str, command: Callable[..., None]) -> None:
-    """Add a single command; its docstring is its help."""
+    """Register a single command; its docstring is its help."""
     _registrations[name] = lambda app: app.command(name)(command)
 
 
 def add_commands(app: typer.Typer, wanted: str | None) -> None:
-    """Add the commands; only the wanted module is imported if one is named.
+    """Add the commands to an app, or only the wanted one if it is named.
 
-    A controller must not pay for the imports of a gateway.
+    Only the modules of added commands are imported, so that a controller does not load
+    the modules of a gateway.
     """
     names = (wanted,) if wanted in MODULES else MODULES
     for name in names:
--- a/mangoway/cli/config.py
+++ b/mangoway/cli/config.py
@@ -1,7 +1,8 @@
-"""The commands `mangoway config check|apply|show|history|status`.
+"""Commands `mangoway config check|apply|show|history|status`.
 
-Exit codes: 0 done; 1 refused or failed; 2 bad flag; 3 another edit came first;
-4 accepted but not in force everywhere in time; 5 not known whether it was accepted.
+Exit codes: 0 success; 1 rejected or failed; 2 bad flag; 3 conflict with another edit;
+4 accepted but not in force everywhere before the timeout; 5 unknown whether it was
+accepted.
 """
 
 import asyncio
@@ -53,7 +54,7 @@
     str | None,
     typer.Option(help="Peer addresses of any processes. [MANGOWAY_PEERS]"),
 ]
-PartArgument = Annotated[str, typer.Argument(help="base, or overlay/ and a site.")]
+PartArgument = Annotated[str, typer.Argument(help="base or overlay/SITE.")]
 FileArgument = Annotated[Path, typer.Argument(help="TOML file.")]
 
 group = typer.Typer(no_args_is_help=True, rich_markup_mode=None)
@@ -66,22 +67,20 @@
         list[Path] | None, typer.Argument(help="Overlay files of sites.")
     ] = None,
 ) -> None:
-    """Check files together, without the key-value service."""
-    with_files = _end_on_error(lambda: _check_files(base, overlays or []))
-    typer.echo(f"valid: {with_files} files")
+    """Validate files together, without the key-value service."""
+    file_count = _exit_on_error(lambda: _check_files(base, overlays or []))
+    typer.echo(f"valid: {file_count} files")
 
 
 @group.command()
 def apply(
     part: PartArgument,
     file: FileArgument,
-    author: Annotated[str, typer.Option(help="Who edits.")] = "",
+    author: Annotated[str, typer.Option(help="Author of the edit.")] = "",
     based_on: Annotated[
-        int | None, typer.Option(help="Version of the document that was edited.")
+        int | None, typer.Option(help="Version that the edit is based on.")
     ] = None,
-    nonce: Annotated[
-        str, typer.Option(help="Nonce of an edit that is tried again.")
-    ] = "",
+    nonce: Annotated[str, typer.Option(help="Nonce of the edit that is retried.")] = "",
     wait: Annotated[
         bool, typer.Option("--wait", help="Wait until it is in force everywhere.")
     ] = False,
@@ -89,11 +88,11 @@
     key_value: KeyValueOption = None,
     peers: PeersOption = None,
 ) -> None:
-    """Put a new text of a document in force."""
+    """Put a new version of a document in force."""
     inquiry = parse_settings(InquirySettings, {"peers": peers}) if wait else None
     edit = Edit(
         part=_parse_part(part),
-        text=_end_on_error(lambda: _read_part(_parse_part(part), file)),
+        text=_exit_on_error(lambda: _read_part(_parse_part(part), file)),
         nonce=nonce or uuid.uuid4().hex,
         edited_at=time.time(),
         based_on=None if based_on is None else ConfigVersion(based_on),
@@ -105,18 +104,18 @@
     waiting = async_wait_in_force(
         lambda: _async_read_versions(inquiry), record.version, timeout_s
     )
-    count = _end_on_error(lambda: asyncio.run(waiting))
+    count = _exit_on_error(lambda: asyncio.run(waiting))
     typer.echo(f"in force: version {record.version} in {count} processes")
 
 
 @group.command()
 def show(
     part: Annotated[
-        str | None, typer.Argument(help="base, or overlay/ and a site; all if none.")
+        str | None, typer.Argument(help="base or overlay/SITE; all if not given.")
     ] = None,
     key_value: KeyValueOption = None,
 ) -> None:
-    """Show the version in force, or the text of one document."""
+    """Show the versions in force, or the text of one document."""
     wanted = None if part is None else _parse_part(part)
     snapshot = _run(key_value, lambda repo: repo.async_read_snapshot())
     if wanted is None:
@@ -127,17 +126,17 @@
 
 @group.command()
 def history(key_value: KeyValueOption = None) -> None:
-    """Show who edited what, latest first."""
+    """Show the history of edits, latest first."""
     snapshot = _run(key_value, lambda repo: repo.async_read_snapshot())
     typer.echo(format_history(snapshot), nl=False)
 
 
 @group.command()
 def status(key_value: KeyValueOption = None, peers: PeersOption = None) -> None:
-    """Show where the version at the key-value service is in force, and who lags."""
+    """Show how many processes have the latest version in force, and which lag."""
     inquiry = parse_settings(InquirySettings, {"peers": peers})
     head = _run(key_value, lambda repo: repo.async_read_head())
-    hosts = _end_on_error(lambda: asyncio.run(_async_read_versions(inquiry)))
+    hosts = _exit_on_error(lambda: asyncio.run(_async_read_versions(inquiry)))
     lagging = list_lagging(hosts, head.version)
     typer.echo(f"version {head.version}: in force in {len(hosts) - len(lagging)}")
     if lagging:
@@ -146,14 +145,14 @@
 
 
 def format_parts(snapshot: Snapshot) -> str:
-    """Return the version in force and that of each document."""
+    """Return the version in force and the version of each document."""
     lines = [f"version {snapshot.head.version}"]
     lines += [f"{name} {version}" for name, version in snapshot.head.parts.items()]
     return "\n".join(lines) + "\n"
 
 
 def format_history(snapshot: Snapshot) -> str:
-    """Return one line for each edit that is kept, latest first."""
+    """Return one line for each kept edit, latest first."""
     lines = []
     for record in reversed(snapshot.history):
         edited_at = datetime.fromtimestamp(record.edited_at, UTC)
@@ -214,12 +213,12 @@
         finally:
             store.close()
 
-    return _end_on_error(lambda: asyncio.run(async_call()))
+    return _exit_on_error(lambda: asyncio.run(async_call()))
 
 
-def _end_on_error(step: Callable[[], ResultT]) -> ResultT:
+def _exit_on_error(action: Callable[[], ResultT]) -> ResultT:
     try:
-        return step()
+        return action()
     except MangowayError as error:
         typer.echo(f"mangoway: {' '.join(str(error).split())}", err=True)
         raise typer.Exit(find_exit_code(error)) from None
--- a/mangoway/cli/controller.py
+++ b/mangoway/cli/controller.py
@@ -1,14 +1,14 @@
-"""The command `mangoway controller`."""
+"""Command `mangoway controller`."""
 
 from ..settings.options import make_command
 from ..settings.process import ControllerSettings
 from .commands import register_command
-from .imports import leave_out_tls
+from .imports import block_ssl_import
 
 
 def _run(settings: ControllerSettings) -> None:
-    leave_out_tls()
-    # Imported only here: settings are checked before the clients are loaded.
+    block_ssl_import()
+    # Imported here so that settings are validated before the clients are loaded.
     from ..daemons import controller
 
     controller.run(settings)
--- a/mangoway/cli/edge.py
+++ b/mangoway/cli/edge.py
@@ -1,14 +1,14 @@
-"""The command `mangoway edge`."""
+"""Command `mangoway edge`."""
 
 from ..settings.fleet import EdgeSettings
 from ..settings.options import make_command
 from .commands import register_command
-from .imports import leave_out_tls
+from .imports import block_ssl_import
 
 
 def _run(settings: EdgeSettings) -> None:
-    leave_out_tls()
-    # Imported only here: settings are checked before the servers are loaded.
+    block_ssl_import()
+    # Imported here so that settings are validated before the servers are loaded.
     from ..daemons import edge
 
     edge.run(settings)
--- a/mangoway/cli/explain.py
+++ b/mangoway/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command `mangoway explain`."""
+"""Command `mangoway explain`."""
 
 import asyncio
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 def format_entries(entries: Iterable[pb.ExplainEntry]) -> str:
     """Return one line for each entry, oldest first."""
     lines = [_format_entry(entry) for entry in entries]
-    return "\n".join(lines) + "\n" if lines else "Nothing is known of it any more.\n"
+    return "\n".join(lines) + "\n" if lines else "Nothing is known about it any more.\n"
 
 
 def _format_entry(entry: pb.ExplainEntry) -> str:
@@ -41,9 +41,9 @@
         ),
     ] = None,
 ) -> None:
-    """Show why a request, model, runner or version was treated as it was.
+    """Show the decisions on a request, model, runner or version with their reasons.
 
-    Of a trace, its spans are shown.
+    For a trace, show its spans.
     """
     settings = parse_settings(InquirySettings, {"peers": peers})
     _check_question(kind, identifier)
--- a/mangoway/cli/gateway.py
+++ b/mangoway/cli/gateway.py
@@ -1,4 +1,4 @@
-"""The command `mangoway gateway`."""
+"""Command `mangoway gateway`."""
 
 from ..settings.options import make_command
 from ..settings.process import GatewaySettings
@@ -6,7 +6,7 @@
 
 
 def _run(settings: GatewaySettings) -> None:
-    # Imported only here: settings are checked before the servers are loaded.
+    # Imported here so that settings are validated before the servers are loaded.
     from ..daemons import gateway
 
     gateway.run(settings)
--- a/mangoway/cli/inquiry.py
+++ b/mangoway/cli/inquiry.py
@@ -1,4 +1,4 @@
-"""Asks processes of the system on behalf of an operator."""
+"""Queries to the processes of the system on behalf of an operator."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -18,7 +18,7 @@
 
 @frozen(kw_only=True)
 class InquirySettings:
-    """Where an operator's question goes first."""
+    """Settings of an operator's query."""
 
     peers: tuple[str, ...] = setting(
         parse_addresses, "Peer addresses of any processes, separated by commas."
@@ -27,30 +27,30 @@
 
 @frozen(kw_only=True)
 class FleetStatus:
-    """What the processes of a cell know together."""
+    """Combined status of the processes of a cell."""
 
     replies: tuple[pb.StatusReply, ...]
     unreachable: tuple[str, ...]
-    """Peer addresses of known processes that did not answer."""
+    """Peer addresses of known processes that did not respond."""
 
     @property
     def hosts(self) -> tuple[pb.HostStatus, ...]:
-        """Return every known process once, by host."""
+        """Return every known process once, sorted by host and role."""
         found = {
             host.incarnation: host for reply in self.replies for host in reply.hosts
         }
-        # What a process says of itself goes before what others say of it.
+        # A process's own status takes precedence over what others report on it.
         found.update({reply.self.incarnation: reply.self for reply in self.replies})
         return tuple(sorted(found.values(), key=lambda host: (host.host, host.role)))
 
     @property
     def planner(self) -> pb.StatusReply | None:
-        """Return the answer of the controller that plans; None if none does."""
+        """Return the status of the controller that plans, or None if none does."""
         return next((reply for reply in self.replies if reply.active), None)
 
     @property
     def queues(self) -> tuple[pb.QueueStatus, ...]:
-        """Return the queues of all gateways, added up by target."""
+        """Return the queues of all gateways, summed by target."""
         sums: dict[str, pb.QueueStatus] = {}
         for queue in (queue for reply in self.replies for queue in reply.queues):
             entry = sums.setdefault(queue.target, pb.QueueStatus(target=queue.target))
@@ -60,21 +60,21 @@
 
 
 async def async_read_fleet(peers: Iterable[str]) -> FleetStatus:
-    """Ask the first peer that answers, and then every process that it knows.
+    """Read the status of the first peer that responds and of every process it knows.
 
     Raises:
-        MangowayError: PEER_UNREACHABLE if none of the peers answers.
+        MangowayError: PEER_UNREACHABLE if none of the peers responds.
     """
     clients = PeerClients()
     try:
-        first = await _async_ask_first(clients, peers)
+        first = await _async_read_first(clients, peers)
         addresses = {
             host.peer_address
             for host in first.hosts
             if host.state != MemberState.GONE.value
         }
         addresses.discard(first.self.peer_address)
-        replies = await async_ask_all(
+        replies = await async_call_all(
             clients, addresses, lambda client: client.async_read_status()
         )
         unreachable = tuple(sorted(addresses - replies.keys()))
@@ -86,12 +86,12 @@
 async def async_explain(
     peers: Iterable[str], request: pb.ExplainRequest
 ) -> tuple[pb.ExplainEntry, ...]:
-    """Ask every known process why it did something; oldest entry first."""
+    """Return the matching decisions of every known process, oldest first."""
     fleet = await async_read_fleet(peers)
     addresses = {host.peer_address for host in fleet.hosts}
     clients = PeerClients()
     try:
-        replies = await async_ask_all(
+        replies = await async_call_all(
             clients, addresses, lambda client: client.async_explain(request)
         )
     finally:
@@ -100,15 +100,15 @@
     return tuple(sorted(entries, key=lambda entry: entry.time))
 
 
-async def async_ask_all(
+async def async_call_all(
     clients: PeerClients,
     addresses: Iterable[str],
-    ask: Callable[[PeerClient], Awaitable[ReplyT]],
+    call: Callable[[PeerClient], Awaitable[ReplyT]],
 ) -> dict[str, ReplyT]:
-    """Ask all addresses at once; those that do not answer are left out."""
+    """Call all addresses concurrently; those that do not respond are left out."""
     wanted = sorted(addresses)
     answers = await asyncio.gather(
-        *(ask(clients.get(address)) for address in wanted), return_exceptions=True
+        *(call(clients.get(address)) for address in wanted), return_exceptions=True
     )
     replies: dict[str, ReplyT] = {}
     for address, answer in zip(wanted, answers, strict=True):
@@ -120,7 +120,7 @@
     return replies
 
 
-async def _async_ask_first(
+async def _async_read_first(
     clients: PeerClients, peers: Iterable[str]
 ) -> pb.StatusReply:
     failures: list[str] = []
--- a/mangoway/cli/losses.py
+++ b/mangoway/cli/losses.py
@@ -1,4 +1,4 @@
-"""The command `mangoway losses`."""
+"""Command `mangoway losses`."""
 
 from typing import Annotated
 
--- a/mangoway/cli/scheduler.py
+++ b/mangoway/cli/scheduler.py
@@ -1,14 +1,14 @@
-"""The command `mangoway scheduler`."""
+"""Command `mangoway scheduler`."""
 
 from ..settings.fleet import SchedulerSettings
 from ..settings.options import make_command
 from .commands import register_command
-from .imports import leave_out_tls
+from .imports import block_ssl_import
 
 
 def _run(settings: SchedulerSettings) -> None:
-    leave_out_tls()
-    # Imported only here: settings are checked before the clients are loaded.
+    block_ssl_import()
+    # Imported here so that settings are validated before the clients are loaded.
     from ..daemons import scheduler
 
     scheduler.run(settings)
--- a/mangoway/cli/status.py
+++ b/mangoway/cli/status.py
@@ -1,4 +1,4 @@
-"""The command `mangoway status`."""
+"""Command `mangoway status`."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 def format_status(status: FleetStatus) -> str:
-    """Return the status as an operator reads it."""
+    """Return the status as text for operators."""
     parts = [_format_hosts(status), _format_planner(status)]
     planner = status.planner
     if planner is not None:
@@ -24,7 +24,15 @@
 
 
 def _format_hosts(status: FleetStatus) -> str:
-    heads = ("host", "role", "data centre", "state", "ready", "config", "incarnation")
+    headings = (
+        "host",
+        "role",
+        "data centre",
+        "state",
+        "ready",
+        "config",
+        "incarnation",
+    )
     rows = [
         (
             host.host,
@@ -37,18 +45,18 @@
         )
         for host in status.hosts
     ]
-    return format_table("Hosts", heads, rows)
+    return format_table("Hosts", headings, rows)
 
 
 def _format_planner(status: FleetStatus) -> str:
     planner = status.planner
     if planner is None:
-        return "No controller plans now; what is loaded is served.\n"
+        return "No controller plans now; loaded models are still served.\n"
     return f"Cell {planner.cell} is planned by {planner.self.host}.\n"
 
 
 def _format_runners(planner: pb.StatusReply) -> str:
-    heads = ("runner", "data centre", "committed", "size", "fence", "state", "holds")
+    headings = ("runner", "data centre", "committed", "size", "fence", "state", "holds")
     rows = [
         (
             runner.runner,
@@ -61,7 +69,7 @@
         )
         for runner in planner.runners
     ]
-    return format_table("Runners", heads, rows)
+    return format_table("Runners", headings, rows)
 
 
 def _name_state(runner: pb.RunnerStatus) -> str:
@@ -78,7 +86,7 @@
 
 
 def _format_models(planner: pb.StatusReply) -> str:
-    heads = ("model", "floor", "ready on", "loading on", "why")
+    headings = ("model", "floor", "ready on", "loading on", "why")
     rows = [
         (
             model.artifact,
@@ -89,7 +97,7 @@
         )
         for model in planner.models
     ]
-    return format_table("Models", heads, rows)
+    return format_table("Models", headings, rows)
 
 
 def _format_queues(status: FleetStatus) -> str:
--- a/mangoway/cli/tables.py
+++ b/mangoway/cli/tables.py
@@ -6,17 +6,17 @@
 
 
 def format_table(
-    title: str, heads: Sequence[str], rows: Iterable[Sequence[str]]
+    title: str, headings: Sequence[str], rows: Iterable[Sequence[str]]
 ) -> str:
-    """Return a titled table with aligned columns; a note if it has no rows."""
+    """Return a titled table with aligned columns, or a note if it has no rows."""
     lines = [tuple(row) for row in rows]
     if not lines:
         return f"{title}: none\n"
     widths = [
-        max(len(line[column]) for line in (heads, *lines))
-        for column in range(len(heads))
+        max(len(line[column]) for line in (headings, *lines))
+        for column in range(len(headings))
     ]
-    body = [_format_line(line, widths) for line in (heads, *lines)]
+    body = [_format_line(line, widths) for line in (headings, *lines)]
     return "\n".join((title, *body)) + "\n"
 
 
--- a/mangoway/settings/fleet.py
+++ b/mangoway/settings/fleet.py
@@ -34,8 +34,8 @@
     store: str = setting(parse_address, "Address of the platform's store.")
     seeds: tuple[str, ...] = setting(
         parse_optional_addresses,
-        "Addresses of schedulers, separated by commas, to ask for what they know if "
-        "the store does not answer at the start.",
+        "Addresses of schedulers, separated by commas, from which state is read if the "
+        "store does not respond at the start.",
         (),
     )
     metrics_listen: str | None = setting(
@@ -48,13 +48,13 @@
     )
     quota_slack: float = setting(
         parse_optional(float_between(0, 1e12), DEFAULT_QUOTA_SLACK),
-        "What the whole fleet may grant a customer beyond its quota for a while, in "
-        "the quota's unit.",
+        "Amount that the fleet may temporarily grant a customer beyond its quota, "
+        "in the quota's unit.",
         DEFAULT_QUOTA_SLACK,
     )
     grace_s: float = setting(
         float_between(0, 3600),
-        "Seconds from the signal to stop until the process must have ended.",
+        "Seconds from the stop signal until the process must have ended.",
         DEFAULT_GRACE_S,
     )
 
@@ -65,29 +65,28 @@
 
     retry_ratio: float = setting(
         float_between(0, 10),
-        "Repeats that the whole fleet may make for each request to a service.",
+        "Retries that the whole fleet may send for each request to a service.",
         DEFAULT_RETRY_RATIO,
     )
     retry_slack: float = setting(
         float_between(0, 100_000),
-        "Repeats beyond those that the fleet may make to a service in a window.",
+        "Retries that the fleet may send to a service in a window beyond that ratio.",
         DEFAULT_RETRY_SLACK,
     )
     retry_window_s: float = setting(
         float_between(0.1, 3600),
-        "Seconds of the window in which repeats are counted.",
+        "Seconds of the window in which retries are counted.",
         DEFAULT_RETRY_WINDOW_S,
     )
     revoke_ms: float = setting(
         parse_optional(float_between(1, 3_600_000), DEFAULT_REVOKE_MS),
-        "Milliseconds after which a customer's key that was taken away lets nobody in, "
-        "on no host.",
+        "Milliseconds after which no host accepts a revoked customer key.",
         DEFAULT_REVOKE_MS,
     )
     revoke_closed: bool = setting(
         parse_optional(parse_flag, True),
-        "Whether a host that can't know whether keys still stand refuses what needs "
-        "one.",
+        "Whether a host that can't know if keys are still valid refuses requests that "
+        "need one.",
         True,
     )
 
@@ -95,10 +94,10 @@
         parse_address, "IP address and port to listen on for callers."
     )
     directory_listen: str = setting(
-        parse_address, "IP address and port that tells callers which edges to use."
+        parse_address, "IP address and port to serve the list of usable edges on."
     )
     ready_listen: str = setting(
-        parse_address, "IP address and port that tells whether this edge is ready."
+        parse_address, "IP address and port to serve the readiness of this edge on."
     )
 
 
@@ -116,6 +115,6 @@
     )
     order_delay_s: float = setting(
         float_between(0, 3600),
-        "Seconds after a change of the leading scheduler in which it gives no orders.",
+        "Seconds after a change of the leading scheduler in which it sends no orders.",
         DEFAULT_ORDER_DELAY_S,
     )
--- a/mangoway/settings/options.py
+++ b/mangoway/settings/options.py
@@ -1,7 +1,7 @@
-"""Settings described once, on the fields of attrs classes.
+"""Settings as fields of attrs classes.
 
-The same description gives the flag, the environment variable, the default, the help
-and the check.
+The flag, environment variable, default, help and validation of a setting are derived
+from its field.
 """
 
 import inspect
@@ -24,10 +24,13 @@
 def setting(
     parse: Callable[[str], Any], help_text: str, default: Any = attrs.NOTHING
 ) -> Any:
-    """Describe one setting; without a default it must be given.
+    """Return the attrs field of a setting.
 
-    `parse` turns the text of a flag or variable into the value and raises
-    `ValueError` with the reason.
+    Args:
+        parse: Converts the text of the flag or variable to the value; raises
+            `ValueError` with the reason if it is invalid.
+        help_text: Help of the flag.
+        default: Default value; without it the setting is required.
     """
     return attrs.field(
         default=default,
@@ -51,21 +54,21 @@
     flags: Mapping[str, str | None],
     environment: Mapping[str, str] | None = None,
 ) -> SettingsT:
-    """Make settings from flags, and from the environment where a flag is missing.
+    """Create settings from flags, or from the environment if a flag is missing.
 
     Raises:
-        SettingError: If a setting is missing or bad; it names the setting.
+        SettingError: If a setting is missing or invalid; it names the setting.
     """
     variables = os.environ if environment is None else environment
     values: dict[str, Any] = {}
-    for each in attrs.fields(cls):  # type: ignore[arg-type]
-        text, source = _find_text(each.name, flags, variables)
+    for attribute in attrs.fields(cls):  # type: ignore[arg-type]
+        text, source = _find_text(attribute.name, flags, variables)
         if text is not None:
-            values[each.name] = _parse(each, text, source)
-        elif each.default is attrs.NOTHING:
+            values[attribute.name] = _parse(attribute, text, source)
+        elif attribute.default is attrs.NOTHING:
             raise SettingError(
-                name_flag(each.name),
-                f"must be given (or {name_variable(each.name)} set)",
+                name_flag(attribute.name),
+                f"must be given (or {name_variable(attribute.name)} set)",
             )
     return cls(**values)
 
@@ -79,9 +82,9 @@
     return variables.get(name_variable(name)), name_variable(name)
 
 
-def _parse(each: "attrs.Attribute[Any]", text: str, source: str) -> Any:
+def _parse(attribute: "attrs.Attribute[Any]", text: str, source: str) -> Any:
     try:
-        return each.metadata[METADATA_PARSE](text)
+        return attribute.metadata[METADATA_PARSE](text)
     except ValueError as error:
         raise SettingError(source, f"{error}, not {text!r}") from error
 
@@ -89,37 +92,41 @@
 def make_command(
     cls: type[SettingsT], run: Callable[[SettingsT], None], help_text: str
 ) -> Callable[..., None]:
-    """Make a typer command with one flag for each setting of a class."""
+    """Return a typer command with a flag for each setting of a class."""
 
     def command(**flags: str | None) -> None:
         run(parse_settings(cls, flags))
 
-    parameters = [_make_parameter(each) for each in attrs.fields(cls)]  # type: ignore[arg-type]
+    parameters = [_make_parameter(attribute) for attribute in attrs.fields(cls)]  # type: ignore[arg-type]
     command.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
-    command.__annotations__ = {each.name: each.annotation for each in parameters}
+    command.__annotations__ = {
+        attribute.name: attribute.annotation for attribute in parameters
+    }
     command.__doc__ = help_text
     return command
 
 
-def _make_parameter(each: "attrs.Attribute[Any]") -> inspect.Parameter:
+def _make_parameter(attribute: "attrs.Attribute[Any]") -> inspect.Parameter:
     option = typer.Option(
-        name_flag(each.name),
-        help=f"{describe(each)} [{name_variable(each.name)}]",
+        name_flag(attribute.name),
+        help=f"{describe_setting(attribute)} [{name_variable(attribute.name)}]",
         show_default=False,
     )
     return inspect.Parameter(
-        each.name,
+        attribute.name,
         inspect.Parameter.KEYWORD_ONLY,
         default=None,
         annotation=Annotated[str | None, option],
     )
 
 
-def describe(each: "attrs.Attribute[Any]") -> str:
-    """Return the help of a setting with its default."""
-    help_text = str(each.metadata[METADATA_HELP])
-    if each.default is attrs.NOTHING:
+def describe_setting(attribute: "attrs.Attribute[Any]") -> str:
+    """Return the help text of a setting, including its default."""
+    help_text = str(attribute.metadata[METADATA_HELP])
+    if attribute.default is attrs.NOTHING:
         return f"{help_text} Must be given."
-    if each.default in (None, "", ()):
+    if attribute.default in (None, "", ()):
         return help_text
-    return f"{help_text} Default: {getattr(each.default, 'name', each.default)}."
+    return (
+        f"{help_text} Default: {getattr(attribute.default, 'name', attribute.default)}."
+    )
--- a/mangoway/settings/parsers.py
+++ b/mangoway/settings/parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of single settings; each raises `ValueError` saying what is expected."""
+"""Parsers of settings; they raise `ValueError` with the expected format."""
 
 import ipaddress
 import math
@@ -25,7 +25,7 @@
 
 
 def parse_address(text: str) -> str:
-    """Parse `ip:port` (IPv6 as `[ip]:port`) and return it in its usual form."""
+    """Parse `ip:port` (IPv6 as `[ip]:port`) and return it in canonical form."""
     host, found, port = text.rpartition(":")
     if not found:
         raise ValueError("expected IP number and port, a.b.c.d:port")
@@ -52,7 +52,7 @@
 
 
 def parse_url(text: str) -> str:
-    """Parse an http URL whose host is an IP number, so that no name is looked up."""
+    """Parse an http URL whose host is an IP number, so that no DNS lookup is needed."""
     parts = urlsplit(text)
     if parts.scheme != "http":
         raise ValueError("expected an http:// URL")
@@ -60,7 +60,7 @@
         ipaddress.ip_address(parts.hostname or "")
     except ValueError:
         raise ValueError("expected an http:// URL with an IP number") from None
-    # Reading the port checks it; the library raises ValueError if it is out of range.
+    # Accessing the port validates it: the library raises ValueError if out of range.
     _ = parts.port
     return text
 
@@ -76,7 +76,7 @@
 
 
 def parse_optional(parse: Callable[[str], Any], default: Any) -> Callable[[str], Any]:
-    """Return a parser of settings whose text is empty where a site doesn't say them."""
+    """Return a parser that returns the default for a text that is empty."""
 
     def parse_or_default(text: str) -> Any:
         return parse(text) if text.strip() else default
@@ -94,7 +94,7 @@
 
 
 def float_between(low: float, high: float) -> Callable[[str], float]:
-    """Return a parser of numbers in a closed range."""
+    """Return a parser of numbers in an inclusive range."""
 
     def parse(text: str) -> float:
         try:
@@ -109,7 +109,7 @@
 
 
 def int_between(low: int, high: int) -> Callable[[str], int]:
-    """Return a parser of whole numbers in a closed range."""
+    """Return a parser of integers in an inclusive range."""
 
     def parse(text: str) -> int:
         if not re.fullmatch(r"[0-9]{1,18}", text) or not low <= int(text) <= high:
--- a/mangoway/settings/process.py
+++ b/mangoway/settings/process.py
@@ -30,7 +30,7 @@
 
 @frozen(kw_only=True)
 class KeyValueSettings:
-    """How a process reaches the key-value service; commands of operators too."""
+    """Access to the key-value service, for processes and operators' commands."""
 
     key_value: tuple[str, ...] = setting(
         parse_addresses, "Addresses of the key-value service, separated by commas."
@@ -40,19 +40,19 @@
     )
     key_value_calls_per_second: float = setting(
         float_between(0.1, 10_000),
-        "Calls per second of the key-value service that this process may make.",
+        "Calls per second that this process may make to the key-value service.",
         DEFAULT_KEY_VALUE_CALLS_PER_SECOND,
     )
     key_value_timeout_s: float = setting(
         float_between(0.01, 60),
-        "Seconds after which one try of a key-value call is given up.",
+        "Timeout in seconds of one attempt of a key-value call.",
         DEFAULT_KEY_VALUE_TIMEOUT_S,
     )
 
 
 @frozen(kw_only=True)
 class ProcessSettings(KeyValueSettings):
-    """Settings that every process of the system has."""
+    """Settings that gateways and controllers share."""
 
     host: HostId = setting(parse_name, "Name of this host.")
     data_centre: DataCentreId = setting(parse_name, "Data centre of this host.")
@@ -80,7 +80,7 @@
     )
     stop_deadline_s: float = setting(
         float_between(0, 86_400),
-        "Longest time in seconds that a planned stop waits for requests in progress.",
+        "Maximum seconds that a planned stop waits for requests in progress.",
         DEFAULT_STOP_DEADLINE_S,
     )
     log_level: LogLevel = setting(
@@ -109,7 +109,7 @@
     )
     max_body_bytes: int = setting(
         int_between(1024, MAX_BODY_BYTES),
-        "Largest body of a request in bytes.",
+        "Maximum size of a request body in bytes.",
         DEFAULT_MAX_BODY_BYTES,
     )
 
@@ -130,7 +130,7 @@
         None,
     )
     lease_s: float = setting(
-        float_between(1, 3600), "Seconds for which the lease of a cell is taken.", 10.0
+        float_between(1, 3600), "Seconds for which the lease of a cell is valid.", 10.0
     )
 
 
--- a/tests/cli/test_application.py
+++ b/tests/cli/test_application.py
@@ -31,7 +31,7 @@
 
 
 class TestMain:
-    """How the program ends."""
+    """Tests of the exit code and the error output."""
 
     @pytest.mark.parametrize(
         ("arguments", "named"),
@@ -46,7 +46,7 @@
             ([], "command"),
         ],
     )
-    def test_bad_use_ends_with_code_2_and_one_line(
+    def test_bad_usage_exits_with_code_2_and_one_line(
         self,
         arguments: list[str],
         named: str,
@@ -62,7 +62,7 @@
         assert captured.err.count("\n") == 1
         assert named in captured.err
 
-    def test_address_that_is_taken_ends_with_code_1_and_one_line(
+    def test_address_in_use_exits_with_code_1_and_one_line(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         with socket.socket() as taken:
@@ -85,9 +85,9 @@
 
 @pytest.mark.process
 class TestProcess:
-    """The program as a process."""
+    """Tests of the program as a process."""
 
-    def test_bad_setting_ends_the_process_with_code_2(self) -> None:
+    def test_bad_setting_exits_with_code_2(self) -> None:
         done = subprocess.run(
             [sys.executable, "-m", "mangoway", "controller", "--peer-listen=here"],
             capture_output=True,
@@ -101,10 +101,10 @@
 
 
 class TestFootprint:
-    """What a controller must not load, to stay small beside the engines."""
+    """Tests of modules that a controller must not load, to save memory for engines."""
 
-    def test_a_controller_loads_nothing_it_does_not_use(self) -> None:
-        """The refused adapter ends it after all modules of a start are loaded."""
+    def test_controller_loads_no_unused_modules(self) -> None:
+        """The unknown adapter stops it after all modules of a start are loaded."""
         command = ["controller", *GOOD[:-1], "--key-value-kind=none"]
         code = (
             "import sys\n"
--- a/tests/cli/test_config.py
+++ b/tests/cli/test_config.py
@@ -16,7 +16,7 @@
 
 
 class TestConfigCommands:
-    """What an operator sees, and with which exit code."""
+    """Tests of the output and exit codes of the commands."""
 
     @pytest.fixture
     def store(self, monkeypatch: pytest.MonkeyPatch) -> FakeKeyValueStore:
@@ -75,7 +75,7 @@
     def test_bad_part(self, part: str, base: Path) -> None:
         assert self.run("apply", part, base, *SERVICE) == 2
 
-    def test_wait_and_status_name_who_lags(
+    def test_wait_and_status_name_lagging_processes(
         self,
         store: FakeKeyValueStore,
         base: Path,
--- a/tests/cli/test_inquiry.py
+++ b/tests/cli/test_inquiry.py
@@ -1,4 +1,4 @@
-"""Tests of the operator's questions: status and explain."""
+"""Tests of operators' queries: status and explain."""
 
 import time
 from collections.abc import AsyncIterator
@@ -21,7 +21,7 @@
 
 
 class Process:
-    """Answers operators with what a test gives it."""
+    """Process that responds to queries with the status and journal of a test."""
 
     def __init__(self, name: str) -> None:
         self.reply = pb.StatusReply()
@@ -36,7 +36,7 @@
     def async_explain(self, request: pb.ExplainRequest) -> pb.ExplainReply:
         return explain(self.journal, request, HostId(self.reply.self.host))
 
-    def note(self, at: float, reason: str) -> None:
+    def add_decision(self, at: float, reason: str) -> None:
         self.journal.add(
             JournalEntry(
                 at=at,
@@ -50,7 +50,7 @@
 
 @asynccontextmanager
 async def run_processes(*processes: Process) -> AsyncIterator[str]:
-    """Serve processes that all know each other, and one that is down."""
+    """Run servers of processes that know each other and one that is down."""
     servers = [PeerServer(PeerReceivers(status=process)) for process in processes]
     for process, server in zip(processes, servers, strict=True):
         await server.async_start("127.0.0.1", 0)
@@ -81,9 +81,9 @@
 
 
 class TestStatus:
-    """`mangoway status`."""
+    """Tests of `mangoway status`."""
 
-    async def test_any_peer_leads_to_all_processes(self) -> None:
+    async def test_status_of_all_processes_is_read_from_any_peer(self) -> None:
         gateway, planner = Process("g1"), _make_planner()
         gateway.reply.queues.add(target="chat@1", urgent=2, patient=1)
         planner.reply.queues.add(target="chat@1", urgent=3)
@@ -94,7 +94,7 @@
         assert status.planner is not None
         assert [(each.urgent, each.patient) for each in status.queues] == [(5, 1)]
 
-    async def test_no_answer_at_all_is_an_error_with_a_code(self) -> None:
+    async def test_no_response_is_an_error_with_a_code(self) -> None:
         with pytest.raises(MangowayError) as raised:
             await async_read_fleet([GONE_ADDRESS])
         assert raised.value.code is ErrorCode.PEER_UNREACHABLE
@@ -108,19 +108,19 @@
         assert "4 not checked" in text
         assert "No answer from x:1." in text
 
-    def test_missing_planner_is_said(self) -> None:
+    def test_missing_planner_is_reported(self) -> None:
         status = FleetStatus(replies=(Process("g1").reply,), unreachable=())
         assert "No controller plans now" in format_status(status)
 
 
 class TestExplain:
-    """`mangoway explain`."""
+    """Tests of `mangoway explain`."""
 
-    async def test_entries_of_all_processes_come_in_order(self) -> None:
+    async def test_entries_of_all_processes_are_in_order(self) -> None:
         first, second = Process("c1"), Process("c2")
         now = time.time()
-        first.note(now + 2, "loaded")
-        second.note(now + 1, "wanted")
+        first.add_decision(now + 2, "loaded")
+        second.add_decision(now + 1, "wanted")
         async with run_processes(first, second) as address:
             entries = await async_explain(
                 [address], pb.ExplainRequest(kind="model", id="chat")
@@ -131,10 +131,10 @@
         ]
         assert "upstream=r1" in format_entries(entries)
 
-    async def test_unknown_kind_is_refused(self) -> None:
+    async def test_unknown_kind_is_rejected(self) -> None:
         with pytest.raises(MangowayError) as raised:
             explain(Journal(), pb.ExplainRequest(kind="cable", id="1"), HostId("c1"))
         assert raised.value.code is ErrorCode.MALFORMED_REQUEST
 
-    def test_nothing_known_is_said(self) -> None:
+    def test_no_entries_are_reported(self) -> None:
         assert "Nothing is known" in format_entries(())
--- a/tests/settings/test_process.py
+++ b/tests/settings/test_process.py
@@ -47,7 +47,7 @@
 
 
 class TestGatewaySettings:
-    """Parsing and checks."""
+    """Tests of parsing and validation."""
 
     def test_good_settings(self) -> None:
         settings = parse_settings(GatewaySettings, GOOD, {})
@@ -55,7 +55,7 @@
         assert settings.cell == "ub1"
         assert settings.caller_address == "127.0.0.1:8000"
 
-    def test_variable_counts_where_the_flag_is_missing(self) -> None:
+    def test_variable_is_used_if_the_flag_is_missing(self) -> None:
         variables = {"MANGOWAY_HOST": "other", "MANGOWAY_LOG_LEVEL": "debug"}
         settings = parse_settings(GatewaySettings, GOOD, variables)
         assert (settings.host, settings.log_level) == ("g1", LogLevel.DEBUG)
@@ -73,23 +73,23 @@
         with pytest.raises(SettingError, match=f"{flag}: must be given"):
             parse_settings(GatewaySettings, flags, {})
 
-    def test_bad_variable_is_named_as_such(self) -> None:
+    def test_bad_variable_is_named(self) -> None:
         with pytest.raises(SettingError, match="MANGOWAY_SEEDS: expected"):
             parse_settings(GatewaySettings, GOOD, {"MANGOWAY_SEEDS": "x"})
 
 
 class TestControllerSettings:
-    """The controller's own settings."""
+    """Tests of the controller's own settings."""
 
-    def test_lease_is_checked(self) -> None:
+    def test_lease_is_validated(self) -> None:
         flags = {**GOOD, "lease_s": "0"}
         with pytest.raises(SettingError, match="--lease-s: expected a number from 1"):
             parse_settings(ControllerSettings, flags, {})
 
 
 class TestPage:
-    """The page of settings."""
+    """Tests of the page of settings."""
 
-    def test_page_is_what_the_code_says(self) -> None:
+    def test_page_matches_the_code(self) -> None:
         page = Path(__file__).parents[2] / "docs" / "SETTINGS.md"
         assert page.read_text() == render_settings()
