--- a/mangoway/operators/bundle.py
+++ b/mangoway/operators/bundle.py
@@ -1,4 +1,4 @@
-"""The documents of one configuration version, unmerged."""
+"""Unmerged documents of one configuration version."""
 
 from collections.abc import Mapping
 from typing import NewType
@@ -12,24 +12,24 @@
 from .merger import load_configuration
 
 PartName = NewType("PartName", str)
-"""`base`, or `overlay/` and the name of a site."""
+"""`base`, or `overlay/` followed by the name of a site."""
 
 BASE: PartName = PartName(BASE_PART)
 
 
 def name_overlay(site: str) -> PartName:
-    """Return the part that holds a site's overlay."""
+    """Return the part name of a site's overlay."""
     return PartName(f"{OVERLAY_PART_PREFIX}{site}")
 
 
 def digest_text(text: str) -> str:
-    """Return a digest that shows whether two documents are the same."""
+    """Return a digest of a document, to detect differing documents."""
     return xxh3_64_hexdigest(text.encode())
 
 
 @frozen(kw_only=True)
 class Part:
-    """One document with the configuration version that last changed it."""
+    """Document with the configuration version that last changed it."""
 
     version: ConfigVersion
     text: str
@@ -37,15 +37,15 @@
 
 @frozen(kw_only=True)
 class ConfigurationBundle:
-    """All documents that one process needs, or that the service holds."""
+    """All documents that a process needs, or that the key-value service stores."""
 
     version: ConfigVersion = ConfigVersion(0)
-    """Version in force; at least that of every part."""
+    """Version in force; not lower than that of any part."""
 
     parts: Mapping[PartName, Part] = field(factory=dict)
 
     def list_sites(self) -> tuple[str, ...]:
-        """Return the sites that have an overlay, in name order."""
+        """Return the sites that have an overlay, sorted by name."""
         starts = OVERLAY_PART_PREFIX
         return tuple(
             sorted(
@@ -54,12 +54,12 @@
         )
 
     def find_text(self, part: PartName) -> str:
-        """Return the text of a part; empty if there is none."""
+        """Return the text of a part, or an empty text if there is none."""
         found = self.parts.get(part)
         return found.text if found else ""
 
     def select_site(self, site: str) -> "ConfigurationBundle":
-        """Return only what a process of one site needs."""
+        """Return the bundle with only the parts that a process of a site needs."""
         wanted = (BASE, name_overlay(site))
         parts = {name: self.parts[name] for name in wanted if name in self.parts}
         return ConfigurationBundle(version=self.version, parts=parts)
@@ -75,7 +75,7 @@
         """Return the merged configuration of a site.
 
         Raises:
-            MangowayError: As of `load_configuration`.
+            MangowayError: See `load_configuration`.
         """
         overlay = name_overlay(site)
         return load_configuration(
--- a/mangoway/operators/converter.py
+++ b/mangoway/operators/converter.py
@@ -1,4 +1,4 @@
-"""Strict conversion of decoded documents to typed ones."""
+"""Strict conversion of decoded documents to typed documents."""
 
 from collections.abc import Iterator
 from math import isfinite
@@ -19,7 +19,7 @@
 
 @frozen
 class Fault:
-    """One fault of a document with the path of its key."""
+    """Fault in a document with the path of its key."""
 
     code: ErrorCode
     path: Path
@@ -30,7 +30,7 @@
 
 
 def make_converter() -> Converter:
-    """Return a converter that refuses unknown keys and never coerces a value."""
+    """Return a converter that rejects unknown keys and does not coerce values."""
     converter = Converter(forbid_extra_keys=True)
     converter.register_structure_hook(int, _read_int)
     converter.register_structure_hook(float, _read_float)
@@ -40,7 +40,7 @@
 
 
 def list_faults(error: BaseException, path: Path = ()) -> Iterator[Fault]:
-    """Yield every single fault that a conversion error holds."""
+    """Yield every fault in a conversion error, which may be nested."""
     if isinstance(error, ClassValidationError):
         noted, rest = error.group_exceptions()
         for inner, note in noted:
--- a/mangoway/operators/delta.py
+++ b/mangoway/operators/delta.py
@@ -1,4 +1,4 @@
-"""Compact changes of one document, so that edits spread without whole documents."""
+"""Deltas of documents, so that edits propagate without whole documents."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class Hunk:
-    """Lines that replace others; counted from 0 in the old text."""
+    """Replacement of lines; line numbers are those of the old text, from 0."""
 
     start: int
     removed: int
@@ -24,7 +24,7 @@
 
 @frozen
 class Anchor:
-    """A line that stands once in the old text and once in the new one."""
+    """Line numbers of a line that is unique in both the old and the new text."""
 
     old: int
     new: int
@@ -32,7 +32,7 @@
 
 @frozen(kw_only=True)
 class ConfigurationDelta:
-    """The change of one part from the version before to `version`."""
+    """Change of one part from the previous version to `version`."""
 
     version: ConfigVersion
     part: PartName
@@ -44,7 +44,7 @@
 def make_delta(
     part: PartName, version: ConfigVersion, old: str, new: str
 ) -> ConfigurationDelta:
-    """Return the change from one text of a part to another."""
+    """Return the delta from an old text of a part to a new one."""
     hunks = tuple(_diff_lines(old.split("\n"), new.split("\n"), 0))
     return ConfigurationDelta(
         version=version, part=part, hunks=hunks, digest=digest_text(new)
@@ -54,13 +54,13 @@
 def apply_delta(
     bundle: ConfigurationBundle, delta: ConfigurationDelta, site: str
 ) -> ConfigurationBundle:
-    """Return the bundle of a site after a change.
+    """Return the bundle of a site after a delta.
 
-    A change of another site's overlay only raises the version.
+    A delta of another site's overlay changes only the version.
 
     Raises:
-        MangowayError: CONFIG_CONFLICT if the change does not follow the bundle's
-            version or its digest differs; whole documents must be fetched then.
+        MangowayError: CONFIG_CONFLICT if the delta is not of the version after the
+            bundle's, or the digest differs; whole documents must be fetched then.
     """
     if delta.version != bundle.version + 1:
         detail = f"version {delta.version} does not follow {bundle.version}"
@@ -106,9 +106,9 @@
 def _diff_between_anchors(
     old: list[str], new: list[str], offset: int
 ) -> Iterator[Hunk]:
-    """Yield the changes of a long region, cut at lines that are once in both.
+    """Yield the changes of a long region, split at lines that are unique in both.
 
-    Table headers are such lines; without any the region is replaced.
+    Table headers are such lines. Without any, the whole region is replaced.
     """
     anchors = _find_anchors(old, new)
     if not anchors:
@@ -122,28 +122,30 @@
 
 
 def _find_anchors(old: list[str], new: list[str]) -> list[Anchor]:
-    """Return the longest run of unique common lines that is in order in both."""
+    """Return the longest sequence of unique common lines in the same order in both."""
     old_counts, new_counts = Counter(old), Counter(new)
-    places = {line: place for place, line in enumerate(new) if new_counts[line] == 1}
+    positions = {
+        line: position for position, line in enumerate(new) if new_counts[line] == 1
+    }
     common = [
-        Anchor(place, places[line])
-        for place, line in enumerate(old)
-        if old_counts[line] == 1 and line in places
+        Anchor(position, positions[line])
+        for position, line in enumerate(old)
+        if old_counts[line] == 1 and line in positions
     ]
-    lasts: list[int] = []
-    ends: list[int] = []
-    before: list[int | None] = []
+    tail_lines: list[int] = []
+    tail_indexes: list[int] = []
+    predecessors: list[int | None] = []
     for index, anchor in enumerate(common):
-        length = bisect_left(lasts, anchor.new)
-        before.append(ends[length - 1] if length else None)
-        lasts[length : length + 1] = [anchor.new]
-        ends[length : length + 1] = [index]
-    run: list[Anchor] = []
-    at = ends[-1] if ends else None
-    while at is not None:
-        run.append(common[at])
-        at = before[at]
-    return run[::-1]
+        length = bisect_left(tail_lines, anchor.new)
+        predecessors.append(tail_indexes[length - 1] if length else None)
+        tail_lines[length : length + 1] = [anchor.new]
+        tail_indexes[length : length + 1] = [index]
+    subsequence: list[Anchor] = []
+    cursor = tail_indexes[-1] if tail_indexes else None
+    while cursor is not None:
+        subsequence.append(common[cursor])
+        cursor = predecessors[cursor]
+    return subsequence[::-1]
 
 
 def _count_common(left: list[str], right: list[str]) -> int:
--- a/mangoway/operators/documents.py
+++ b/mangoway/operators/documents.py
@@ -1,4 +1,4 @@
-"""The operators' documents: a base file shared by all sites, an overlay for each."""
+"""Operators' documents: a base file that all sites share, and an overlay per site."""
 
 from collections.abc import Mapping
 
@@ -24,7 +24,7 @@
 
 @frozen(kw_only=True)
 class BaseDocument:
-    """What all sites offer, and the defaults of how a site runs it."""
+    """Offer of all sites, and defaults of the policy of a site."""
 
     models: Mapping[ModelName, ModelOffer] = field(factory=dict)
     """Models with their versions and adapters."""
@@ -33,24 +33,24 @@
     """Plain services with their calls."""
 
     callers: Mapping[CallerId, CallerOffer] = field(factory=dict)
-    """Callers with weights and limits; any other caller is refused."""
+    """Callers with weights and limits; other callers are rejected."""
 
     classes: Mapping[WorkClass, ClassOffer] = field(factory=dict)
-    """Targets of the classes of work; a class left out has its defaults."""
+    """Targets of the classes of work; a missing class has default targets."""
 
     runner_groups: tuple[RunnerGroup, ...] = ()
-    """Runners against which floors are checked."""
+    """Runners whose memory the floors must fit."""
 
     site: SitePolicy = field(factory=SitePolicy)
-    """Policy of every site whose overlay does not override it."""
+    """Policy of each site, unless its overlay overrides it."""
 
 
 @frozen(kw_only=True)
 class FloorPatch:
-    """Override of the ready copies of one version or adapter."""
+    """Override of the floor of one version or adapter."""
 
     floor: int
-    """Ready copies that are always kept."""
+    """Minimum number of ready copies."""
 
 
 @frozen(kw_only=True)
@@ -98,19 +98,19 @@
 
 @frozen(kw_only=True)
 class OverlayDocument:
-    """What one site does otherwise than the base; a key left out changes nothing."""
+    """Overrides of the base file for one site; a missing key changes nothing."""
 
     models: Mapping[ModelName, ModelPatch] = field(factory=dict)
-    """Floors of models that the base offers."""
+    """Floors of models in the base file."""
 
     callers: Mapping[CallerId, CallerPatch] = field(factory=dict)
-    """Weights and limits; a caller that the base lacks is added."""
+    """Weights and limits; a caller that is not in the base file is added."""
 
     classes: Mapping[WorkClass, ClassPatch] = field(factory=dict)
     """Targets of the classes of work."""
 
     runner_groups: tuple[RunnerGroup, ...] | None = None
-    """Runners of the site; they replace all of the base's."""
+    """Runners of the site; they replace all runners of the base file."""
 
     site: SitePatch = field(factory=SitePatch)
     """Site policy."""
--- a/mangoway/operators/follower.py
+++ b/mangoway/operators/follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration in one process: deltas first, whole documents else."""
+"""Configuration of one process, updated by deltas or else by whole documents."""
 
 import zlib
 from typing import Final
@@ -10,8 +10,8 @@
 from ..models.offer import Configuration
 from .bundle import BASE, ConfigurationBundle, name_overlay
 from .const import (
-    COMPRESS_FROM_BYTES,
-    DELTAS_KEPT,
+    COMPRESSION_THRESHOLD_BYTES,
+    MAX_DELTAS_KEPT,
     MAX_DELTAS_READ,
     MAX_DOCUMENT_BYTES,
 )
@@ -26,26 +26,25 @@
 PLAIN: Final = b"p"
 COMPRESSED: Final = b"z"
 MAX_UPDATE_BYTES: Final = 4 * MAX_DOCUMENT_BYTES
-"""Longest update after decompression."""
+"""Maximum size of a decompressed update."""
 
 
 @frozen(kw_only=True)
 class ConfigurationUpdate:
-    """What one process sends to another that is behind."""
+    """Update from one process to another that has an older version."""
 
     site: str
     deltas: tuple[ConfigurationDelta, ...] = ()
-    """Changes in version order; empty if whole documents are sent."""
+    """Deltas in version order; empty if whole documents are sent."""
 
     bundle: ConfigurationBundle | None = None
 
 
 @define
 class ConfigurationFollower:
-    """Documents of the version that this process holds, and the latest deltas.
+    """Documents of this process's version, and the latest deltas.
 
-    It only ever moves to higher versions. The decision when to fetch or push is the
-    configuration core's.
+    The version never decreases. The configuration core decides when to fetch or push.
     """
 
     site: str
@@ -53,21 +52,21 @@
     _deltas: tuple[ConfigurationDelta, ...] = ()
     _parser: SectionParser = field(factory=SectionParser, eq=False)
     _loaded: Configuration | None = field(default=None, eq=False)
-    _is_doubtful: bool = field(default=False, eq=False)
-    """Whether a delta did not fit what is held; whole documents settle it."""
+    _needs_whole_documents: bool = field(default=False, eq=False)
+    """Whether a delta did not match the documents; whole documents are needed then."""
 
     @property
     def version(self) -> ConfigVersion:
-        """Return the version of the documents held; 0 if there are none."""
+        """Return the version of the documents, or 0 if there are none."""
         return self.bundle.version
 
     @property
     def known_version(self) -> ConfigVersion:
-        """Return the version to ask peers for changes from; 0 asks for all."""
-        return NO_VERSION if self._is_doubtful else self.version
+        """Return the version to report to peers; 0 requests whole documents."""
+        return NO_VERSION if self._needs_whole_documents else self.version
 
     def load(self) -> Configuration:
-        """Return the merged configuration of the documents held."""
+        """Return the merged configuration of the documents."""
         if self._loaded is None or self._loaded.version != self.version:
             self._loaded = self._parse(self.bundle)
         return self._loaded
@@ -75,11 +74,11 @@
     async def async_fetch(
         self, repository: ConfigurationRepository, version: ConfigVersion
     ) -> Configuration:
-        """Read up to `version` or newer from the service.
+        """Fetch `version` or a newer one from the key-value service.
 
         Raises:
-            MangowayError: PLATFORM_UNAVAILABLE, or CONFIG_CONFLICT if edits came in
-                faster than the reads.
+            MangowayError: PLATFORM_UNAVAILABLE, or CONFIG_CONFLICT if edits are
+                accepted faster than they can be read.
         """
         if self.version and version - self.version <= MAX_DELTAS_READ:
             await self._async_fetch_deltas(repository, version)
@@ -88,9 +87,9 @@
         return self.load()
 
     def make_update(self, known: ConfigVersion) -> bytes:
-        """Return what a peer of the same site needs that holds version `known`.
+        """Return the update for a peer of the same site that has version `known`.
 
-        Empty if the peer is not behind.
+        It is empty if the peer's version is not older.
         """
         if known >= self.version:
             return b""
@@ -102,11 +101,11 @@
         return _encode_update(update)
 
     def accept_update(self, data: bytes) -> Configuration:
-        """Take an update from a peer; an older one changes nothing.
+        """Apply an update from a peer; an older update changes nothing.
 
         Raises:
-            MangowayError: CONFIG_CONFLICT if the update does not fit what is held,
-                CONFIG_MALFORMED if it cannot be read; whole documents must be
+            MangowayError: CONFIG_CONFLICT if the update does not match the documents,
+                CONFIG_MALFORMED if it cannot be decoded; whole documents must be
                 fetched then.
         """
         update = _decode_update(data)
@@ -119,26 +118,26 @@
         return self.load()
 
     def accept_bundle(self, bundle: ConfigurationBundle) -> None:
-        """Take whole documents; older ones change nothing."""
+        """Apply whole documents; older ones change nothing."""
         if bundle.version <= self.version:
             return
         self._loaded = self._parse(bundle)
         self.bundle = bundle
         self._deltas = ()
-        self._is_doubtful = False
+        self._needs_whole_documents = False
 
     def _accept_deltas(self, deltas: tuple[ConfigurationDelta, ...]) -> None:
         bundle = self.bundle
         fresh = tuple(delta for delta in deltas if delta.version > bundle.version)
         if not fresh:
             return
-        self._is_doubtful = True
+        self._needs_whole_documents = True
         for delta in fresh:
             bundle = apply_delta(bundle, delta, self.site)
         self._loaded = self._parse(bundle)
         self.bundle = bundle
-        self._deltas = (*self._deltas, *fresh)[-DELTAS_KEPT:]
-        self._is_doubtful = False
+        self._deltas = (*self._deltas, *fresh)[-MAX_DELTAS_KEPT:]
+        self._needs_whole_documents = False
 
     def _parse(self, bundle: ConfigurationBundle) -> Configuration:
         overlay = name_overlay(self.site)
@@ -161,14 +160,14 @@
         try:
             self._accept_deltas(tuple(deltas))
         except MangowayError as error:
-            # The documents held differ from those that were edited: read them whole.
+            # The documents differ from those that were edited: read them as a whole.
             if error.code is not ErrorCode.CONFIG_CONFLICT:
                 raise
 
 
 def _encode_update(update: ConfigurationUpdate) -> bytes:
     data = encode_record(update)
-    if len(data) < COMPRESS_FROM_BYTES:
+    if len(data) < COMPRESSION_THRESHOLD_BYTES:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data)
 
--- a/mangoway/operators/merger.py
+++ b/mangoway/operators/merger.py
@@ -1,4 +1,4 @@
-"""Merging of the base file and a site's overlay into the configuration."""
+"""Merging of the base file and a site's overlay into a configuration."""
 
 from collections.abc import Iterable, Mapping
 from typing import Final, TypeVar
@@ -37,7 +37,7 @@
     WorkClass.URGENT: ClassOffer(deadline_s=30.0, first_token_s=2.0, weight=4.0),
     WorkClass.PATIENT: ClassOffer(deadline_s=28_800.0),
 }
-"""Targets of a class that the base file leaves out."""
+"""Targets of classes that are missing in the base file."""
 
 
 def load_configuration(
@@ -50,7 +50,7 @@
     """Parse and merge a base file and an overlay (an empty text changes nothing).
 
     Raises:
-        MangowayError: As of `parse_base` and `merge_documents`.
+        MangowayError: See `parse_base` and `merge_documents`.
     """
     base = parse_base(base_text, base_file)
     overlay = parse_overlay(overlay_text, overlay_file)
@@ -63,7 +63,7 @@
     version: ConfigVersion,
     overlay_file: str = OVERLAY_FILE,
 ) -> Configuration:
-    """Return the configuration of a site.
+    """Return the merged configuration of a site.
 
     Raises:
         MangowayError: CONFIG_INVALID if the overlay names a model, version or
@@ -86,7 +86,7 @@
     patches: Mapping[ModelName, ModelPatch],
     file: str,
 ) -> dict[ModelName, ModelOffer]:
-    _refuse_unknown(patches, offers, f"{file}: models")
+    _reject_unknown(patches, offers, f"{file}: models")
     return {
         name: _merge_model(offer, patches[name], f"{file}: models.{name}")
         if name in patches
@@ -96,8 +96,8 @@
 
 
 def _merge_model(offer: ModelOffer, patch: ModelPatch, path: str) -> ModelOffer:
-    _refuse_unknown(patch.versions, offer.versions, f"{path}.versions")
-    _refuse_unknown(patch.adapters, offer.adapters, f"{path}.adapters")
+    _reject_unknown(patch.versions, offer.versions, f"{path}.versions")
+    _reject_unknown(patch.adapters, offer.adapters, f"{path}.adapters")
     data_centres = patch.floor_data_centres
     return evolve(
         offer,
@@ -139,7 +139,7 @@
     return evolve(offer, **changes)
 
 
-def _refuse_unknown(names: Iterable[str], known: Iterable[str], path: str) -> None:
+def _reject_unknown(names: Iterable[str], known: Iterable[str], path: str) -> None:
     unknown = sorted(set(names) - set(known))
     if unknown:
         detail = f"{path}.{unknown[0]}: the base file does not offer it"
--- a/mangoway/operators/parser.py
+++ b/mangoway/operators/parser.py
@@ -18,7 +18,7 @@
 NAME_TABLES: Final = frozenset(
     {"models", "versions", "adapters", "services", "calls", "callers"}
 )
-"""Tables whose keys are names that operators choose."""
+"""Tables whose keys are names chosen by operators."""
 
 _CONVERTER: Final = make_converter()
 
@@ -28,17 +28,17 @@
 
     Args:
         text: The TOML text.
-        file: Name of the file, for errors.
+        file: Name of the file in errors.
 
     Raises:
         MangowayError: CONFIG_MALFORMED with the line, or CONFIG_UNKNOWN_KEY or
-            CONFIG_INVALID with file and key.
+            CONFIG_INVALID with the file and key.
     """
     return _parse(text, file, BaseDocument)
 
 
 def parse_overlay(text: str, file: str = OVERLAY_FILE) -> OverlayDocument:
-    """Parse a site's overlay; arguments and errors as of `parse_base`."""
+    """Parse a site's overlay; see `parse_base` for arguments and errors."""
     return _parse(text, file, OverlayDocument)
 
 
@@ -55,9 +55,10 @@
 
 
 def make_error(file: str, faults: tuple[Fault, ...]) -> MangowayError:
-    """Return the error that names a file and all its faults.
+    """Return an error that names a file and all its faults.
 
-    An unknown key gives the code if there is one, since it hides other faults.
+    If a key is unknown, its error code takes precedence, since an unknown key hides
+    other faults.
     """
     codes = {fault.code for fault in faults}
     unknown = ErrorCode.CONFIG_UNKNOWN_KEY
@@ -79,10 +80,10 @@
 
 
 def _check_table(table: dict[str, Any], path: Path) -> Iterator[Fault]:
-    names_are_chosen = bool(path) and path[-1] in NAME_TABLES and len(path) % 2 == 1
+    has_free_names = bool(path) and path[-1] in NAME_TABLES and len(path) % 2 == 1
     for key, value in table.items():
         inner = (*path, key)
-        if names_are_chosen and not fullmatch(NAME_PATTERN, key):
+        if has_free_names and not fullmatch(NAME_PATTERN, key):
             yield Fault(ErrorCode.CONFIG_INVALID, inner, "not a valid name")
         yield from _check_value(value, inner)
 
--- a/mangoway/operators/ranges.py
+++ b/mangoway/operators/ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of the documents' numbers; a key has the same range wherever it stands."""
+"""Ranges of numbers in documents; a key has the same range in all tables."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -8,7 +8,7 @@
 
 @frozen
 class Range:
-    """Allowed values of a number, both ends included."""
+    """Inclusive range of allowed values of a number."""
 
     lowest: float
     highest: float
@@ -40,4 +40,4 @@
     "timeout_s": Range(0.01, 3_600),
     "weight": Range(0.001, 1_000),
 }
-"""Range of each number by its key; a test holds that none is missing."""
+"""Range of each number by its key; a test checks that none is missing."""
--- a/mangoway/operators/records.py
+++ b/mangoway/operators/records.py
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class HeadRecord:
-    """Value of the head key: the version in force."""
+    """Value of the head key, which defines the version in force."""
 
     version: ConfigVersion = ConfigVersion(0)
     nonce: str = ""
@@ -32,7 +32,7 @@
 
 @frozen(kw_only=True)
 class HistoryRecord:
-    """Value of a history key: one accepted edit."""
+    """Value of a history key, which records one accepted edit."""
 
     version: ConfigVersion
     nonce: str
@@ -42,19 +42,19 @@
 
     part: PartName
     delta: ConfigurationDelta | None = None
-    """The change; None if it was too long to keep."""
+    """The delta, or None if it was too large to keep."""
 
 
 def encode_record(record: object) -> bytes:
-    """Return the bytes of a record or bundle."""
+    """Return the encoded record or bundle."""
     return _CONVERTER.dumps(record)
 
 
 def decode_record(value: bytes, kind: type[RecordT]) -> RecordT:
-    """Return the record that bytes hold.
+    """Return the decoded record.
 
     Raises:
-        MangowayError: CONFIG_MALFORMED if they hold none.
+        MangowayError: CONFIG_MALFORMED if the bytes are no record of this kind.
     """
     try:
         return _CONVERTER.loads(value, kind)
--- a/mangoway/operators/repository.py
+++ b/mangoway/operators/repository.py
@@ -1,4 +1,4 @@
-"""The configuration in the key-value service: reads and atomic edits."""
+"""Repository of the configuration in the key-value service, with atomic edits."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,11 +19,11 @@
 from .const import (
     CONFIG_PREFIX,
     HEAD_KEY,
-    HISTORY_LIMIT,
     HISTORY_PREFIX,
     MAX_DELTA_BYTES,
+    MAX_HISTORY_ENTRIES,
+    MAX_SETTLE_ATTEMPTS,
     SETTLE_FIRST_PAUSE_S,
-    SETTLE_TRIES,
 )
 from .delta import make_delta
 from .records import HeadRecord, HistoryRecord, decode_record, encode_record
@@ -33,55 +33,55 @@
 
 ABSENT = Revision(0)
 VERSION_DIGITS = 12
-"""Digits of a version in a history key, so that keys sort by version."""
+"""Fixed number of digits of the version in a history key, so that keys sort."""
 
 
 @frozen(kw_only=True)
 class Edit:
-    """A new text of one document."""
+    """Edit that replaces the text of one document."""
 
     part: PartName
     text: str
     nonce: str
-    """New for each edit and the same when it is tried again."""
+    """Unique for each edit; a retry of the edit has the same nonce."""
 
     edited_at: float
     """Wall-clock seconds since 1970 UTC."""
 
     based_on: ConfigVersion | None = None
-    """Version of the document that the operator changed; None means any."""
+    """Version that the operator edited; None to skip the conflict check."""
 
 
 @frozen(kw_only=True)
 class Snapshot:
-    """Everything under the configuration's prefix at one moment."""
+    """Consistent snapshot of all keys with the configuration's prefix."""
 
     head: HeadRecord
     bundle: ConfigurationBundle
     history: tuple[HistoryRecord, ...]
-    """Edits that are still kept, oldest first."""
+    """Kept edits, oldest first."""
 
     revisions: dict[str, Revision]
 
     def find_edit(self, nonce: str) -> HistoryRecord | None:
-        """Return the accepted edit that carried a nonce."""
+        """Return the accepted edit with a nonce, or None."""
         return next((edit for edit in self.history if edit.nonce == nonce), None)
 
 
 @define
 class ConfigurationRepository:
-    """Reads and edits the configuration; one instance per process."""
+    """Reader and editor of the configuration; one instance per process."""
 
     _store: KeyValueStore
     _validate: Validate = field(default=validate_bundle, kw_only=True)
 
     async def async_read_head(self) -> HeadRecord:
-        """Read which version is in force; version 0 if there is none yet."""
+        """Read the head record; its version is 0 if there is no configuration yet."""
         stored = await self._store.async_get(HEAD_KEY, CallRank.CONFIGURATION)
         return _decode_head(stored)
 
     async def async_read_snapshot(self) -> Snapshot:
-        """Read all documents and the history in one call."""
+        """Read all documents and the history in a single call."""
         values = await self._store.async_list(CONFIG_PREFIX, CallRank.CONFIGURATION)
         return _make_snapshot(values)
 
@@ -89,18 +89,18 @@
         """Read the documents of one site, all of the same version.
 
         Raises:
-            MangowayError: CONFIG_CONFLICT if edits came in faster than the reads.
+            MangowayError: CONFIG_CONFLICT if edits were accepted during each read.
         """
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_ATTEMPTS):
             head = await self.async_read_head()
             bundle = await self._async_read_parts(head, site)
             if bundle is not None:
                 return bundle
-        detail = f"documents changed during {SETTLE_TRIES} reads"
+        detail = f"documents changed during {MAX_SETTLE_ATTEMPTS} reads"
         raise MangowayError(ErrorCode.CONFIG_CONFLICT, detail, retry_after=1.0)
 
     async def async_read_edit(self, version: ConfigVersion) -> HistoryRecord | None:
-        """Read the edit that made a version; None if it is no longer kept."""
+        """Read the edit that created a version; None if it is no longer kept."""
         key = name_history_key(version)
         stored = await self._store.async_get(key, CallRank.CONFIGURATION)
         if stored.value is None:
@@ -108,12 +108,12 @@
         return decode_record(stored.value, HistoryRecord)
 
     async def async_apply(self, edit: Edit, author: str) -> HistoryRecord:
-        """Put an edit in force, unless it is already, and return its record.
+        """Put an edit in force, unless it was accepted before, and return its record.
 
         Raises:
-            MangowayError: Of the validation; CONFIG_CONFLICT, naming both versions,
-                if another edit came in between; PLATFORM_UNAVAILABLE with a verdict
-                if the service gave no answer.
+            MangowayError: If the validation fails; CONFIG_CONFLICT, naming both
+                versions, if another edit was accepted in between; PLATFORM_UNAVAILABLE
+                with a verdict if the service did not respond.
         """
         snapshot = await self.async_read_snapshot()
         done = snapshot.find_edit(edit.nonce)
@@ -128,21 +128,21 @@
         return record
 
     async def _async_settle(self, puts: tuple[Put, ...], record: HistoryRecord) -> None:
-        """Commit until it is known whether the edit was accepted.
+        """Retry the commit until it is known whether the edit was accepted.
 
-        Trying again is safe: at most one commit finds the head unchanged.
+        A retry is safe, since only one commit can find the head unchanged.
         """
         pause_s = SETTLE_FIRST_PAUSE_S
         is_ambiguous = False
-        for tries_left in reversed(range(SETTLE_TRIES)):
+        for attempts_left in reversed(range(MAX_SETTLE_ATTEMPTS)):
             try:
                 return await self._async_commit(puts, record)
             except MangowayError as error:
                 is_ambiguous |= error.failure.verdict is not Verdict.NOT_RUN
                 if error.code is ErrorCode.CONFIG_CONFLICT or not is_ambiguous:
                     raise
-                if not tries_left:
-                    raise _make_unsettled(record, error) from error
+                if not attempts_left:
+                    raise _make_unsettled_error(record, error) from error
             await asyncio.sleep(pause_s)
             pause_s *= 2
 
@@ -162,7 +162,7 @@
             if winner is not None and winner.nonce == record.nonce:
                 return
         detail = (
-            f"version {head.version} came in force while an edit of version "
+            f"version {head.version} came into force while an edit of version "
             f"{record.version - 1} was being applied"
         )
         raise MangowayError(ErrorCode.CONFIG_CONFLICT, detail)
@@ -185,7 +185,7 @@
 
 
 def name_history_key(version: ConfigVersion) -> str:
-    """Return the key of the edit that made a version."""
+    """Return the key of the edit that created a version."""
     return f"{HISTORY_PREFIX}{version:0{VERSION_DIGITS}d}"
 
 
@@ -256,7 +256,7 @@
         (f"{CONFIG_PREFIX}{record.part}", encode_record(bundle.parts[record.part])),
         (name_history_key(record.version), encode_record(record)),
     ]
-    last_kept = record.version - HISTORY_LIMIT
+    last_kept = record.version - MAX_HISTORY_ENTRIES
     writes += [
         (name_history_key(old.version), None)
         for old in snapshot.history
@@ -268,10 +268,10 @@
     )
 
 
-def _make_unsettled(record: HistoryRecord, error: MangowayError) -> MangowayError:
+def _make_unsettled_error(record: HistoryRecord, error: MangowayError) -> MangowayError:
     detail = (
-        f"no answer whether version {record.version} was accepted; "
-        f"try again with nonce {record.nonce}: {error.failure.detail}"
+        f"unknown whether version {record.version} was accepted; "
+        f"retry with nonce {record.nonce}: {error.failure.detail}"
     )
     code = ErrorCode.PLATFORM_UNAVAILABLE
     return MangowayError(code, detail, Verdict.MAY_HAVE_RUN, retry_after=5.0)
--- a/mangoway/operators/rollout.py
+++ b/mangoway/operators/rollout.py
@@ -1,4 +1,4 @@
-"""Whether a configuration version is in force on every live host."""
+"""Checks whether a configuration version is in force on every live host."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -10,18 +10,18 @@
 from ..models.identifiers import ConfigVersion
 
 POLL_S: Final = 0.25
-"""Pause between two reads of the hosts' versions."""
+"""Interval between two reads of the hosts' versions."""
 
 
 @frozen(kw_only=True)
 class HostVersion:
-    """The version in force in one live process."""
+    """Version in force in one live process."""
 
     process: str
-    """Host and role, for operators."""
+    """Host and role, as shown to operators."""
 
     version: ConfigVersion | None
-    """None if the process did not answer."""
+    """None if the process did not respond."""
 
 
 ReadVersions = Callable[[], Awaitable[tuple[HostVersion, ...]]]
@@ -30,14 +30,14 @@
 def list_lagging(
     hosts: Iterable[HostVersion], version: ConfigVersion
 ) -> tuple[HostVersion, ...]:
-    """Return the processes in which the version, or a newer one, is not in force."""
+    """Return the processes that have an older version or did not respond."""
     return tuple(
         host for host in hosts if host.version is None or host.version < version
     )
 
 
 def describe_lagging(hosts: Iterable[HostVersion]) -> str:
-    """Return the processes with their versions in one line."""
+    """Return a line with the processes and their versions."""
     return ", ".join(
         f"{host.process} "
         + ("gave no answer" if host.version is None else f"has {host.version}")
@@ -51,8 +51,8 @@
     """Wait until a version is in force everywhere; return the number of processes.
 
     Raises:
-        MangowayError: CONFIG_NOT_IN_FORCE, naming who lags, after `timeout_s`; of
-            `read` if no process answers.
+        MangowayError: CONFIG_NOT_IN_FORCE, naming the lagging processes, after
+            `timeout_s`; the error of `read` if no process responds.
     """
     deadline = asyncio.get_running_loop().time() + timeout_s
     while True:
--- a/mangoway/operators/sections.py
+++ b/mangoway/operators/sections.py
@@ -1,9 +1,9 @@
-"""Parsing of a base file again after an edit, at the cost of what changed.
+"""Incremental parsing of a base file, which parses only changed sections.
 
-A base file of 1,400 models takes a quarter of a second to parse whole; a process that
-follows an edit every two seconds can't spend that. The text is cut at its table
-headers into sections, one for each named entry; each is a document of its own, and
-only sections whose text is new are parsed.
+A base file of 1,400 models takes a quarter of a second to parse as a whole, too much
+for a process that follows an edit every two seconds. Therefore the text is split at
+its table headers into sections, one for each named entry. Each section is a valid
+document, and only sections whose text is new are parsed.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -23,46 +23,46 @@
 OfferT = TypeVar("OfferT")
 
 HEADER: Final = compile_pattern(r"\[\[?\s*([A-Za-z0-9_-]+)(?:\.([A-Za-z0-9_-]+))?")
-"""Start of a table header with its first two keys, where they are bare."""
+"""Start of a table header with its first two keys, if they are bare keys."""
 
 HEADER_LINE: Final = compile_pattern(r"^[ \t]*\[", MULTILINE)
 """Start of a line that may be a table header."""
 
 MULTILINE_MARKS: Final = ('"""', "'''")
-"""Texts of several lines may hold lines that look like headers."""
+"""Delimiters of multi-line strings, which may contain lines that look like headers."""
 
 
 class NotSeparable(Exception):
-    """The text can't be parsed in sections; it must be parsed whole."""
+    """The text can't be parsed in sections; it must be parsed as a whole."""
 
 
 @define
 class SectionParser:
-    """Parses successive texts of one base file."""
+    """Incremental parser of successive texts of one base file."""
 
     _parsed: dict[str, BaseDocument] = field(factory=dict)
 
     def parse(self, text: str, file: str = BASE_FILE) -> BaseDocument:
-        """Parse a base file with the result and the errors of `parse_base`."""
+        """Parse a base file; the result and errors are those of `parse_base`."""
         try:
             return self._parse_sections(text)
         except (NotSeparable, MangowayError):
-            # An error of a section has the wrong line, and might be no error at all.
+            # An error in a section has a wrong line number, or may be no error at all.
             return parse_base(text, file)
 
     def _parse_sections(self, text: str) -> BaseDocument:
         known = self._parsed
         self._parsed = {}
-        for section in cut_sections(text):
+        for section in split_sections(text):
             self._parsed[section] = known.get(section) or parse_base(section)
-        return _join(self._parsed.values())
+        return _join_documents(self._parsed.values())
 
 
-def cut_sections(text: str) -> Iterable[str]:
-    """Return the sections of a base file; all tables of one entry are in one.
+def split_sections(text: str) -> Iterable[str]:
+    """Return the sections of a base file; a section has all tables of an entry.
 
     Raises:
-        NotSeparable: If a key stands before all tables, or texts span lines.
+        NotSeparable: If a key precedes all tables, or a string spans several lines.
     """
     if any(mark in text for mark in MULTILINE_MARKS):
         raise NotSeparable
@@ -84,17 +84,17 @@
     return match[1], match[2]
 
 
-def _join(documents: Iterable[BaseDocument]) -> BaseDocument:
+def _join_documents(documents: Iterable[BaseDocument]) -> BaseDocument:
     found = list(documents)
     default = BaseDocument().site
     sites = [document.site for document in found if document.site != default]
     if len(sites) > 1:
         raise NotSeparable
     return BaseDocument(
-        models=_unite(document.models for document in found),
-        services=_unite(document.services for document in found),
-        callers=_unite(document.callers for document in found),
-        classes=_unite(document.classes for document in found),
+        models=_merge_disjoint(document.models for document in found),
+        services=_merge_disjoint(document.services for document in found),
+        callers=_merge_disjoint(document.callers for document in found),
+        classes=_merge_disjoint(document.classes for document in found),
         runner_groups=tuple(
             group for document in found for group in document.runner_groups
         ),
@@ -102,11 +102,11 @@
     )
 
 
-def _unite(tables: Iterator[Mapping[NameT, OfferT]]) -> dict[NameT, OfferT]:
-    united: dict[NameT, OfferT] = {}
+def _merge_disjoint(tables: Iterator[Mapping[NameT, OfferT]]) -> dict[NameT, OfferT]:
+    merged: dict[NameT, OfferT] = {}
     for table in tables:
-        size = len(united) + len(table)
-        united.update(table)
-        if len(united) != size:
+        size = len(merged) + len(table)
+        merged.update(table)
+        if len(merged) != size:
             raise NotSeparable
-    return united
+    return merged
--- a/mangoway/operators/validator.py
+++ b/mangoway/operators/validator.py
@@ -1,4 +1,4 @@
-"""Checks of merged configurations before an edit is accepted."""
+"""Validation of merged configurations before an edit is accepted."""
 
 from collections.abc import Callable, Iterator
 
@@ -11,10 +11,10 @@
 Check = Callable[[Configuration], Iterator[Fault]]
 
 CHECKS: list[Check] = []
-"""Registered checks, in the order in which they run."""
+"""Registered checks, in execution order."""
 
 NO_SITE = ""
-"""Stands for a site without an overlay."""
+"""Name of a site without an overlay."""
 
 
 def register_check(check: Check) -> Check:
@@ -24,18 +24,22 @@
 
 
 def validate_bundle(bundle: ConfigurationBundle) -> None:
-    """Check the base alone and together with the overlay of every site.
+    """Validate the base file alone and together with the overlay of every site.
 
     Raises:
-        MangowayError: Of the first site that is not valid; its detail names the
-            document and the key.
+        MangowayError: If a site is invalid; the detail names the document and the key
+            of the first such site.
     """
     for site in (NO_SITE, *bundle.list_sites()):
         validate_configuration(bundle.load(site), name_overlay(site) if site else BASE)
 
 
 def validate_configuration(configuration: Configuration, document: str) -> None:
-    """Check a merged configuration; `document` is named in errors.
+    """Validate a merged configuration.
+
+    Args:
+        configuration: The merged configuration.
+        document: Name of the document in errors.
 
     Raises:
         MangowayError: CONFIG_INVALID or CONFIG_DOES_NOT_FIT.
@@ -49,7 +53,7 @@
 
 @register_check
 def check_references(configuration: Configuration) -> Iterator[Fault]:
-    """Yield models whose own keys contradict each other."""
+    """Yield faults of models whose keys contradict each other."""
     for name, model in configuration.models.items():
         yield from _check_model(name, model)
 
@@ -67,7 +71,7 @@
 
 @register_check
 def check_targets(configuration: Configuration) -> Iterator[Fault]:
-    """Yield classes whose first token may be later than the whole answer."""
+    """Yield faults of classes whose first token may be later than their deadline."""
     for name, offer in configuration.classes.items():
         if offer.first_token_s is not None and offer.first_token_s > offer.deadline_s:
             path = ("classes", name.value, "first_token_s")
@@ -76,7 +80,7 @@
 
 @register_check
 def check_floors(configuration: Configuration) -> Iterator[Fault]:
-    """Yield floor copies for which the declared runners have no room."""
+    """Yield faults of floors that do not fit the memory of the declared runners."""
     for shortage in check_floors_fit(configuration):
         model = shortage.artifact.model
         detail = (
--- a/tests/operators/test_delta.py
+++ b/tests/operators/test_delta.py
@@ -1,4 +1,4 @@
-"""Tests of deltas: they lead from one text to the other, and are short."""
+"""Tests that deltas transform one text into another and are short."""
 
 import pytest
 from hypothesis import given
@@ -13,7 +13,7 @@
 
 
 def change(old: str, new: str) -> tuple[ConfigurationDelta, str]:
-    """Return the delta between two texts, and the old text after it."""
+    """Return the delta between two texts, and the old text with the delta applied."""
     made = make_delta(BASE, ConfigVersion(2), old, new)
     before = ConfigurationBundle(
         version=ConfigVersion(1),
@@ -31,7 +31,7 @@
 
 
 class TestDelta:
-    """Deltas of texts of any length."""
+    """Tests of deltas of texts of any length."""
 
     @pytest.mark.parametrize("longest", [2000, 2, 0])
     @given(old=LINES, new=LINES)
@@ -43,7 +43,7 @@
             _, text = change("\n".join(old), "\n".join(new))
         assert text == "\n".join(new)
 
-    def test_changes_far_apart_in_a_long_file_are_short(self) -> None:
+    def test_distant_changes_in_a_long_file_make_a_short_delta(self) -> None:
         old = write_base(1400)
         new = write_base(1400, m3=2, m1390=4)
         made, text = change(old, new)
@@ -51,7 +51,7 @@
         assert len(made.hunks) == 2
         assert sum(len(hunk.inserted) for hunk in made.hunks) == 2
 
-    def test_moved_tables_still_give_the_new_text(self) -> None:
+    def test_delta_of_moved_tables_gives_the_new_text(self) -> None:
         old = write_base(900)
         new = "\n\n".join(reversed(old.split("\n\n")))
         assert change(old, new)[1] == new
--- a/tests/operators/test_follower.py
+++ b/tests/operators/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of following the configuration by deltas and whole documents."""
+"""Tests of configuration updates by deltas and whole documents."""
 
 import pytest
 from attrs import evolve
@@ -19,7 +19,7 @@
 
 
 class TestDelta:
-    """Deltas turn one text into the next, or are refused."""
+    """Tests that deltas transform one text into the next or are rejected."""
 
     @given(old=LINES, new=LINES)
     def test_delta_gives_the_new_text(self, old: str, new: str) -> None:
@@ -28,7 +28,7 @@
         changed = apply_delta(bundle, delta, "east")
         assert (changed.find_text(BASE), changed.version) == (new, 5)
 
-    def test_delta_on_another_text_is_refused(self) -> None:
+    def test_delta_on_another_text_is_rejected(self) -> None:
         bundle = ConfigurationBundle().replace_part(BASE, "x\ny", ConfigVersion(4))
         delta = make_delta(BASE, ConfigVersion(5), "x\nz", "x\nz\nw")
         with pytest.raises(MangowayError, match="digest"):
@@ -41,7 +41,7 @@
 
 
 class TestFollower:
-    """A follower moves forward only and prefers deltas."""
+    """Tests that versions never decrease and deltas are preferred."""
 
     @pytest.fixture
     async def first(self, repository: ConfigurationRepository) -> ConfigurationFollower:
@@ -86,7 +86,7 @@
         assert first.accept_update(old).version == 2
         assert first.make_update(ConfigVersion(2)) == b""
 
-    async def test_differing_documents_are_asked_for_whole(
+    async def test_differing_documents_are_requested_as_a_whole(
         self, first: ConfigurationFollower, repository: ConfigurationRepository
     ) -> None:
         peer = ConfigurationFollower("east")
@@ -100,7 +100,7 @@
         assert peer.accept_update(first.make_update(peer.known_version)) == first.load()
         assert peer.known_version == 2
 
-    async def test_differing_documents_are_read_whole(
+    async def test_differing_documents_are_read_as_a_whole(
         self, first: ConfigurationFollower, repository: ConfigurationRepository
     ) -> None:
         first.bundle = first.bundle.replace_part(BASE, "", ConfigVersion(1))
@@ -109,12 +109,12 @@
         assert configuration.models["chat"].versions["1"].floor == 2
 
     @pytest.mark.parametrize("data", [b"", b"x", b"p{", b"zz", b"p[]"])
-    def test_unreadable_update_is_refused(self, data: bytes) -> None:
+    def test_malformed_update_is_rejected(self, data: bytes) -> None:
         with pytest.raises(MangowayError) as caught:
             ConfigurationFollower("east").accept_update(data)
         assert caught.value.code is ErrorCode.CONFIG_MALFORMED
 
-    async def test_update_of_another_site_is_refused(
+    async def test_update_of_another_site_is_rejected(
         self, first: ConfigurationFollower
     ) -> None:
         update = evolve(first, site="west").make_update(ConfigVersion(0))
--- a/tests/operators/test_page.py
+++ b/tests/operators/test_page.py
@@ -1,4 +1,4 @@
-"""Tests that the page of the configuration says what the types say."""
+"""Tests that the page of the configuration matches the types."""
 
 from pathlib import Path
 
@@ -9,9 +9,9 @@
 
 
 class TestPage:
-    """The committed page and its rows."""
+    """Tests of the committed page and its rows."""
 
-    def test_committed_page_is_the_generated_one(self) -> None:
+    def test_committed_page_matches_the_generated_page(self) -> None:
         assert PAGE.read_text() == render_page()
 
     def test_every_key_has_a_meaning(self) -> None:
--- a/tests/operators/test_parser.py
+++ b/tests/operators/test_parser.py
@@ -28,7 +28,7 @@
 
 
 class TestParser:
-    """Refusal of faulty documents."""
+    """Tests of the rejection of faulty documents."""
 
     @pytest.mark.parametrize(
         ("text", "code", "named"),
@@ -78,7 +78,7 @@
 
 
 class TestMerger:
-    """What an overlay changes."""
+    """Tests of the changes by an overlay."""
 
     def test_overlay_overrides_only_what_it_names(self) -> None:
         base = MODEL + "memory_mb = 5\n[callers.desk]\nweight = 2\nburst = 9\n"
@@ -96,7 +96,7 @@
         assert merged.site == SitePolicy(move_price=6)
 
     @pytest.mark.parametrize("site", ["booking-assistant", "coupon-testing"])
-    def test_examples_have_the_size_of_today(self, site: str) -> None:
+    def test_examples_have_the_expected_size(self, site: str) -> None:
         folder = EXAMPLES / site
         merged = load(
             (folder / "base.toml").read_text(), (folder / "overlay.toml").read_text()
--- a/tests/operators/test_repository.py
+++ b/tests/operators/test_repository.py
@@ -9,7 +9,7 @@
 from mangoway.models.errors import ErrorCode, MangowayError
 from mangoway.models.verdict import Verdict
 from mangoway.operators.bundle import BASE, name_overlay
-from mangoway.operators.const import HISTORY_LIMIT, HISTORY_PREFIX
+from mangoway.operators.const import HISTORY_PREFIX, MAX_HISTORY_ENTRIES
 from mangoway.operators.repository import ConfigurationRepository, Edit
 from tests.fakes.key_value import FakeKeyValueStore
 
@@ -22,7 +22,7 @@
 
 
 class TestRepository:
-    """Edits are accepted once, in one order, and only if jointly valid."""
+    """Tests that edits are accepted once, in one order, and only if jointly valid."""
 
     async def test_edit_is_read_back(self, repository: ConfigurationRepository) -> None:
         await repository.async_apply(make_edit(make_base(), "a"), "anna")
@@ -34,7 +34,7 @@
         assert [edit.author for edit in snapshot.history] == ["anna", "bo"]
         assert snapshot.head.parts == {BASE: 1, EAST: 2}
 
-    async def test_race_has_one_winner(
+    async def test_only_one_of_concurrent_edits_is_accepted(
         self, store: FakeKeyValueStore, repository: ConfigurationRepository
     ) -> None:
         await repository.async_apply(make_edit(make_base(), "a"), "anna")
@@ -52,7 +52,7 @@
         assert "version 2" in str(loser) and "version 1" in str(loser)
         assert (await repository.async_read_head()).version == 2
 
-    async def test_two_valid_edits_do_not_make_an_invalid_whole(
+    async def test_edit_that_is_only_invalid_with_another_is_rejected(
         self, repository: ConfigurationRepository
     ) -> None:
         await repository.async_apply(make_edit(make_base(floor=2), "a"), "anna")
@@ -62,7 +62,7 @@
         assert caught.value.code is ErrorCode.CONFIG_INVALID
         assert "overlay/east: models.chat.floor_data_centres" in str(caught.value)
 
-    async def test_base_may_not_drop_what_an_overlay_names(
+    async def test_base_may_not_drop_a_model_of_an_overlay(
         self, repository: ConfigurationRepository
     ) -> None:
         await repository.async_apply(make_edit(make_base(floor=2), "a"), "anna")
@@ -70,7 +70,7 @@
         with pytest.raises(MangowayError, match=r"overlay/east: models\.chat"):
             await repository.async_apply(make_edit("", "c"), "anna")
 
-    async def test_outdated_edit_is_refused_with_both_versions(
+    async def test_outdated_edit_is_rejected_with_both_versions(
         self, repository: ConfigurationRepository
     ) -> None:
         await repository.async_apply(make_edit(make_base(), "a"), "anna")
@@ -79,7 +79,7 @@
             await repository.async_apply(make_edit(make_base(3), "c", based_on=1), "x")
 
     @pytest.mark.parametrize("switch", ["lost_answers", "failed_commits"])
-    async def test_lost_answer_is_settled(
+    async def test_outcome_of_a_lost_response_is_determined(
         self,
         switch: str,
         store: FakeKeyValueStore,
@@ -90,7 +90,7 @@
         assert record.version == 1
         assert (await repository.async_read_head()).version == 1
 
-    async def test_unsettled_edit_may_have_run_and_retry_is_not_doubled(
+    async def test_edit_with_unknown_outcome_may_have_run_and_retry_applies_it_once(
         self, store: FakeKeyValueStore, repository: ConfigurationRepository
     ) -> None:
         edit = make_edit(make_base(), "a")
@@ -116,21 +116,21 @@
     async def test_history_is_bounded(
         self, store: FakeKeyValueStore, repository: ConfigurationRepository
     ) -> None:
-        edits = HISTORY_LIMIT + 3
+        edits = MAX_HISTORY_ENTRIES + 3
         for number in range(edits):
             text = f"[site]\nmove_price = {number}"
             await repository.async_apply(make_edit(text, f"n{number}"), "anna")
         kept = await store.async_list(HISTORY_PREFIX, CallRank.BACKGROUND)
-        assert len(kept) == HISTORY_LIMIT
+        assert len(kept) == MAX_HISTORY_ENTRIES
 
-    async def test_an_edit_costs_one_read_and_one_write(
+    async def test_edit_takes_one_read_and_one_write(
         self, store: FakeKeyValueStore, repository: ConfigurationRepository
     ) -> None:
         await repository.async_apply(make_edit(make_base(), "a"), "anna")
         assert (store.calls, store.writes) == (2, 1)
 
     @pytest.mark.parametrize("seed", range(20))
-    async def test_racing_operators_with_lost_answers(self, seed: int) -> None:
+    async def test_concurrent_edits_with_lost_responses(self, seed: int) -> None:
         chance = random.Random(seed)
         store = FakeKeyValueStore(delay_s=0.01)
         accepted: dict[int, Edit] = {}
--- a/tests/operators/test_rollout.py
+++ b/tests/operators/test_rollout.py
@@ -1,4 +1,4 @@
-"""Tests of waiting until a version is in force."""
+"""Tests of the wait until a version is in force."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class Hosts:
-    """Hosts of which the last one catches up after a number of reads."""
+    """Hosts, of which the last one gets the version after a number of reads."""
 
     def __init__(self, reads: int, version: int | None) -> None:
         self.reads = reads
@@ -28,7 +28,7 @@
 
 
 class TestRollout:
-    """A version is in force only when every live process has it."""
+    """Tests that a version is in force only when every live process has it."""
 
     async def test_waits_for_the_last_host(self) -> None:
         hosts = Hosts(3, 4)
@@ -38,7 +38,9 @@
     @pytest.mark.parametrize(
         ("version", "named"), [(4, "b has 4"), (None, "b gave no answer")]
     )
-    async def test_names_who_lags(self, version: int | None, named: str) -> None:
+    async def test_error_names_lagging_processes(
+        self, version: int | None, named: str
+    ) -> None:
         hosts = Hosts(1000, version)
         with pytest.raises(MangowayError, match=named) as caught:
             await async_wait_in_force(hosts.async_read, ConfigVersion(5), 2)
--- a/tests/operators/test_sections.py
+++ b/tests/operators/test_sections.py
@@ -1,4 +1,4 @@
-"""Tests that parsing in sections gives what parsing whole gives."""
+"""Tests that parsing in sections has the result of parsing as a whole."""
 
 from pathlib import Path
 
@@ -39,7 +39,7 @@
 
 
 class TestSectionParser:
-    """Any sequence of texts, each parsed with what is left of the one before."""
+    """Tests of sequences of texts, parsed with the sections of the previous text."""
 
     @given(
         texts=st.lists(
@@ -48,7 +48,7 @@
             max_size=4,
         )
     )
-    def test_same_result_as_whole(self, texts: list[str]) -> None:
+    def test_result_is_that_of_parsing_as_a_whole(self, texts: list[str]) -> None:
         parser = SectionParser()
         for text in texts:
             assert parse(parser, text) == parse(None, text)
@@ -56,11 +56,11 @@
     def test_edit_parses_one_section(self, monkeypatch: pytest.MonkeyPatch) -> None:
         parsed: list[str] = []
 
-        def note(text: str, file: str = "") -> BaseDocument:
+        def record_parsed(text: str, file: str = "") -> BaseDocument:
             parsed.append(text)
             return parse_base(text, file)
 
-        monkeypatch.setattr(sections, "parse_base", note)
+        monkeypatch.setattr(sections, "parse_base", record_parsed)
         text = (EXAMPLES / "booking-assistant" / "base.toml").read_text()
         parser = SectionParser()
         parser.parse(text)
--- a/tests/operators/test_validator.py
+++ b/tests/operators/test_validator.py
@@ -1,4 +1,4 @@
-"""Tests of the checks of merged configurations."""
+"""Tests of the validation of merged configurations."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 class TestValidator:
-    """What is refused at acceptance though each document is well formed."""
+    """Tests of invalid configurations whose documents are well formed."""
 
     def check(self, base: str, overlay: str = "") -> MangowayError:
         bundle = ConfigurationBundle().replace_part(BASE, base, ConfigVersion(1))
@@ -31,7 +31,7 @@
         error = self.check(make_base(), "[classes.urgent]\nfirst_token_s = 60")
         assert "overlay/east: classes.urgent.first_token_s" in str(error)
 
-    def test_floors_that_do_not_fit_name_what_is_short(self) -> None:
+    def test_error_names_floors_that_do_not_fit(self) -> None:
         error = self.check(make_base(memory_mb=20_000) + RUNNERS)
         assert error.code is ErrorCode.CONFIG_DOES_NOT_FIT
         assert "models.chat: chat@1 of 20000 MB" in str(error)
