--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -23,7 +23,7 @@
 from mangoway.peers import peers_pb2 as pb
 from mangoway.peers.heartbeat import HeartbeatCodec
 from mangoway.peers.membership import MembershipDriver
-from mangoway.peers.reports import ReportBook
+from mangoway.peers.reports import ReportTracker
 from mangoway.policy.membership.actions import (
     MembersChanged,
     MembershipAction,
@@ -130,14 +130,14 @@
 
     def __init__(self, net: Net, name: str, life: int) -> None:
         self.members: tuple[Member, ...] = ()
-        self.book = ReportBook()
+        self.report_tracker = ReportTracker()
         self.tasks = Tasks(net.errors.append)
         own = make_member(name, life)
         self.driver = MembershipDriver(
             core=MembershipCore(own, Random(name)),
             own=own,
             codec=HeartbeatCodec(
-                own.incarnation, self.book, lambda: next(net.sessions)
+                own.incarnation, self.report_tracker, lambda: next(net.sessions)
             ),
             clients=net,  # type: ignore[arg-type]
             tasks=self.tasks,
@@ -218,10 +218,10 @@
                 running=3,
                 waiting=0,
             )
-            net.nodes["n5"].book.offer(report)
+            net.nodes["n5"].report_tracker.add_if_newer(report)
             await asyncio.sleep(5)
             for node in net.nodes.values():
-                entry = node.book.get(UpstreamId("r1"))
+                entry = node.report_tracker.get(UpstreamId("r1"))
                 assert entry is not None
                 assert entry.report.running == 3
                 assert entry.report.reported_at == pytest.approx(now, abs=0.1)
@@ -265,7 +265,9 @@
     driver = MembershipDriver(
         core=core,
         own=own,
-        codec=HeartbeatCodec(own.incarnation, ReportBook(), lambda: next(net.sessions)),
+        codec=HeartbeatCodec(
+            own.incarnation, ReportTracker(), lambda: next(net.sessions)
+        ),
         clients=net,  # type: ignore[arg-type]
         tasks=Tasks(net.errors.append),
         on_members=lambda _: None,
