--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -151,7 +151,7 @@
     )
 
 
-def make_asked(
+def make_grant_request(
     request_id: str,
     model: str = "a",
     *,
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -29,7 +29,7 @@
     SendOrder,
 )
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import NETWORK_DELAY_S, FakeRunner, World
 
 LATE_SCORE = 0.4
@@ -344,7 +344,7 @@
         shifted = at > DEMAND_START_S + DEMAND_S / 2
         name = choose_model(drawn, random, shifted=shifted)
         tokens = int(drawn.prompt_tokens * random.uniform(0.3, 1.7))
-        grant_request = make_asked(
+        grant_request = make_grant_request(
             f"q{number}",
             name,
             tokens=tokens,
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -15,7 +15,7 @@
 
 from mangoway.policy.scheduling.events import GrantRequest
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .drawn import DEMAND_START_S, Draw, DrawnWorld, make_world
 
 SIMULATION_S = 40.0
@@ -198,7 +198,7 @@
         output = max(1, int(kind.output * random.lognormvariate(-0.24, 0.69)))
         request_id = f"q{len(kinds)}"
         kinds[request_id] = kind
-        grant_request = make_asked(
+        grant_request = make_grant_request(
             request_id,
             name,
             tokens=max(50, min(tokens, 6000)),
--- a/tests/policy/scheduling/test_cooldowns.py
+++ b/tests/policy/scheduling/test_cooldowns.py
@@ -3,7 +3,7 @@
 from mangoway.policy.limits.cooldowns import CooldownReport
 from mangoway.policy.scheduling.events import EdgeDisconnected
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .test_limits import add_requests, count_at
 from .world import World
 
@@ -32,7 +32,7 @@
     def test_patient_request_waits_for_the_end(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         world.add_request(
-            make_asked("q1", "a", objective_s=4.0, patience_s=16.0), at=1.1
+            make_grant_request("q1", "a", objective_s=4.0, patience_s=16.0), at=1.1
         )
         world.run(1.0 + COOLDOWN_S - 0.1)
         assert world.outcomes["q1"].runner_id == ""
@@ -41,7 +41,7 @@
 
     def test_impatient_request_is_refused_at_once(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
-        world.add_request(make_asked("q1", "a", patience_s=2.0), at=1.1)
+        world.add_request(make_grant_request("q1", "a", patience_s=2.0), at=1.1)
         world.run(1.2)
         refusal = world.outcomes["q1"].refusal
         assert refusal is not None
@@ -62,7 +62,7 @@
 
     def test_retry_waits_as_well(self) -> None:
         world = simulate([["a", "b"], ["a", "c"]])
-        grant_request = make_asked(
+        grant_request = make_grant_request(
             "q1", "a", repeat=True, only=("r0",), patience_s=16.0
         )
         world.add_request(grant_request, at=1.1)
@@ -73,7 +73,7 @@
         world = World(models=list("abc"), runner_models=[["a", "b", "c"]])
         world.run(1.0)
         for number in range(8):
-            grant_request = make_asked(f"q{number}", "a", patience_s=16.0)
+            grant_request = make_grant_request(f"q{number}", "a", patience_s=16.0)
             world.add_request(grant_request, at=1.0)
         world.run(1.02)
         before = count_at(world, "r0")
@@ -85,14 +85,16 @@
         """Each prompt is sent only after the prefill of the one before."""
         world = simulate([["a", "b", "c"]], models="abc")
         for number in range(20):
-            world.add_request(make_asked(f"q{number}", "a", patience_s=16.0), at=1.1)
+            world.add_request(
+                make_grant_request(f"q{number}", "a", patience_s=16.0), at=1.1
+            )
         world.run(1.0 + COOLDOWN_S + 0.06)
         assert count_at(world, "r0") <= 3
 
     def test_disconnected_edge_has_no_cooldown(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         world.send_event(EdgeDisconnected(edge="e1"))
-        world.add_request(make_asked("q1", "a"), at=1.1)
+        world.add_request(make_grant_request("q1", "a"), at=1.1)
         world.run(1.3)
         assert world.outcomes["q1"].runner_id == "r0"
 
@@ -103,7 +105,7 @@
     def test_adapter_is_loaded_on_another_runner(self) -> None:
         world = simulate([["a", "b"], ["a", "c"]])
         world.run(2.0)
-        world.add_request(make_asked("q1", "a", adapter="x"), at=2.0)
+        world.add_request(make_grant_request("q1", "a", adapter="x"), at=2.0)
         world.run(2.5)
         orders = [each.runner_id for each in world.orders if each.adapter == "x"]
         assert orders == ["r1"]
--- a/tests/policy/scheduling/test_demand.py
+++ b/tests/policy/scheduling/test_demand.py
@@ -3,7 +3,7 @@
 from mangoway.policy.scheduling.const import REFUSAL_MATCH_S
 from mangoway.policy.scheduling.demand import Demand, RefusedRequests
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 HORIZON_S = 3.0
@@ -43,7 +43,7 @@
 
     def test_retry_is_recognised_once(self) -> None:
         refused = RefusedRequests()
-        grant_request = make_asked("q1")
+        grant_request = make_grant_request("q1")
         refused.add(grant_request.model, grant_request.prompt, now=1.0)
         assert refused.pop_recent(grant_request.model, grant_request.prompt, now=2.0)
         assert not refused.pop_recent(
@@ -52,7 +52,7 @@
 
     def test_late_retry_is_new_demand(self) -> None:
         refused = RefusedRequests()
-        grant_request = make_asked("q1")
+        grant_request = make_grant_request("q1")
         refused.add(grant_request.model, grant_request.prompt, now=1.0)
         assert not refused.pop_recent(
             grant_request.model, grant_request.prompt, now=1.1 + REFUSAL_MATCH_S
@@ -60,15 +60,15 @@
 
     def test_other_prompt_is_new_demand(self) -> None:
         refused = RefusedRequests()
-        refused.add("a", make_asked("q1").prompt, now=1.0)
-        assert not refused.pop_recent("a", make_asked("q2").prompt, now=2.0)
+        refused.add("a", make_grant_request("q1").prompt, now=1.0)
+        assert not refused.pop_recent("a", make_grant_request("q2").prompt, now=2.0)
 
     def test_demand_counts_a_refused_caller_once(self) -> None:
         """Counted retries would show 30.8 requests per second instead of 19."""
         world = World(models=["a"], runner_models=[["a"]])
         world.run(0.5)
         for number in range(200):
-            world.add_request(make_asked(f"q{number}"), at=1.0 + number / 100)
+            world.add_request(make_grant_request(f"q{number}"), at=1.0 + number / 100)
         world.run(3.0)
         before = world.core.state.demand.get_request_rate("llm", "a", 3.0)
         refused = [each for each in world.outcomes.values() if each.refused_at]
--- a/tests/policy/scheduling/test_dispatch.py
+++ b/tests/policy/scheduling/test_dispatch.py
@@ -14,7 +14,7 @@
     RequestEnded,
 )
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 
@@ -23,7 +23,7 @@
 
 
 def send_request(world: World, request_id: str, **fields: object) -> list[Grant]:
-    grant_request = make_asked(request_id, **fields)  # type: ignore[arg-type]
+    grant_request = make_grant_request(request_id, **fields)  # type: ignore[arg-type]
     actions = world.core.handle(grant_request, world.now)
     return [each for each in actions if isinstance(each, Grant)]
 
@@ -73,7 +73,7 @@
     def test_adopted_request_counts(self) -> None:
         world = make_world(["a"])
         adopted = RequestAdopted(
-            grant_request=make_asked("q1"), runner_id="r0", prefilling=True
+            grant_request=make_grant_request("q1"), runner_id="r0", prefilling=True
         )
         world.core.handle(adopted, 0.0)
         assert send_request(world, "q2") == []
@@ -98,12 +98,12 @@
 
     def test_same_prompt_goes_where_it_is_cached(self) -> None:
         world = make_world(["a"], ["a"])
-        first = make_asked("q1", tokens=800)
+        first = make_grant_request("q1", tokens=800)
         [grant] = [
             each for each in world.core.handle(first, 0.0) if isinstance(each, Grant)
         ]
         world.core.handle(FirstEventSeen(edge="e1", request_id="q1"), 0.03)
-        again = make_asked("q2", tokens=800)
+        again = make_grant_request("q2", tokens=800)
         same = type(again)(
             **{
                 name: getattr(again, name)
@@ -121,7 +121,9 @@
         world = make_world(["a"], ["a"])
         for number in range(6):
             adopted = RequestAdopted(
-                grant_request=make_asked(f"s{number}"), runner_id="r0", prefilling=False
+                grant_request=make_grant_request(f"s{number}"),
+                runner_id="r0",
+                prefilling=False,
             )
             world.core.handle(adopted, 0.0)
         grants = send_request(world, "long", tokens=7000)
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -12,7 +12,7 @@
 from mangoway.policy.scheduling.requests import WaitingRequest
 from mangoway.policy.scheduling.runners import RunnerState
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 MODELS = list("abcdefgh")
@@ -56,7 +56,7 @@
     at = 0.5
     for number in range(random.randint(10, 120)):
         at += random.expovariate(1.0) * random.choice([0.0, 0.02, 0.1])
-        grant_request = make_asked(
+        grant_request = make_grant_request(
             f"q{number}",
             random.choice(MODELS[: random.choice([2, 8])]),
             adapter=random.choice(["", "", "x", "y"]),
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -8,7 +8,7 @@
 from mangoway.policy.scheduling.core import RATE_LIMITED_REASON
 from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 LIMIT = 2.0
@@ -37,7 +37,7 @@
     world: World, model: str, per_s: float, began: float, ended: float
 ) -> None:
     for number in range(int((ended - began) * per_s)):
-        grant_request = make_asked(f"{model}{number}", model)
+        grant_request = make_grant_request(f"{model}{number}", model)
         world.add_request(grant_request, at=began + number / per_s)
 
 
@@ -77,7 +77,9 @@
     def test_retries_count_as_well(self) -> None:
         world = simulate([["a", "b", "c"]], models="abc")
         for number in range(40):
-            grant_request = make_asked(f"q{number}", "a", repeat=True, only=("r0",))
+            grant_request = make_grant_request(
+                f"q{number}", "a", repeat=True, only=("r0",)
+            )
             world.add_request(grant_request, at=1.0 + number / 10)
         world.run(5.0)
         assert count_at(world, "r0") <= 4 * LIMIT + 2
@@ -106,7 +108,7 @@
     def simulate(self) -> list[Refuse]:
         world = simulate([["a", "b", "c"]], models="abc")
         for number in range(30):
-            world.add_request(make_asked(f"q{number}", "a"), at=1.0)
+            world.add_request(make_grant_request(f"q{number}", "a"), at=1.0)
         world.run(1.2)
         return [each.refusal for each in world.outcomes.values() if each.refusal]
 
--- a/tests/policy/scheduling/test_load.py
+++ b/tests/policy/scheduling/test_load.py
@@ -1,6 +1,6 @@
 """Simulates heavy loads and checks the time to the first event."""
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 
@@ -11,7 +11,7 @@
         world = World(models=list("abcdef"), runner_models=[["a", "b"], ["a", "c"]])
         world.run(0.5)
         for number in range(20):
-            world.add_request(make_asked(f"q{number}", "a"), at=1.0)
+            world.add_request(make_grant_request(f"q{number}", "a"), at=1.0)
         world.run(4.0)
         # Two runners prefill 20 prompts of 27 ms in 0.4 s, network delays included.
         assert world.count_first_events_within(0.45) >= 18
@@ -24,7 +24,9 @@
         world = World(models=list("abc"), runner_models=[["a", "b", "c"]])
         world.run(0.5)
         for number in range(400):
-            world.add_request(make_asked(f"q{number}", "a"), at=1.0 + number / 80)
+            world.add_request(
+                make_grant_request(f"q{number}", "a"), at=1.0 + number / 80
+            )
         world.run(10.0)
         return world
 
@@ -62,7 +64,7 @@
         )
         world.run(0.5)
         for number in range(300):
-            grant_request = make_asked(
+            grant_request = make_grant_request(
                 f"q{number}", "a", objective_s=0.8, patience_s=5.0
             )
             world.add_request(grant_request, at=1.0 + number / 30)
@@ -82,8 +84,12 @@
         )
         world.run(0.5)
         for number in range(200):
-            world.add_request(make_asked(f"a{number}", "a"), at=1.0 + number / 40)
-            world.add_request(make_asked(f"b{number}", "b"), at=6.0 + number / 40)
+            world.add_request(
+                make_grant_request(f"a{number}", "a"), at=1.0 + number / 40
+            )
+            world.add_request(
+                make_grant_request(f"b{number}", "b"), at=6.0 + number / 40
+            )
         world.run(14.0)
         late = [
             key
@@ -109,7 +115,7 @@
             for index, name in enumerate(names):
                 at = 1.0 + 8 * turn + 0.6 * index
                 world.add_request(
-                    make_asked(f"{name}{turn}", name, patience_s=6.0), at=at
+                    make_grant_request(f"{name}{turn}", name, patience_s=6.0), at=at
                 )
         world.run(45.0)
         served = {
--- a/tests/policy/scheduling/test_machine.py
+++ b/tests/policy/scheduling/test_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 MODELS = list("abcdefgh")
@@ -30,7 +30,7 @@
     def add_requests(self, model: str, many: int, adapter: bool) -> None:
         for number in range(many):
             self.added += 1
-            grant_request = make_asked(
+            grant_request = make_grant_request(
                 f"q{self.added}",
                 model,
                 adapter=f"x{number}" if adapter else "",
--- a/tests/policy/scheduling/test_placement.py
+++ b/tests/policy/scheduling/test_placement.py
@@ -11,7 +11,7 @@
     Tick,
 )
 
-from ...fakes.fleet import make_asked, make_report, make_residents, make_runner
+from ...fakes.fleet import make_grant_request, make_report, make_residents, make_runner
 from .world import Outcome, World
 
 
@@ -34,7 +34,7 @@
 
     def test_waiting_request_gets_its_model_in_time(self) -> None:
         world = make_world(["a", "b", "c"], ["a", "d", "e"])
-        world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
+        world.add_request(make_grant_request("q1", "f", patience_s=5.0), at=1.0)
         world.run(4.0)
         outcome = world.outcomes["q1"]
         assert outcome.first_at is not None
@@ -44,16 +44,17 @@
         world = make_world(["a", "b", "c"], ["d", "e", "g"])
         for number in range(40):
             world.add_request(
-                make_asked(f"a{number}", "a", patience_s=5.0), at=1 + number / 20
+                make_grant_request(f"a{number}", "a", patience_s=5.0),
+                at=1 + number / 20,
             )
-        world.add_request(make_asked("q1", "f", patience_s=5.0), at=2.0)
+        world.add_request(make_grant_request("q1", "f", patience_s=5.0), at=2.0)
         world.run(6.0)
         unloaded = {each.model for each in world.orders if not each.load}
         assert "a" not in unloaded
 
     def test_request_that_cannot_wait_for_the_load_is_refused_at_once(self) -> None:
         world = make_world(["a", "b", "c"], ["a", "d", "e"], load_s=6.0)
-        world.add_request(make_asked("q1", "f", patience_s=2.4), at=1.0)
+        world.add_request(make_grant_request("q1", "f", patience_s=2.4), at=1.0)
         world.run(8.0)
         outcome = world.outcomes["q1"]
         assert outcome.refused_at is not None
@@ -64,8 +65,8 @@
     def test_model_in_use_is_not_unloaded(self) -> None:
         world = make_world(["a", "b", "c"])
         for name in "abc":
-            world.add_request(make_asked(f"run-{name}", name), at=1.0)
-        world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.3)
+            world.add_request(make_grant_request(f"run-{name}", name), at=1.0)
+        world.add_request(make_grant_request("q1", "f", patience_s=5.0), at=1.3)
         world.run(1.6)
         assert [each for each in world.orders if not each.load] == []
 
@@ -73,7 +74,9 @@
         world = make_world(["a", "b", "c"])
         for number in range(6):
             model = "b" if number % 2 else "c"
-            world.add_request(make_asked(f"q{number}", model), at=1.0 + 2 * number)
+            world.add_request(
+                make_grant_request(f"q{number}", model), at=1.0 + 2 * number
+            )
         world.run(20.0)
         assert world.orders == []
 
@@ -85,8 +88,8 @@
         world = make_world(
             ["a", "b", "c"], ["a", "d", "e"], load_s=6.0, on_disk={"r0": "fg"}
         )
-        world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
-        world.add_request(make_asked("q2", "g", patience_s=5.0), at=1.1)
+        world.add_request(make_grant_request("q1", "f", patience_s=5.0), at=1.0)
+        world.add_request(make_grant_request("q2", "g", patience_s=5.0), at=1.1)
         world.run(6.0)
         assert world.count_first_events_within(2.5) == 2
         assert sum(each.store_loads for each in world.runners.values()) == 0
@@ -100,9 +103,13 @@
             load_s=6.0,
         )
         for number, model in enumerate("fghi"):
-            world.add_request(make_asked(f"r{number}", model, patience_s=30.0), at=1.0)
+            world.add_request(
+                make_grant_request(f"r{number}", model, patience_s=30.0), at=1.0
+            )
         for number in range(60):
-            world.add_request(make_asked(f"q{number}", "k"), at=3.0 + number / 30)
+            world.add_request(
+                make_grant_request(f"q{number}", "k"), at=3.0 + number / 30
+            )
         world.run(4.0)
         assert "k" in [each.model for each in world.orders if each.load]
 
@@ -118,7 +125,7 @@
         )
         number, at = 0, 1.0
         while at < 7.0:
-            world.add_request(make_asked(f"k{number}", "k", tokens=1600), at=at)
+            world.add_request(make_grant_request(f"k{number}", "k", tokens=1600), at=at)
             number += 1
             at += 1 / max(2.0, 4 * (at - 1.0))
         world.run(7.0)
@@ -131,7 +138,9 @@
     def test_rising_demand_gets_further_copies(self) -> None:
         world = make_world(["a", "b", "c"], ["d", "e", "f"], ["d", "e", "g"])
         for number in range(200):
-            world.add_request(make_asked(f"q{number}", "a"), at=1.0 + number / 40)
+            world.add_request(
+                make_grant_request(f"q{number}", "a"), at=1.0 + number / 40
+            )
         world.run(8.0)
         holders = [each for each in world.runners.values() if "a" in each.models]
         assert len(holders) >= 2
@@ -140,10 +149,14 @@
         """With loads of 6 s, a rare request must not delay a popular model."""
         world = make_world(["a", "b", "c"], ["d", "e", "f"], load_s=6.0)
         for number in range(300):
-            world.add_request(make_asked(f"q{number}", "a"), at=1.0 + number / 60)
+            world.add_request(
+                make_grant_request(f"q{number}", "a"), at=1.0 + number / 60
+            )
         for number in range(10):
             at = 3.0 + number / 2
-            world.add_request(make_asked(f"g{number}", "g", patience_s=16.0), at=at)
+            world.add_request(
+                make_grant_request(f"g{number}", "g", patience_s=16.0), at=at
+            )
         world.run(9.0)
         loads = [each.model for each in world.orders if each.load]
         assert loads[0] == "a"
@@ -154,7 +167,9 @@
             ["a", "b", "c"], ["a", "d", "e"], ["a", "f", "b"], load_s=6.0
         )
         for number in range(240):
-            world.add_request(make_asked(f"q{number}", "g"), at=1.0 + number / 60)
+            world.add_request(
+                make_grant_request(f"q{number}", "g"), at=1.0 + number / 60
+            )
         world.run(5.0)
         loads = [each.runner_id for each in world.orders if each.load]
         assert len(set(loads)) >= 2
@@ -167,7 +182,9 @@
     def test_lost_runner_has_its_models_loaded_elsewhere(self) -> None:
         world = make_world(["a", "b", "c"], ["d", "e", "f"])
         for number in range(100):
-            world.add_request(make_asked(f"q{number}", "a"), at=1.0 + number / 20)
+            world.add_request(
+                make_grant_request(f"q{number}", "a"), at=1.0 + number / 20
+            )
         world.run(3.0)
         del world.runners["r0"]
         world.update_fleet()
@@ -179,7 +196,7 @@
     """Orders require a known state of the runner."""
 
     def list_orders_for_request(self, world: World) -> list[SendOrder]:
-        grant_request = make_asked("q1", "f", patience_s=30.0)
+        grant_request = make_grant_request("q1", "f", patience_s=30.0)
         world.outcomes["q1"] = Outcome(grant_request, world.now)
         world.send_event(grant_request)
         return world.orders
@@ -221,7 +238,7 @@
     def test_no_order_unless_allowed(self) -> None:
         world = make_world(["a", "b", "c"])
         world.send_event(OrdersAllowed(allowed=False))
-        world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
+        world.add_request(make_grant_request("q1", "f", patience_s=5.0), at=1.0)
         world.run(3.0)
         assert world.orders == []
 
@@ -229,7 +246,7 @@
         world = make_world(["a", "b", "c"], ["a", "d", "e"])
         entries = (make_runner("r1", ("a", "d", "e")),)
         world.send_event(FleetUpdated(table=world.table, runners=entries))
-        world.add_request(make_asked("q1", "f", patience_s=5.0), at=1.0)
+        world.add_request(make_grant_request("q1", "f", patience_s=5.0), at=1.0)
         world.run(3.0)
         assert {each.runner_id for each in world.orders} == {"r1"}
 
@@ -239,7 +256,7 @@
 
     def test_waiting_request_gets_its_adapter(self) -> None:
         world = make_world(["a", "b", "c"])
-        world.add_request(make_asked("q1", "a", adapter="a7"), at=1.0)
+        world.add_request(make_grant_request("q1", "a", adapter="a7"), at=1.0)
         world.run(2.0)
         outcome = world.outcomes["q1"]
         assert outcome.first_at is not None
@@ -248,7 +265,7 @@
     def test_full_slots_evict_the_least_recently_used_adapter(self) -> None:
         world = make_world(["a", "b", "c"])
         for number in range(9):
-            grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
+            grant_request = make_grant_request(f"q{number}", "a", adapter=f"x{number}")
             world.add_request(grant_request, at=1.0 + 2 * number)
         world.run(25.0)
         unloaded = [each.adapter for each in world.orders if not each.load]
@@ -260,7 +277,7 @@
         """The runner answers 200 and counts it; the next order must not be stale."""
         world = make_world(["a", "b", "c"])
         for number in range(9):
-            grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
+            grant_request = make_grant_request(f"q{number}", "a", adapter=f"x{number}")
             world.add_request(grant_request, at=1.0 + 2 * number)
         world.run(25.0)
         last = world.outcomes["q8"]
@@ -271,11 +288,11 @@
         """A runner refuses orders for adapters during a load of 6 s."""
         world = make_world(["a", "b", "c"], ["d", "e", "f"], load_s=6.0)
         for number in range(20):
-            grant_request = make_asked(f"q{number}", "a", adapter=f"x{number}")
+            grant_request = make_grant_request(f"q{number}", "a", adapter=f"x{number}")
             world.add_request(grant_request, at=1.0 + number / 5)
-            plain = make_asked(f"d{number}", "d", tokens=4000)
+            plain = make_grant_request(f"d{number}", "d", tokens=4000)
             world.add_request(plain, at=1.0 + number / 5)
-        world.add_request(make_asked("g", "g", patience_s=16.0), at=3.0)
+        world.add_request(make_grant_request("g", "g", patience_s=16.0), at=3.0)
         world.run(6.0)
         loads = [each.runner_id for each in world.orders if each.model == "g"]
         assert loads == ["r1"]
@@ -283,9 +300,11 @@
     def test_request_whose_adapter_would_be_late_is_refused_at_once(self) -> None:
         world = make_world(["a", "b", "c"], load_s=6.0)
         for number in range(4):
-            world.add_request(make_asked(f"a{number}", "a"), at=0.8 + number / 10)
-        world.add_request(make_asked("g", "g", patience_s=16.0), at=1.0)
-        world.add_request(make_asked("q1", "a", adapter="x1"), at=1.5)
+            world.add_request(
+                make_grant_request(f"a{number}", "a"), at=0.8 + number / 10
+            )
+        world.add_request(make_grant_request("g", "g", patience_s=16.0), at=1.0)
+        world.add_request(make_grant_request("q1", "a", adapter="x1"), at=1.5)
         world.run(6.0)
         outcome = world.outcomes["q1"]
         assert outcome.refused_at is not None
@@ -293,7 +312,7 @@
 
     def test_pending_adapters_of_a_report_are_kept(self) -> None:
         world = make_world(["a", "b", "c"])
-        world.add_request(make_asked("q1", "a", adapter="a7"), at=1.0)
+        world.add_request(make_grant_request("q1", "a", adapter="a7"), at=1.0)
         world.run(1.2)
         resident = ResidentModel(name="a", version=1, adapters=frozenset())
         report = make_report((resident,), world.runners["r0"].order_count)
@@ -315,7 +334,9 @@
         world.runners["r0"].on_disk = list("abcd")
         world.send_event(OrdersAllowed(allowed=False))
         for name in "bcd":
-            world.add_request(make_asked(f"q-{name}", name, patience_s=9.0), at=0.4)
+            world.add_request(
+                make_grant_request(f"q-{name}", name, patience_s=9.0), at=0.4
+            )
         world.run(0.5)
         world.send_event(OrdersAllowed(allowed=True))
         world.run(8.0)
--- a/tests/policy/scheduling/test_prefetching.py
+++ b/tests/policy/scheduling/test_prefetching.py
@@ -2,7 +2,7 @@
 
 from mangoway.policy.scheduling.events import FleetUpdated
 
-from ...fakes.fleet import make_asked, make_runner
+from ...fakes.fleet import make_grant_request, make_runner
 from .world import World
 
 DISK_MB = 430_000.0
@@ -35,7 +35,9 @@
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         for number, model in enumerate("bcdefg"):
             at = 20.0 + 4 * number
-            world.add_request(make_asked(f"q{number}", model, patience_s=2.4), at=at)
+            world.add_request(
+                make_grant_request(f"q{number}", model, patience_s=2.4), at=at
+            )
         world.run(50.0)
         assert world.count_first_events_within(2.4) == 6
 
@@ -87,13 +89,13 @@
     def test_nothing_is_prefetched(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
         for number in range(40):
-            world.add_request(make_asked(f"q{number}", "a"), at=number / 2)
+            world.add_request(make_grant_request(f"q{number}", "a"), at=number / 2)
         world.run(20.0)
         assert [each for each in world.orders if each.model in "fg"] == []
 
     def test_new_runner_starts_no_prefetch(self) -> None:
         world = make_idle(["a", "b", "c"], ["a", "d", "e"])
-        world.add_request(make_asked("q0", "a"), at=0.0)
+        world.add_request(make_grant_request("q0", "a"), at=0.0)
         world.run(4.0)
         world.send_event(
             FleetUpdated(
--- a/tests/policy/scheduling/test_prefill_backlog.py
+++ b/tests/policy/scheduling/test_prefill_backlog.py
@@ -5,7 +5,7 @@
 from mangoway.policy.scheduling.prefill_backlog import GRANT_DELAY_S, PrefillBacklog
 from mangoway.policy.scheduling.requests import RunningRequest
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 
 FIRST_EVENT_S = 0.08
 
@@ -15,7 +15,7 @@
 ) -> RunningRequest:
     """Add a prompt and return its request."""
     running = RunningRequest(
-        grant_request=make_asked(request_id),
+        grant_request=make_grant_request(request_id),
         runner_id="r0",
         granted_at=now,
         prefill_s=prefill_s,
--- a/tests/policy/scheduling/test_queue.py
+++ b/tests/policy/scheduling/test_queue.py
@@ -7,7 +7,7 @@
 from mangoway.policy.scheduling.queue import ServiceQueue
 from mangoway.policy.scheduling.requests import WaitingRequest
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 
 PREFILL_S = 0.03
 
@@ -32,7 +32,7 @@
     left_s: float,
     now: float,
 ) -> WaitingRequest:
-    grant_request = make_asked(
+    grant_request = make_grant_request(
         request_id, model, adapter=adapter, priority=ranks[0], objective_s=left_s
     )
     grant_request = evolve(grant_request, route_priority=ranks[1])
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -15,7 +15,7 @@
 )
 from mangoway.policy.scheduling.runners import RunnerState
 
-from ...fakes.fleet import make_asked, make_report, make_residents, make_runner
+from ...fakes.fleet import make_grant_request, make_report, make_residents, make_runner
 from .world import World
 
 FIRST_START_MS = 1_000
@@ -55,7 +55,9 @@
     def test_entry_of_a_new_incarnation_clears_the_state(self) -> None:
         world, core = make_core()
         [grant] = [
-            each for each in core.handle(make_asked("q1"), 1.0) if each.edge == "e1"
+            each
+            for each in core.handle(make_grant_request("q1"), 1.0)
+            if each.edge == "e1"
         ]
         assert isinstance(grant, Grant)
         update_entry(world, SECOND_START_MS, ())
@@ -84,7 +86,7 @@
 
     def test_late_end_of_an_earlier_request_is_accepted(self) -> None:
         world, core = make_core()
-        core.handle(make_asked("q1"), 1.0)
+        core.handle(make_grant_request("q1"), 1.0)
         update_entry(world, SECOND_START_MS, ())
         ended = RequestEnded(edge="e1", request_id="q1", kind=EndKind.FAILED)
         assert core.handle(ended, 2.0) == []
@@ -92,7 +94,7 @@
     def test_late_answer_to_an_earlier_order_changes_nothing(self) -> None:
         world, core = make_core()
         core.handle(OrdersAllowed(allowed=True), 1.0)
-        core.handle(make_asked("q1", "b", patience_s=20.0), 1.0)
+        core.handle(make_grant_request("q1", "b", patience_s=20.0), 1.0)
         [order] = [
             each for each in core.handle(Tick(), 1.1) if isinstance(each, SendOrder)
         ] or [get_runner(world).open_order]
@@ -122,7 +124,7 @@
     def test_entry_without_start_time_keeps_the_known_one(self) -> None:
         """Without it, the next report would look like one of a new incarnation."""
         world, core = make_core()
-        core.handle(make_asked("q1"), 1.0)
+        core.handle(make_grant_request("q1"), 1.0)
         runner = get_runner(world)
         update_entry(world, 0, ("a",))
         receive_report(world, FIRST_START_MS, ("a",), order_count=5, at=2.0)
--- a/tests/policy/scheduling/test_slot_times.py
+++ b/tests/policy/scheduling/test_slot_times.py
@@ -4,7 +4,7 @@
 
 from mangoway.policy.scheduling.slot_times import SlotTimeEstimator
 
-from ...fakes.fleet import make_asked
+from ...fakes.fleet import make_grant_request
 from .world import World
 
 
@@ -40,7 +40,7 @@
         world.replace_core()
         world.run(0.5)
         for number in range(360):
-            grant_request = make_asked(f"q{number}", "a", tokens=100)
+            grant_request = make_grant_request(f"q{number}", "a", tokens=100)
             world.add_request(grant_request, at=1.0 + number / 30)
         world.run(16.0)
         copies = [each for each in world.runners.values() if "a" in each.models]
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -32,7 +32,7 @@
 from mangoway.util.listener import open_listener
 
 from ..fakes.coordination_store import FakeCoordinationStore
-from ..fakes.fleet import make_asked, make_runner, make_table
+from ..fakes.fleet import make_grant_request, make_runner, make_table
 from ..fakes.polling import async_wait_until
 
 RUNNER = make_runner("r1", ("a",))
@@ -161,29 +161,29 @@
 
     async def test_grant_comes_from_the_scheduler(self) -> None:
         async with connect() as (scheduler, edge):
-            answer = await receive(edge.client.request_grant(make_asked("q1")))
+            answer = await receive(edge.client.request_grant(make_grant_request("q1")))
             assert isinstance(answer, Grant)
             assert ("e1", "q1") in scheduler.server.core.state.granted
 
     async def test_end_releases_the_grant(self) -> None:
         async with connect() as (scheduler, edge):
-            await receive(edge.client.request_grant(make_asked("q1")))
-            waiting = edge.client.request_grant(make_asked("q2"))
+            await receive(edge.client.request_grant(make_grant_request("q1")))
+            waiting = edge.client.request_grant(make_grant_request("q2"))
             edge.client.end_request("q1", EndKind.SERVED)
             assert isinstance(await receive(waiting), Grant)
             assert ("e1", "q1") not in scheduler.server.core.state.granted
 
     async def test_first_event_admits_the_next_prompt(self) -> None:
         async with connect() as (_, edge):
-            await receive(edge.client.request_grant(make_asked("q1")))
-            waiting = edge.client.request_grant(make_asked("q2"))
+            await receive(edge.client.request_grant(make_grant_request("q1")))
+            waiting = edge.client.request_grant(make_grant_request("q2"))
             edge.client.report_first_event("q1")
             assert isinstance(await receive(waiting), Grant)
 
     async def test_waiting_request_is_refused_at_a_stop(self) -> None:
         async with connect() as (_, edge):
-            await receive(edge.client.request_grant(make_asked("q1")))
-            waiting = edge.client.request_grant(make_asked("q2"))
+            await receive(edge.client.request_grant(make_grant_request("q1")))
+            waiting = edge.client.request_grant(make_grant_request("q2"))
             edge.client.refuse_waiting("this host stops", 0.1)
             assert isinstance(await receive(waiting), Refuse)
 
@@ -199,7 +199,7 @@
     async def test_scheduler_applies_a_reported_limit(self) -> None:
         async with connect() as (_, edge):
             edge.client.report_signal(LIMIT_REPORT)
-            waiting = edge.client.request_grant(make_asked("q1"))
+            waiting = edge.client.request_grant(make_grant_request("q1"))
             await asyncio.sleep(0.2)
             assert not waiting.done()
 
@@ -237,7 +237,7 @@
             next_scheduler = Scheduler()
             edge.follow(await next_scheduler.async_start(), fence=2)
             scheduler.stop()
-            waiting = edge.client.request_grant(make_asked("q1"))
+            waiting = edge.client.request_grant(make_grant_request("q1"))
             limits = next_scheduler.server.core.state.limits
             await async_wait_until(lambda: limits.get_limit("r1") == 0.5)
             assert not waiting.done()
@@ -248,7 +248,7 @@
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
         limits.update(LIMIT_REPORT, edge.link.clock())
-        answer = await receive(edge.client.request_grant(make_asked("q1")))
+        answer = await receive(edge.client.request_grant(make_grant_request("q1")))
         edge.task.cancel()
         assert isinstance(answer, Refuse)
 
@@ -322,7 +322,7 @@
     async def test_edge_grants_locally_after_losing_the_scheduler(self) -> None:
         async with connect() as (scheduler, edge):
             scheduler.server.core.state.runners.clear()
-            waiting = edge.client.request_grant(make_asked("q1"))
+            waiting = edge.client.request_grant(make_grant_request("q1"))
             await asyncio.sleep(0.02)
             scheduler.stop()
             assert isinstance(await receive(waiting), Grant)
@@ -332,7 +332,7 @@
             no_runners = FleetUpdated(table=make_table(), runners=())
             scheduler.server.handle(no_runners)
             scheduler.task.cancel()
-            waiting = edge.client.request_grant(make_asked("q1"))
+            waiting = edge.client.request_grant(make_grant_request("q1"))
             started_at = asyncio.get_running_loop().time()
             assert isinstance(await receive(waiting), Grant)
             assert asyncio.get_running_loop().time() - started_at < 4 * SILENCE_S
@@ -340,14 +340,14 @@
     async def test_edge_grants_locally_without_a_scheduler(self) -> None:
         edge = Edge()
         try:
-            answer = await receive(edge.client.request_grant(make_asked("q1")))
+            answer = await receive(edge.client.request_grant(make_grant_request("q1")))
             assert isinstance(answer, Grant)
         finally:
             edge.task.cancel()
 
     async def test_new_scheduler_receives_running_requests(self) -> None:
         async with connect() as (_, edge):
-            await receive(edge.client.request_grant(make_asked("q1")))
+            await receive(edge.client.request_grant(make_grant_request("q1")))
             other = Scheduler()
             try:
                 edge.follow(await other.async_start(), fence=2)
@@ -358,7 +358,7 @@
 
     async def test_lost_edge_releases_its_grants(self) -> None:
         async with connect() as (scheduler, edge):
-            await receive(edge.client.request_grant(make_asked("q1")))
+            await receive(edge.client.request_grant(make_grant_request("q1")))
             edge.task.cancel()
             edge.link.close()
             await async_wait_until(lambda: not scheduler.server.core.state.granted)
@@ -375,7 +375,7 @@
         local = LocalGrantProvider(
             make_core(), "e1", clock, lambda: fleets.pop() if fleets else None
         )
-        answer = await receive(local.request_grant(make_asked("q1")))
+        answer = await receive(local.request_grant(make_grant_request("q1")))
         assert isinstance(answer, Grant)
         assert answer.runner_id == "r2"
 
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -39,7 +39,7 @@
     StoreSnapshot,
 )
 
-from ..fakes.fleet import make_asked
+from ..fakes.fleet import make_grant_request
 
 ITEM = Item(key="k", value=b"\x00\xffvalue", revision=3, lease_id=9)
 MESSAGES: list[Message] = [
@@ -70,9 +70,11 @@
     CooldownReport(edge="e1", runner_id="r1", started_ms=5, rest_s=2.5),
     LeavingReport(runner_id="r1", started_ms=5),
     PermitRequest(request_id="p1", edge="e1", runner_id="r1", started_ms=5),
-    make_asked("q1", adapter="x", excluded=("r1",), only=("r2",), repeat=True),
-    evolve(make_asked("q1"), customer="acme", cost=150.0, route_priority=2),
-    RequestAdopted(grant_request=make_asked("q2"), runner_id="r1", prefilling=False),
+    make_grant_request("q1", adapter="x", excluded=("r1",), only=("r2",), repeat=True),
+    evolve(make_grant_request("q1"), customer="acme", cost=150.0, route_priority=2),
+    RequestAdopted(
+        grant_request=make_grant_request("q2"), runner_id="r1", prefilling=False
+    ),
     FirstEventSeen(edge="e1", request_id="q1"),
     RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
     Grant(edge="e1", request_id="q1", runner_id="r1"),
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -15,7 +15,7 @@
     SpendingReported,
 )
 
-from ..fakes.fleet import make_asked
+from ..fakes.fleet import make_grant_request
 from ..fakes.polling import async_wait_until
 from .test_client import Edge, Scheduler, connect, receive
 
@@ -47,8 +47,8 @@
         edge.local.core.state.quotas.registry = make_registry()
 
 
-def make_grant_request(request_id: str, cost: float) -> GrantRequest:
-    return evolve(make_asked(request_id), customer="acme", cost=cost)
+def make_customer_request(request_id: str, cost: float) -> GrantRequest:
+    return evolve(make_grant_request(request_id), customer="acme", cost=cost)
 
 
 class TestEngines:
@@ -58,10 +58,10 @@
         async with connect() as (scheduler, edge):
             configure_quotas(scheduler, edge)
             first = await receive(
-                edge.client.request_grant(make_grant_request("q1", RATE))
+                edge.client.request_grant(make_customer_request("q1", RATE))
             )
             second = await receive(
-                edge.client.request_grant(make_grant_request("q2", RATE))
+                edge.client.request_grant(make_customer_request("q2", RATE))
             )
         assert isinstance(first, Grant)
         assert isinstance(second, Refuse)
@@ -71,19 +71,21 @@
     async def test_ended_waiting_request_is_refunded(self) -> None:
         async with connect() as (scheduler, edge):
             configure_quotas(scheduler, edge)
-            gone = evolve(make_grant_request("q1", RATE), model="b")
+            gone = evolve(make_customer_request("q1", RATE), model="b")
             edge.client.request_grant(gone)
             await async_wait_until(lambda: bool(scheduler.server.core.state.charges))
             edge.client.end_request("q1", EndKind.LEFT)
             granted = await receive(
-                edge.client.request_grant(make_grant_request("q2", RATE))
+                edge.client.request_grant(make_customer_request("q2", RATE))
             )
         assert isinstance(granted, Grant)
 
     async def test_lost_edge_is_refunded(self) -> None:
         async with connect() as (scheduler, edge):
             configure_quotas(scheduler, edge)
-            edge.client.request_grant(evolve(make_grant_request("q1", RATE), model="b"))
+            edge.client.request_grant(
+                evolve(make_customer_request("q1", RATE), model="b")
+            )
             state = scheduler.server.core.state
             await async_wait_until(lambda: bool(state.charges))
             edge.link.close()
@@ -143,7 +145,7 @@
             for number in range(3):
                 request_id = f"q{number}"
                 answer = await receive(
-                    edge.client.request_grant(make_grant_request(request_id, 1500.0))
+                    edge.client.request_grant(make_customer_request(request_id, 1500.0))
                 )
                 assert isinstance(answer, Grant), answer
                 edge.client.report_first_event(request_id)
@@ -203,7 +205,7 @@
             )
             await asyncio.sleep(0)
             answer = await receive(
-                edge.client.request_grant(make_grant_request("q9", RATE))
+                edge.client.request_grant(make_customer_request("q9", RATE))
             )
             second.stop()
         assert isinstance(answer, Refuse)
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -10,7 +10,7 @@
 from mangoway.scheduling.codec import encode_frame
 from mangoway.scheduling.messages import StoreChanges, StoreSnapshot
 
-from ..fakes.fleet import make_asked, make_table
+from ..fakes.fleet import make_grant_request, make_table
 from ..fakes.polling import async_wait_until
 from .test_client import Edge, Scheduler, receive
 
@@ -94,7 +94,8 @@
             standby.leading = True
             await async_wait_until(lambda: edge.link.leading)
             assert isinstance(
-                await receive(edge.client.request_grant(make_asked("q1"))), Grant
+                await receive(edge.client.request_grant(make_grant_request("q1"))),
+                Grant,
             )
             await async_wait_until(
                 lambda: ("e1", "q1") in standby.server.core.state.granted
@@ -103,7 +104,8 @@
     async def test_standby_receives_running_requests(self) -> None:
         async with start_two() as (leader, standby, edge):
             assert isinstance(
-                await receive(edge.client.request_grant(make_asked("q1"))), Grant
+                await receive(edge.client.request_grant(make_grant_request("q1"))),
+                Grant,
             )
             leader.stop()
             standby.leading = True
@@ -117,9 +119,9 @@
         """The waiting requests of all edges must not arrive at full runners at once."""
         async with start_two() as (leader, standby, edge):
             leader.server.core.state.orders_allowed = False
-            first = edge.client.request_grant(make_asked("q1"))
+            first = edge.client.request_grant(make_grant_request("q1"))
             assert isinstance(await receive(first), Grant)
-            waiting = edge.client.request_grant(make_asked("q2"))
+            waiting = edge.client.request_grant(make_grant_request("q2"))
             await async_wait_until(
                 lambda: len(leader.server.core.state.get_queue("llm")) == 1
             )
@@ -137,7 +139,7 @@
             leader.stop()
             standby.stop()
             await async_wait_until(lambda: edge.link.link is None)
-            granted = await receive(edge.client.request_grant(make_asked("q1")))
+            granted = await receive(edge.client.request_grant(make_grant_request("q1")))
             assert isinstance(granted, Grant)
 
     async def test_edge_returns_to_a_leader_that_still_leads(self) -> None:
