--- a/mangoway/coordination/view.py
+++ b/mangoway/coordination/view.py
@@ -8,7 +8,7 @@
 
 from ..models.fleet import Member
 from ..models.routing import RoutingTable
-from ..models.runner import RunnerEntry, is_later_life
+from ..models.runner import RunnerEntry, is_later_incarnation
 from ..models.signals import LeavingReport
 from ..observability import fleet_events as log
 from ..observability.event_log import log_event
@@ -132,7 +132,7 @@
             Whether this was not known before.
         """
         known = self._leaving.get(report.runner_id)
-        if known is not None and not is_later_life(report.started_ms, known):
+        if known is not None and not is_later_incarnation(report.started_ms, known):
             return False
         if len(self._leaving) >= MAX_LEAVING:
             del self._leaving[next(iter(self._leaving))]
@@ -152,7 +152,7 @@
         if entry.draining:
             return False
         left_ms = self._leaving.get(entry.runner_id)
-        return left_ms is None or is_later_life(entry.started_ms, left_ms)
+        return left_ms is None or is_later_incarnation(entry.started_ms, left_ms)
 
     def contains_entry(self, entry: RunnerEntry) -> bool:
         """Return whether the view contains this entry and the store still does."""
