--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -222,6 +222,27 @@
         for identity in identities:
             assert late_tracker.is_blocked(identity) == tracker.is_blocked(identity)
 
+    def test_second_clearance_keeps_the_incarnations_of_the_first(self) -> None:
+        """The store holds only the last clearance of a request.
+
+        A running process adds up all clearances that it received, whereas one that
+        starts later reads the last one and blocks the request.
+        """
+        identity = RequestIdentity("a", "v")
+        tracker = apply_statements(
+            [
+                ("clear", identity, {"l1"}),
+                ("clear", identity, set()),
+                *(("crash", life, {identity}) for life in ("l1", "l2", "l3")),
+            ]
+        )
+        late_tracker = CrashTracker()
+        for key, clearance in tracker._clearances.items():
+            late_tracker.add_clearance(key, clearance)
+        for key, charges in tracker._charges.items():
+            late_tracker.add_crash(key, charges)
+        assert late_tracker.is_blocked(identity) == tracker.is_blocked(identity)
+
     @given(STATEMENTS)
     def test_nothing_is_left_once_all_is_withdrawn(
         self, statements: list[tuple[str, object, object]]
--- a/tests/policy/membership/test_core.py
+++ b/tests/policy/membership/test_core.py
@@ -240,4 +240,19 @@
             assert not process.core.is_replaced
 
 
+class TestLeavingHosts:
+    """Hosts that leave while they are disconnected."""
+
+    def test_host_that_left_while_disconnected_is_not_answered(self) -> None:
+        """It leaves and is killed before it is connected again."""
+        machine = CellMachine()
+        machine.cut(HOSTS[0])
+        machine.run(5.0)
+        machine.leave(HOSTS[0])
+        machine.kill_or_start(HOSTS[0])
+        machine.cut(HOSTS[0])
+        machine.run(4.0)
+        machine.leaving_hosts_are_not_answered()
+
+
 TestCellMachine = CellMachine.TestCase
