--- a/mangoway/host_list/const.py
+++ b/mangoway/host_list/const.py
@@ -1,4 +1,4 @@
-"""Constants of the host list: labels and their values."""
+"""Constants of the host list, such as labels and their values."""
 
 from typing import Final
 
@@ -19,4 +19,4 @@
 READ_TIMEOUT_S: Final = 2.0
 MAX_LISTING_BYTES: Final = 1 << 24
 PERIOD_JITTER: Final = 0.2
-"""Share by which the period between two reads varies."""
+"""Share of the period by which the time between two reads varies."""
--- a/mangoway/host_list/http.py
+++ b/mangoway/host_list/http.py
@@ -1,4 +1,4 @@
-"""The host list through the HTTP service-discovery format of Prometheus."""
+"""Host list adapter for the HTTP service discovery format of Prometheus."""
 
 from urllib.parse import urlsplit
 
@@ -13,19 +13,19 @@
 
 @register_host_list("http")
 class HttpHostList:
-    """Reads the list with a GET, each time on a connection of its own.
+    """Reads the list with a GET on a new connection each time.
 
-    A connection can't go silent between two reads, and a controller is spared the
-    imports of a full client.
+    So no connection can become silent between two reads, and a controller doesn't
+    import a full HTTP client.
 
     Raises:
-        SettingError: If the URL is not of plain HTTP.
+        SettingError: If the scheme of the URL is not http.
     """
 
     def __init__(self, url: str, timeout_s: float = READ_TIMEOUT_S) -> None:
         self._body: bytes | None = None
         self._listing = HostListing()
-        """What the last body was parsed to; most reads bring the same again."""
+        """Parsed form of `_body`, reused since most reads return an unchanged body."""
 
         parts = urlsplit(url)
         if parts.scheme != SCHEME:
@@ -43,7 +43,7 @@
         """Read the list once.
 
         Raises:
-            MangowayError: PLATFORM_UNAVAILABLE if there is no whole list to be had.
+            MangowayError: PLATFORM_UNAVAILABLE if no complete list can be read.
         """
         try:
             body = await async_exchange(self._request)
@@ -57,4 +57,4 @@
         return self._listing
 
     async def async_close(self) -> None:
-        """Do nothing: no connection is kept."""
+        """Do nothing, since no connection is kept open."""
--- a/mangoway/host_list/listing.py
+++ b/mangoway/host_list/listing.py
@@ -1,4 +1,4 @@
-"""What the host list says, and the interface of whatever reads it."""
+"""Contents of the host list, and the interface of its adapters."""
 
 from typing import Protocol
 
@@ -11,7 +11,7 @@
 
 @frozen(kw_only=True)
 class ListedProcess:
-    """A process of the system as the host list names it."""
+    """A process of the system as listed in the host list."""
 
     host: HostId
     role: ProcessRole
@@ -22,20 +22,20 @@
 
 @frozen(kw_only=True)
 class HostListing:
-    """One reading of the host list; it may lag behind what is."""
+    """Contents of the host list at one read; they may be out of date."""
 
     upstreams: tuple[UpstreamAddress, ...] = ()
     processes: tuple[ListedProcess, ...] = ()
     skipped: tuple[str, ...] = ()
-    """Why entries were left out, one text for each."""
+    """Reason for each entry that was skipped."""
 
     @property
     def is_empty(self) -> bool:
-        """Return whether it names nothing at all."""
+        """Return whether the list has no usable entries."""
         return not self.upstreams and not self.processes
 
     def count_leaving(self) -> int:
-        """Return the entries that are leaving."""
+        """Return the number of entries that are leaving."""
         leaving = [each.leaving for each in self.upstreams]
         leaving += [each.leaving for each in self.processes]
         return sum(leaving)
@@ -48,10 +48,10 @@
         """Read the list once.
 
         Raises:
-            MangowayError: PLATFORM_UNAVAILABLE if there is no whole list to be had.
+            MangowayError: PLATFORM_UNAVAILABLE if no complete list can be read.
         """
         ...
 
     async def async_close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         ...
--- a/mangoway/host_list/parser.py
+++ b/mangoway/host_list/parser.py
@@ -1,4 +1,4 @@
-"""Parsing of the HTTP service-discovery format: groups of targets with labels."""
+"""Parser of the HTTP service discovery format: groups of targets with labels."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -27,10 +27,10 @@
 
 
 def parse_listing(body: bytes) -> HostListing:
-    """Parse a list; an entry that cannot be used is left out and said why.
+    """Parse a host list; unusable entries are skipped with a reason.
 
     Raises:
-        ValueError: If the whole is not in the format.
+        ValueError: If the body is not in the format.
     """
     groups = orjson.loads(body)
     if not isinstance(groups, list):
@@ -38,7 +38,7 @@
     upstreams: dict[UpstreamId, UpstreamAddress] = {}
     processes: dict[str, ListedProcess] = {}
     skipped: list[str] = []
-    for target, labels in _list_targets(groups):
+    for target, labels in _iterate_targets(groups):
         try:
             entry = _parse_entry(target, labels)
         except ValueError as error:
@@ -46,7 +46,7 @@
             continue
         if isinstance(entry, ListedProcess):
             processes[entry.peer_address] = entry
-        elif _keep_first(upstreams, entry):
+        elif _add_upstream(upstreams, entry):
             skipped.append(f"{target}: {entry.id} is listed twice")
     return HostListing(
         upstreams=tuple(upstreams.values()),
@@ -55,7 +55,7 @@
     )
 
 
-def _list_targets(groups: list[Any]) -> Iterator[tuple[str, Mapping[str, str]]]:
+def _iterate_targets(groups: list[Any]) -> Iterator[tuple[str, Mapping[str, str]]]:
     for group in groups:
         if not isinstance(group, dict) or not isinstance(group.get("targets"), list):
             raise ValueError("expected groups with an array `targets`")
@@ -114,17 +114,19 @@
         raise ValueError(f"unknown role {role!r}") from None
 
 
-def _keep_first(
+def _add_upstream(
     upstreams: dict[UpstreamId, UpstreamAddress], entry: UpstreamAddress
 ) -> bool:
-    """Add an upstream unless its name is taken; True if it was left out.
+    """Add an upstream; return whether it was skipped as a duplicate name.
 
-    A host that is listed twice at one address is leaving if either says so.
+    An upstream that is listed twice with one address is leaving if either entry is.
     """
-    known = upstreams.setdefault(entry.id, entry)
-    if known is entry:
+    existing = upstreams.setdefault(entry.id, entry)
+    if existing is entry:
         return False
-    if known.address != entry.address:
+    if existing.address != entry.address:
         return True
-    upstreams[entry.id] = attrs.evolve(known, leaving=known.leaving or entry.leaving)
+    upstreams[entry.id] = attrs.evolve(
+        existing, leaving=existing.leaving or entry.leaving
+    )
     return False
--- a/mangoway/host_list/registry.py
+++ b/mangoway/host_list/registry.py
@@ -1,4 +1,4 @@
-"""Adapters of host lists, by the name that the settings choose."""
+"""Registry of host list adapters, by the name used in the settings."""
 
 from collections.abc import Callable
 from importlib import import_module
@@ -18,7 +18,7 @@
 
 
 def register_host_list(kind: str) -> Callable[[FactoryT], FactoryT]:
-    """Register the factory of an adapter, which is given the URL, under a name."""
+    """Return a decorator that registers an adapter's factory, called with the URL."""
 
     def register(factory: FactoryT) -> FactoryT:
         _factories[kind] = factory
@@ -28,10 +28,10 @@
 
 
 def make_host_list(settings: ProcessSettings) -> HostList | None:
-    """Make the reader that the settings name; None if they give no URL.
+    """Return the adapter selected by the settings; None if no URL is set.
 
     Raises:
-        SettingError: If no adapter has that name.
+        SettingError: If no adapter has the selected name.
     """
     for module in ADAPTER_MODULES:
         import_module(f"{__package__}.{module}")
--- a/mangoway/peers/client.py
+++ b/mangoway/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls to one peer, with a precise verdict on every failure."""
+"""Client of one peer, with an exact verdict on every failure."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Callable, Iterable
@@ -19,13 +19,13 @@
     IDLE_CLOSE_S,
     SILENCE_S,
 )
-from .link import Link, LinkHolder
+from .link import CurrentLink, Link
 from .peers_grpc import PeersStub
 
 RequestT = TypeVar("RequestT")
 ReplyT = TypeVar("ReplyT")
 
-BROKEN = (OSError, StreamTerminatedError, ProtocolError)
+CONNECTION_ERRORS = (OSError, StreamTerminatedError, ProtocolError)
 
 
 @define(eq=False)
@@ -33,18 +33,18 @@
     """Calls to the process at one address.
 
     Every method raises `MangowayError` with code PEER_UNREACHABLE, PEER_SILENT or
-    PEER_FAILED. Its verdict is NOT_RUN if the request was certainly never sent,
-    else MAY_HAVE_RUN.
+    PEER_FAILED. Its verdict is NOT_RUN if the request was certainly not sent, else
+    MAY_HAVE_RUN.
     """
 
     address: str
-    _holder: LinkHolder = field(init=False)
+    _current_link: CurrentLink = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._holder = LinkHolder(self.address)
+        self._current_link = CurrentLink(self.address)
 
     async def async_exchange(self, heartbeat: pb.Heartbeat) -> pb.Heartbeat:
-        """Send a heartbeat and return the peer's."""
+        """Send a heartbeat and return the peer's heartbeat."""
         return await self._async_call(
             lambda stub: stub.Exchange, (heartbeat,), EXCHANGE_TIMEOUT_S
         )
@@ -52,7 +52,7 @@
     async def async_fetch_configuration(
         self, request: pb.FetchConfigurationRequest
     ) -> pb.ConfigurationDocument:
-        """Read the configuration that the peer has in force."""
+        """Return the configuration in force at the peer."""
         return await self._async_call(
             lambda stub: stub.FetchConfiguration, (request,), CALL_TIMEOUT_S
         )
@@ -60,31 +60,31 @@
     async def async_push_configuration(
         self, document: pb.ConfigurationDocument
     ) -> pb.PushConfigurationReply:
-        """Give the peer a configuration."""
+        """Send a configuration to the peer."""
         return await self._async_call(
             lambda stub: stub.PushConfiguration, (document,), CALL_TIMEOUT_S
         )
 
     async def async_hand_over(self, chunks: Iterable[pb.KeyChunk]) -> pb.HandOverReply:
-        """Give the peer the records of this home's idempotency keys."""
+        """Send the records of this home's idempotency keys to the peer."""
         return await self._async_call(
             lambda stub: stub.HandOverKeys, chunks, HAND_OVER_TIMEOUT_S
         )
 
     async def async_report_demand(self, report: pb.DemandReport) -> pb.DemandReply:
-        """Tell a controller what callers asked for."""
+        """Report callers' demand to a controller."""
         return await self._async_call(
             lambda stub: stub.ReportDemand, (report,), CALL_TIMEOUT_S
         )
 
     async def async_read_status(self) -> pb.StatusReply:
-        """Read what the peer knows."""
+        """Return the peer's status."""
         return await self._async_call(
             lambda stub: stub.ReadStatus, (pb.StatusRequest(),), CALL_TIMEOUT_S
         )
 
     async def async_explain(self, request: pb.ExplainRequest) -> pb.ExplainReply:
-        """Read why the peer did something."""
+        """Return the peer's explanation of its decisions."""
         return await self._async_call(
             lambda stub: stub.Explain, (request,), CALL_TIMEOUT_S
         )
@@ -92,12 +92,13 @@
     async def async_forward(
         self, request: pb.ForwardedRequest
     ) -> AsyncGenerator[pb.ForwardedFrame, None]:
-        """Send a caller's request and yield the frames of its answer, pings too.
+        """Send a caller's request and yield the frames of the response, pings included.
 
-        Ends after the peer's last frame. Silence for `SILENCE_S` raises PEER_SILENT.
+        Ends after the peer's last frame. Raises PEER_SILENT if no frame is received for
+        `SILENCE_S`.
         """
         call = _Call(self.address)
-        async with self._holder.async_use() as link:
+        async with self._current_link.async_use() as link:
             try:
                 async with link.stub.Forward.open() as stream:
                     async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -110,46 +111,48 @@
                             frame = await stream.recv_message()
                         if frame is None:
                             return
-                        link.note_heard()
+                        link.record_received()
                         yield frame
             except TimeoutError as error:
-                self._holder.replace(link)
-                raise call.make_silent() from error
-            except BROKEN as error:
-                self._holder.replace(link)
-                raise call.make_broken(error) from error
+                self._current_link.replace(link)
+                raise call.make_timeout_error() from error
+            except CONNECTION_ERRORS as error:
+                self._current_link.replace(link)
+                raise call.make_connection_error(error) from error
             except GRPCError as error:
-                raise call.make_failed(error) from error
+                raise call.make_peer_error(error) from error
 
     def close(self) -> None:
-        """Close the connection as soon as no call is open."""
-        self._holder.close()
+        """Close the connection once no call is open."""
+        self._current_link.close()
 
     def is_idle(self, since: float) -> bool:
-        """Tell whether no call is open and none was begun after `since`."""
-        return self._holder.is_idle(since)
+        """Return whether no call is open and none was started after `since`."""
+        return self._current_link.is_idle(since)
 
     async def _async_call(
         self,
-        choose: Callable[[PeersStub], ServiceMethod[RequestT, ReplyT]],
+        choose_method: Callable[[PeersStub], ServiceMethod[RequestT, ReplyT]],
         messages: Iterable[RequestT],
         timeout_s: float,
     ) -> ReplyT:
         call = _Call(self.address)
         started_at = asyncio.get_running_loop().time()
-        async with self._holder.async_use() as link:
+        async with self._current_link.async_use() as link:
             try:
                 async with asyncio.timeout(timeout_s):
-                    return await _async_converse(link, choose, messages, call)
+                    return await _async_exchange_messages(
+                        link, choose_method, messages, call
+                    )
             except TimeoutError as error:
-                if link.heard_at <= started_at:
-                    self._holder.replace(link)
-                raise call.make_silent() from error
-            except BROKEN as error:
-                self._holder.replace(link)
-                raise call.make_broken(error) from error
+                if link.last_received_at <= started_at:
+                    self._current_link.replace(link)
+                raise call.make_timeout_error() from error
+            except CONNECTION_ERRORS as error:
+                self._current_link.replace(link)
+                raise call.make_connection_error(error) from error
             except GRPCError as error:
-                raise call.make_failed(error) from error
+                raise call.make_peer_error(error) from error
 
 
 @define(eq=False)
@@ -167,7 +170,7 @@
         return client
 
     def close_idle(self, now: float) -> None:
-        """Close and forget clients that were not used for `IDLE_CLOSE_S`."""
+        """Close and remove clients that were not used for `IDLE_CLOSE_S`."""
         since = now - IDLE_CLOSE_S
         for address, client in tuple(self._clients.items()):
             if client.is_idle(since):
@@ -183,56 +186,56 @@
 
 @define(eq=False)
 class _Call:
-    """What is known of a call in case it fails."""
+    """State of a call, for the error if it fails."""
 
     address: str
     sent: bool = False
 
     @property
     def verdict(self) -> Verdict:
-        """Return whether the peer may have taken the request."""
+        """Return the verdict on whether the request may have run."""
         return Verdict.MAY_HAVE_RUN if self.sent else Verdict.NOT_RUN
 
-    def make_silent(self) -> MangowayError:
-        """Return the error of a call that got no reply in its time."""
+    def make_timeout_error(self) -> MangowayError:
+        """Return the error of a call without a reply before the timeout."""
         code = ErrorCode.PEER_SILENT if self.sent else ErrorCode.PEER_UNREACHABLE
         return MangowayError(code, f"no reply from {self.address}", self.verdict)
 
-    def make_broken(self, error: Exception) -> MangowayError:
-        """Return the error of a call whose connection could not be used."""
+    def make_connection_error(self, error: Exception) -> MangowayError:
+        """Return the error of a call whose connection failed."""
         detail = f"connection to {self.address}: {error}"
         return MangowayError(ErrorCode.PEER_UNREACHABLE, detail, self.verdict)
 
-    def make_failed(self, error: GRPCError) -> MangowayError:
-        """Return the error of a call that the peer answered with a failure."""
-        detail = f"{self.address} answered {error.status.name}: {error.message}"
+    def make_peer_error(self, error: GRPCError) -> MangowayError:
+        """Return the error of a call to which the peer responded with a failure."""
+        detail = f"{self.address} responded {error.status.name}: {error.message}"
         return MangowayError(ErrorCode.PEER_FAILED, detail, self.verdict)
 
 
-async def _async_converse(
+async def _async_exchange_messages(
     link: Link,
-    choose: Callable[[PeersStub], ServiceMethod[RequestT, ReplyT]],
+    choose_method: Callable[[PeersStub], ServiceMethod[RequestT, ReplyT]],
     messages: Iterable[RequestT],
     call: _Call,
 ) -> ReplyT:
-    async with choose(link.stub).open() as stream:
+    async with choose_method(link.stub).open() as stream:
         await _async_open(stream)
         call.sent = True
         for message in messages:
             await stream.send_message(message)
         await stream.end()
         reply = await stream.recv_message()
-        link.note_heard()
+        link.record_received()
         if reply is None:
             raise StreamTerminatedError("no reply")
         return reply
 
 
 async def _async_open(stream: Stream[RequestT, ReplyT]) -> None:
-    """Send the head of a call."""
+    """Send the headers of a call."""
     try:
         await stream.send_request()
     except AttributeError as error:
-        # The library hands out a connection that its peer has just closed; it has
-        # no transport any more, so nothing was sent.
+        # grpclib may use a connection that the peer has just closed; it has no
+        # transport any more, so nothing was sent.
         raise ConnectionResetError("closed before the call") from error
--- a/mangoway/peers/configuration.py
+++ b/mangoway/peers/configuration.py
@@ -1,4 +1,4 @@
-"""The loop side of the configuration core: reads, pushes and pulls of versions."""
+"""Event loop adapter of the configuration core: fetches and pushes of versions."""
 
 import asyncio
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 from . import peers_pb2 as pb
 from .client import PeerClients
 from .configuration_log import ConfigurationLog
-from .const import WATCH_PAUSE_S
+from .const import WATCH_RESTART_DELAY_S
 from .directory import Directory, name_process
 
 
@@ -47,7 +47,7 @@
 class ConfigurationDriver:
     """Keeps this process at the newest configuration version.
 
-    `on_applied` is called with each version that comes in force here, in order.
+    `on_applied` is called with each version that this process applies, in order.
     """
 
     core: ConfigurationCore
@@ -64,25 +64,25 @@
     _watch: "asyncio.Task[None] | None" = field(default=None, init=False)
     _advertised: dict[HostId, ConfigVersion] = field(factory=dict, init=False)
     _source: HostId | None = field(default=None, init=False)
-    """Where the document that is looked at came from; None for the service."""
+    """Source of the document that is being handled; None for the key-value service."""
 
     def __attrs_post_init__(self) -> None:
-        self._driver = CoreDriver(self.core, self._carry_out, Ticked)
+        self._driver = CoreDriver(self.core, self._execute, Ticked)
         self._repository = ConfigurationRepository(self.store)
 
     def async_start(self) -> None:
-        """Begin to follow the configuration."""
+        """Start following the configuration."""
         self._driver.async_handle(Ticked())
 
     def async_stop(self) -> None:
-        """Follow it no longer."""
+        """Stop following the configuration."""
         self._driver.async_stop()
         self._stop_watch()
 
-    def async_set_members(self) -> None:
-        """Take the processes that the directory knows now."""
+    def async_update_members(self) -> None:
+        """Update the peers and their versions from the directory."""
         others = self.directory.list_others()
-        near = self.directory.list_near(self.data_centre)
+        near = self.directory.list_in_data_centre(self.data_centre)
         changed = PeersChanged(
             peers=tuple(sorted(map(name_process, others))),
             near=tuple(sorted(map(name_process, near))),
@@ -97,7 +97,7 @@
     def async_read_document(
         self, request: pb.FetchConfigurationRequest
     ) -> pb.ConfigurationDocument:
-        """Return what a peer needs to come to this process's version."""
+        """Return the update from a peer's version to the version of this process."""
         known = ConfigVersion(request.known_version)
         return pb.ConfigurationDocument(
             version=self.follower.version, document=self.follower.make_update(known)
@@ -106,43 +106,43 @@
     def async_receive_document(
         self, document: pb.ConfigurationDocument
     ) -> pb.PushConfigurationReply:
-        """Take a version that a peer pushed."""
+        """Handle a version that a peer pushed."""
         if document.version > self.follower.version:
             self._accept(document, HostId(document.source))
         return pb.PushConfigurationReply(version=self.core.version)
 
     @singledispatchmethod
-    def _carry_out(self, action: ConfigurationAction) -> None:
+    def _execute(self, action: ConfigurationAction) -> None:
         raise TypeError(f"unknown action {action!r}")
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: ReadHead) -> None:
         self.tasks.async_start(self._async_read_head())
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: WatchHead) -> None:
         self._stop_watch()
         if action.enabled:
             self._watch = self.tasks.async_start(self._async_watch())
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: FetchFromService) -> None:
         self.tasks.async_start(self._async_fetch_from_service(action.version))
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: FetchFromPeer) -> None:
         self.tasks.async_start(self._async_fetch_from_peer(action.peer))
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: PushToPeer) -> None:
         self.tasks.async_start(self._async_push(action.peer))
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: ApplyConfiguration) -> None:
         self.on_applied(action.configuration)
-        self.log.note_applied(action.configuration.version, self._source)
+        self.log.log_applied(action.configuration.version, self._source)
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: WakeAt) -> None:
         self._driver.async_wake_at(action.time)
 
@@ -150,21 +150,21 @@
         try:
             head = await self._repository.async_read_head()
         except MangowayError as error:
-            self._fail(None, None, error)
+            self._handle_failure(None, None, error)
         else:
             self._driver.async_handle(HeadVersionReceived(version=head.version))
 
     async def _async_watch(self) -> None:
-        """Follow the head key; the core's slow reads cover a watch that stalls."""
+        """Watch the head key; the core's periodic reads cover a stalled watch."""
         while True:
             try:
                 async for stored in self.store.watch(HEAD_KEY):
-                    self._see_head(stored.value)
+                    self._handle_head(stored.value)
             except MangowayError as error:
-                self.log.note_failure(None, None, error)
-            await asyncio.sleep(WATCH_PAUSE_S)
+                self.log.log_failure(None, None, error)
+            await asyncio.sleep(WATCH_RESTART_DELAY_S)
 
-    def _see_head(self, value: bytes | None) -> None:
+    def _handle_head(self, value: bytes | None) -> None:
         if value is None:
             return
         head = decode_record(value, HeadRecord)
@@ -179,7 +179,7 @@
         try:
             configuration = await self.follower.async_fetch(self._repository, version)
         except MangowayError as error:
-            self._fail(None, version, error)
+            self._handle_failure(None, version, error)
         else:
             self._receive(configuration, None)
 
@@ -189,12 +189,12 @@
             client = self.clients.get(self._find_address(peer))
             document = await client.async_fetch_configuration(request)
         except MangowayError as error:
-            self._fail(peer, None, error)
+            self._handle_failure(peer, None, error)
             return
         if document.document:
             self._accept(document, peer)
         elif document.version and self.follower.version:
-            # It is not ahead: what is held here is as new.
+            # The peer's version isn't newer, so the loaded one is up to date with it.
             self._receive(self.follower.load(), peer)
         else:
             self._driver.async_handle(FetchFailed(source=peer))
@@ -212,9 +212,9 @@
             client = self.clients.get(self._find_address(peer))
             reply = await client.async_push_configuration(document)
         except MangowayError:
-            # The peer hears of the version by heartbeats and asks for it.
+            # The peer learns of the version from heartbeats and fetches it.
             return
-        self.log.note_pushed(peer, self.follower.version)
+        self.log.log_pushed(peer, self.follower.version)
         version = ConfigVersion(reply.version)
         self._driver.async_handle(PeerAdvertised(peer=peer, version=version))
 
@@ -223,7 +223,7 @@
             configuration = self.follower.accept_update(document.document)
         except MangowayError as error:
             version = ConfigVersion(document.version)
-            self._fail(source, version, error)
+            self._handle_failure(source, version, error)
             self._driver.async_handle(PeerAdvertised(peer=source, version=version))
         else:
             self._receive(configuration, source)
@@ -233,15 +233,15 @@
         received = DocumentReceived(configuration=configuration, source=source)
         self._driver.async_handle(received)
 
-    def _fail(
+    def _handle_failure(
         self, source: HostId | None, version: ConfigVersion | None, error: MangowayError
     ) -> None:
-        self.log.note_failure(source, version, error)
+        self.log.log_failure(source, version, error)
         self._driver.async_handle(FetchFailed(source=source))
 
     def _find_address(self, peer: HostId) -> str:
         member = self.directory.find(peer)
         if member is None:
-            detail = f"{peer} is not known any more"
+            detail = f"{peer} is no longer in the directory"
             raise MangowayError(ErrorCode.PEER_UNREACHABLE, detail)
         return member.peer_address
--- a/mangoway/peers/configuration_log.py
+++ b/mangoway/peers/configuration_log.py
@@ -1,4 +1,4 @@
-"""Logs and keeps what became of versions of the configuration."""
+"""Log and journal entries on configuration versions."""
 
 import time
 from typing import Final
@@ -15,7 +15,7 @@
 REASON_APPLIED: Final = "applied"
 REASON_REFUSED: Final = "refused"
 
-REFUSALS: Final = frozenset(
+DOCUMENT_ERRORS: Final = frozenset(
     {
         ErrorCode.CONFIG_MALFORMED,
         ErrorCode.CONFIG_UNKNOWN_KEY,
@@ -23,31 +23,31 @@
         ErrorCode.CONFIG_DOES_NOT_FIT,
     }
 )
-"""Failures of a document itself; any other is one of the way to it."""
+"""Errors in a document itself; all other errors are failures to fetch it."""
 
 
 @define(eq=False)
 class ConfigurationLog:
-    """Notes in the log and in the journal of one process."""
+    """Writes to the log and the journal of one process."""
 
     journal: Journal
     _ready: bool = field(default=False, init=False)
 
-    def note_applied(self, version: ConfigVersion, source: HostId | None) -> None:
-        """Note that a version came in force here; the source None is the service."""
+    def log_applied(self, version: ConfigVersion, source: HostId | None) -> None:
+        """Log that a version was applied; source None is the key-value service."""
         name = source or SOURCE_SERVICE
         log_event(log.ConfigurationApplied(config_version=version, source=name))
         if not self._ready:
             self._ready = True
             log_event(log.ProcessReady(config_version=version))
-        self._keep(REASON_APPLIED, version, f"source {name}")
+        self._add_to_journal(REASON_APPLIED, version, f"source {name}")
 
-    def note_failure(
+    def log_failure(
         self, source: HostId | None, version: ConfigVersion | None, error: MangowayError
     ) -> None:
-        """Note that a version, if it is known which, was not got or not taken."""
+        """Log that a version, None if unknown, could not be fetched or applied."""
         name = source or SOURCE_SERVICE
-        if version is None or error.code not in REFUSALS:
+        if version is None or error.code not in DOCUMENT_ERRORS:
             log_event(log.ConfigurationFetchFailed(source=name, error=str(error)))
             return
         log_event(
@@ -55,13 +55,13 @@
                 config_version=version, source=name, detail=str(error)
             )
         )
-        self._keep(REASON_REFUSED, version, f"source {name}: {error}")
+        self._add_to_journal(REASON_REFUSED, version, f"source {name}: {error}")
 
-    def note_pushed(self, peer: HostId, version: ConfigVersion) -> None:
-        """Note that a peer was sent the version in force."""
+    def log_pushed(self, peer: HostId, version: ConfigVersion) -> None:
+        """Log that the version in force was sent to a peer."""
         log_event(log.ConfigurationPushed(peer=peer, config_version=version))
 
-    def _keep(self, reason: str, version: ConfigVersion, detail: str) -> None:
+    def _add_to_journal(self, reason: str, version: ConfigVersion, detail: str) -> None:
         self.journal.add(
             JournalEntry(
                 at=time.time(),
--- a/mangoway/peers/const.py
+++ b/mangoway/peers/const.py
@@ -9,13 +9,13 @@
 """Longest time for the reply to a heartbeat."""
 
 CALL_TIMEOUT_S: Final = 3.0
-"""Longest time for any other call that is answered in one message."""
+"""Longest time for any other call with a single reply."""
 
 PING_PERIOD_S: Final = 1.0
-"""Longest time between two frames of a forwarded answer."""
+"""Longest time between two frames of a forwarded response."""
 
 SILENCE_S: Final = 3.0
-"""Time without a frame after which a forwarded request's connection is given up."""
+"""Time without a frame after which a forwarded request fails as silent."""
 
 IDLE_CLOSE_S: Final = 60.0
 """Time after which an unused connection is closed."""
@@ -27,49 +27,49 @@
 """Records of idempotency keys in one message."""
 
 HAND_OVER_CHUNK_BYTES: Final = 262_144
-"""Bytes of stored answers in one message."""
+"""Bytes of stored responses in one message."""
 
 HAND_OVER_LIMIT_BYTES: Final = 128 << 20
-"""Bytes of all hand-overs that a process receives at one time."""
+"""Bytes of all hand-overs that a process receives concurrently."""
 
 MAX_REPORTS_PER_HEARTBEAT: Final = 88
-"""Newest runner reports in one heartbeat; what is left out comes from others.
+"""Newest runner reports in one heartbeat; other peers send those that are left out.
 
-Two heartbeats a second of so many reports, some 12 bytes each, leave room for the
+Two heartbeats a second with this many reports of some 12 bytes leave room for the
 members' entries within 3 KB a second.
 """
 
 MAX_FIRST_REPORTS: Final = 2048
-"""Runner reports in the first heartbeat to a peer: all that are known."""
+"""Runner reports in the first heartbeat to a peer, which contains all known ones."""
 
-SAME_REPORT_S: Final = 0.05
-"""Reports of a runner that are closer in time than this count as the same one.
+DUPLICATE_REPORT_WINDOW_S: Final = 0.05
+"""Reports of a runner that are closer in time than this count as the same report.
 
-Relays age a report by its time on the way, so the same report reaches a process
-with slightly different times.
+Each relay adds latency to a report's age, so the same report arrives with slightly
+different times.
 """
 
 MAX_SESSIONS: Final = 4096
-"""Sender sessions whose slots a receiver remembers."""
+"""Sender sessions whose slots a receiver keeps."""
 
 MAX_SLOTS: Final = 16_384
-"""Slots of one session; a sender that needs more begins a new session."""
+"""Slots of one session; a sender that needs more starts a new session."""
 
 MAX_HOPS: Final = 2
-"""Gateways that a request may be forwarded to, one after the other."""
+"""Gateways that a request may be forwarded to in succession."""
 
 OWN_SLOT: Final = 0
 """Slot of the sender's own entry."""
 
 
-WATCH_PAUSE_S: Final = 1.0
-"""Pause before an ended watch of the head key is begun again."""
+WATCH_RESTART_DELAY_S: Final = 1.0
+"""Delay before an ended watch of the head key is restarted."""
 
 MAX_EXPLANATIONS: Final = 200
-"""Entries in one answer to an operator's question."""
+"""Entries in one reply to an operator's query."""
 
 CLOSE_IDLE_PERIOD_S: Final = 10.0
-"""Time between two looks for connections that are not used."""
+"""Time between two checks for unused connections."""
 
 SESSION_BITS: Final = 63
 """Bits of a heartbeat session number."""
--- a/mangoway/peers/demand.py
+++ b/mangoway/peers/demand.py
@@ -1,4 +1,4 @@
-"""Reports of demand from gateways to the controller that plans their cell."""
+"""Demand reports from gateways to the active controller of their cell."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -15,7 +15,7 @@
 from .directory import Directory
 
 if TYPE_CHECKING:
-    # A controller takes reports as well, and never decides about requests.
+    # A controller decodes reports as well, but doesn't need request dispatching.
     from ..policy.dispatch.events import ArtifactDemand
 
 
@@ -25,7 +25,7 @@
     period_s: float,
     demands: "Iterable[ArtifactDemand]",
 ) -> pb.DemandReport:
-    """Return the message of one period's demand."""
+    """Return one period's demand as a message."""
     report = pb.DemandReport(
         gateway=gateway, incarnation=incarnation, period_s=period_s
     )
@@ -39,10 +39,10 @@
 
 
 def decode_demand(report: pb.DemandReport) -> DemandReported:
-    """Return the demand of a message.
+    """Return the demand in a message.
 
     Raises:
-        MangowayError: PEER_FAILED if the message breaks the protocol.
+        MangowayError: PEER_FAILED if the message violates the protocol.
     """
     columns = zip(
         report.artifacts,
@@ -64,7 +64,7 @@
             for artifact, arrived, queued, tokens, refused in columns
         )
     except ValueError as error:
-        detail = f"malformed report of demand: {error}"
+        detail = f"malformed demand report: {error}"
         raise MangowayError(ErrorCode.PEER_FAILED, detail) from error
     return DemandReported(
         gateway=HostId(report.gateway),
@@ -78,7 +78,7 @@
 class DemandSender:
     """Sends this gateway's demand to the active controller.
 
-    The standby controllers get it only while none answers that it is active.
+    Standby controllers receive it only while no controller replies that it is active.
     """
 
     gateway: HostId
@@ -90,7 +90,7 @@
     async def async_report(
         self, period_s: float, demands: "tuple[ArtifactDemand, ...]"
     ) -> bool:
-        """Send one period's demand; False if no active controller took it."""
+        """Send one period's demand; return whether an active controller received it."""
         report = encode_demand(self.gateway, self.incarnation, period_s, demands)
         for controller in self._rank_controllers():
             if await self._async_send(controller, report):
--- a/mangoway/peers/directory.py
+++ b/mangoway/peers/directory.py
@@ -1,4 +1,4 @@
-"""Where the live processes are, by the names that the decision cores use."""
+"""Directory of the processes, by the names that the decision cores use."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 
 
 def name_process(member: Member) -> HostId:
-    """Return a name that tells apart a gateway and a controller of one host."""
+    """Return a name that differs between a gateway and a controller of one host."""
     if member.role is ProcessRole.GATEWAY:
         return member.host
     return HostId(f"{member.host}/{member.role.value}")
@@ -17,7 +17,7 @@
 
 @define(eq=False)
 class Directory:
-    """The processes that are not gone, this one included."""
+    """The processes that are not gone, including this one."""
 
     own: IncarnationId
     _members: dict[HostId, Member] = field(factory=dict, init=False)
@@ -38,11 +38,11 @@
         return self._incarnations.get(incarnation)
 
     def list_all(self) -> tuple[Member, ...]:
-        """Return all processes, in the order of their names."""
+        """Return all processes, ordered by name."""
         return tuple(member for _, member in sorted(self._members.items()))
 
     def list_others(self) -> tuple[Member, ...]:
-        """Return all processes but this one."""
+        """Return all processes except this one."""
         return tuple(
             member
             for member in self._members.values()
@@ -50,14 +50,14 @@
         )
 
     def list_live(self, role: ProcessRole) -> tuple[Member, ...]:
-        """Return the live processes of a role, this one included."""
+        """Return the live processes of a role, including this one."""
         return tuple(
             member
             for member in self._members.values()
             if member.role is role and member.state is MemberState.LIVE
         )
 
-    def list_near(self, data_centre: DataCentreId) -> tuple[Member, ...]:
+    def list_in_data_centre(self, data_centre: DataCentreId) -> tuple[Member, ...]:
         """Return the other processes of one data centre."""
         return tuple(
             member for member in self.list_others() if member.data_centre == data_centre
--- a/mangoway/peers/forward_codec.py
+++ b/mangoway/peers/forward_codec.py
@@ -1,4 +1,4 @@
-"""Forwarded requests and their answers to protocol messages and back."""
+"""Conversion of forwarded requests and responses to protocol messages and back."""
 
 from collections.abc import Iterable
 
@@ -14,16 +14,16 @@
     ForwardedRequest,
 )
 
-_VERDICTS = {
+_VERDICT_NUMBERS = {
     Verdict.MAY_HAVE_RUN: pb.VERDICT_MAY_HAVE_RUN,
     Verdict.NOT_RUN: pb.VERDICT_NOT_RUN,
     Verdict.RAN: pb.VERDICT_RAN,
 }
-_VERDICTS_BACK = {number: verdict for verdict, number in _VERDICTS.items()}
+_VERDICTS_BY_NUMBER = {number: verdict for verdict, number in _VERDICT_NUMBERS.items()}
 
 
 def encode_request(request: ForwardedRequest) -> pb.ForwardedRequest:
-    """Return the message of a forwarded request."""
+    """Return a forwarded request as a message."""
     return pb.ForwardedRequest(
         request_id=request.request_id,
         home=request.home or "",
@@ -37,7 +37,7 @@
 
 
 def decode_request(message: pb.ForwardedRequest) -> ForwardedRequest:
-    """Return the forwarded request of a message."""
+    """Return the forwarded request in a message."""
     return ForwardedRequest(
         request_id=RequestId(message.request_id),
         home=IncarnationId(message.home) if message.home else None,
@@ -51,7 +51,7 @@
 
 
 def encode_frame(frame: ForwardedFrame) -> pb.ForwardedFrame:
-    """Return the message of one part of an answer."""
+    """Return one part of a response as a message."""
     if isinstance(frame, ForwardedHead):
         head = pb.ForwardedHead(
             status=frame.status, headers=encode_headers(frame.headers)
@@ -63,7 +63,7 @@
 
 
 def decode_frame(message: pb.ForwardedFrame) -> ForwardedFrame | None:
-    """Return the part of an answer; None for a ping or the end."""
+    """Return the part of a response in a message; None for a ping or the end."""
     kind = message.WhichOneof("frame")
     if kind == "body":
         return message.body
@@ -76,17 +76,17 @@
 
 
 def encode_failure(failure: Failure) -> pb.ForwardedFailure:
-    """Return the message of a failure."""
+    """Return a failure as a message."""
     return pb.ForwardedFailure(
         code=failure.code.value,
-        verdict=_VERDICTS[failure.verdict],
+        verdict=_VERDICT_NUMBERS[failure.verdict],
         detail=failure.detail,
         retry_after=failure.retry_after,
     )
 
 
 def decode_failure(message: pb.ForwardedFailure) -> Failure:
-    """Return a failure; a code that is not known here counts as PEER_FAILED."""
+    """Return the failure in a message; an unknown code counts as PEER_FAILED."""
     return Failure(
         code=_find_code(message.code),
         verdict=decode_verdict(message.verdict),
@@ -97,21 +97,21 @@
 
 def encode_verdict(verdict: Verdict) -> pb.Verdict.ValueType:
     """Return the number of a verdict."""
-    return _VERDICTS[verdict]
+    return _VERDICT_NUMBERS[verdict]
 
 
 def decode_verdict(number: int) -> Verdict:
     """Return a verdict; an unknown number counts as MAY_HAVE_RUN."""
-    return _VERDICTS_BACK.get(pb.Verdict.ValueType(number), Verdict.MAY_HAVE_RUN)
+    return _VERDICTS_BY_NUMBER.get(pb.Verdict.ValueType(number), Verdict.MAY_HAVE_RUN)
 
 
 def encode_headers(headers: Iterable[ForwardedHeader]) -> list[pb.Header]:
-    """Return the messages of headers."""
+    """Return headers as messages."""
     return [pb.Header(name=header.name, value=header.value) for header in headers]
 
 
 def decode_headers(headers: Iterable[pb.Header]) -> tuple[ForwardedHeader, ...]:
-    """Return the headers of messages."""
+    """Return the headers in messages."""
     return tuple(ForwardedHeader(header.name, header.value) for header in headers)
 
 
--- a/mangoway/peers/forwarding.py
+++ b/mangoway/peers/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and idempotency keys that this gateway gives to others."""
+"""Requests and idempotency keys that this gateway sends to other gateways."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -23,11 +23,11 @@
     async def async_forward(
         self, address: str, request: ForwardedRequest
     ) -> AsyncGenerator[ForwardedFrame, None]:
-        """Yield the parts of a peer's answer until it is whole.
+        """Forward a request and yield the parts of the response until it is complete.
 
         Raises:
-            MangowayError: With the peer's own verdict if it answered a failure;
-                NOT_RUN if it was certainly not sent; else MAY_HAVE_RUN.
+            MangowayError: With the peer's verdict if it responded with a failure;
+                NOT_RUN if the request was certainly not sent; else MAY_HAVE_RUN.
         """
         if request.hops > MAX_HOPS:
             detail = f"forwarded {request.hops} times"
@@ -42,14 +42,14 @@
                     raise _make_error(frame)
                 if frame is not None:
                     yield frame
-        detail = f"the answer of {address} is not whole"
+        detail = f"the response of {address} is incomplete"
         raise MangowayError(ErrorCode.PEER_FAILED, detail, Verdict.MAY_HAVE_RUN)
 
     async def async_hand_over(self, address: str, keys: KeyHandOver, now: float) -> int:
-        """Give a successor all records and return how many it took.
+        """Send all records to a successor and return how many it accepted.
 
         Raises:
-            MangowayError: If it did not take them all, as far as is known.
+            MangowayError: If it is not certain that it accepted all of them.
         """
         client = self._clients.get(address)
         reply = await client.async_hand_over(make_chunks(keys, now))
--- a/mangoway/peers/hand_over.py
+++ b/mangoway/peers/hand_over.py
@@ -1,4 +1,4 @@
-"""The hand-over of idempotency keys as messages."""
+"""Messages for the hand-over of idempotency keys."""
 
 from collections.abc import Iterator
 from itertools import islice
@@ -21,7 +21,7 @@
 
 @frozen(kw_only=True)
 class StoredAnswer:
-    """An answer that is kept for resubmissions."""
+    """A response that is stored for resubmitted requests."""
 
     id: RequestId
     status: int
@@ -31,7 +31,7 @@
 
 @frozen(kw_only=True)
 class KeyHandOver:
-    """All records of one home; times are on the receiver's clock."""
+    """All records of one home; times are on the clock of the process holding them."""
 
     home: IncarnationId
     records: tuple[KeyRecord, ...]
@@ -39,22 +39,22 @@
 
 
 def make_chunks(keys: KeyHandOver, now: float) -> Iterator[pb.KeyChunk]:
-    """Yield the messages of a hand-over; only the last one is marked so."""
+    """Yield the messages of a hand-over; only the last one has `last` set."""
     records = iter(keys.records)
-    while group := tuple(islice(records, HAND_OVER_CHUNK_RECORDS)):
-        encoded = [_encode_record(record, now) for record in group]
+    while batch := tuple(islice(records, HAND_OVER_CHUNK_RECORDS)):
+        encoded = [_encode_record(record, now) for record in batch]
         yield pb.KeyChunk(home=keys.home, records=encoded)
-    for parts in _group_parts(keys.answers):
+    for parts in _batch_parts(keys.answers):
         yield pb.KeyChunk(home=keys.home, answers=parts)
     yield pb.KeyChunk(home=keys.home, last=True)
 
 
 @define(eq=False)
 class HandOverAssembler:
-    """Takes the messages of one hand-over, one at a time."""
+    """Assembles a hand-over from its messages."""
 
     _now: float
-    """Time of its beginning, on the clock of the records."""
+    """Start time of the hand-over, on the clock of the records."""
 
     _home: IncarnationId = field(default=IncarnationId(""), init=False)
     _records: list[KeyRecord] = field(factory=list, init=False)
@@ -62,20 +62,20 @@
     _bodies: dict[str, bytearray] = field(factory=dict, init=False)
 
     def add(self, chunk: pb.KeyChunk) -> None:
-        """Take the next message."""
+        """Add the next message."""
         self._home = IncarnationId(chunk.home)
         self._records += [_decode_record(each, self._now) for each in chunk.records]
         for part in chunk.answers:
             self._add_part(part)
 
     def finish(self) -> KeyHandOver:
-        """Return the hand-over of all messages.
+        """Return the assembled hand-over.
 
         Raises:
-            MangowayError: PEER_FAILED if a stored answer is not whole.
+            MangowayError: PEER_FAILED if a stored response is incomplete.
         """
         if self._bodies:
-            detail = f"{len(self._bodies)} stored answers are not whole"
+            detail = f"{len(self._bodies)} stored responses are incomplete"
             raise MangowayError(ErrorCode.PEER_FAILED, detail)
         return KeyHandOver(
             home=self._home,
@@ -91,19 +91,19 @@
             self._answers.append(_make_answer(part, bytes(body)))
 
 
-def _group_parts(answers: tuple[StoredAnswer, ...]) -> Iterator[list[pb.AnswerPart]]:
-    """Yield the parts of all answers, as many at a time as one message takes."""
-    group: list[pb.AnswerPart] = []
+def _batch_parts(answers: tuple[StoredAnswer, ...]) -> Iterator[list[pb.AnswerPart]]:
+    """Yield the parts of all responses in batches that fit one message."""
+    batch: list[pb.AnswerPart] = []
     size = 0
     for part in (part for answer in answers for part in _make_parts(answer)):
         full = size + len(part.body) > HAND_OVER_CHUNK_BYTES
-        if group and (full or len(group) >= HAND_OVER_CHUNK_RECORDS):
-            yield group
-            group, size = [], 0
-        group.append(part)
+        if batch and (full or len(batch) >= HAND_OVER_CHUNK_RECORDS):
+            yield batch
+            batch, size = [], 0
+        batch.append(part)
         size += len(part.body)
-    if group:
-        yield group
+    if batch:
+        yield batch
 
 
 def _make_parts(answer: StoredAnswer) -> Iterator[pb.AnswerPart]:
@@ -145,12 +145,12 @@
 
 
 def _decode_record(message: pb.KeyRecord, now: float) -> KeyRecord:
-    known = message.HasField("verdict")
+    has_verdict = message.HasField("verdict")
     return KeyRecord(
         key=IdempotencyKey(message.key),
         caller=CallerId(message.caller),
         fingerprint=message.fingerprint,
         expires_at=now + message.expires_in_s,
-        verdict=decode_verdict(message.verdict) if known else None,
+        verdict=decode_verdict(message.verdict) if has_verdict else None,
         answer_id=RequestId(message.answer_id) if message.answer_id else None,
     )
--- a/mangoway/peers/heartbeat.py
+++ b/mangoway/peers/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats of one process, with what each peer was sent and said."""
+"""Encoding and decoding of a process's heartbeats, with the state of each peer."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
@@ -10,11 +10,11 @@
 from ..models.member import Member
 from . import peers_pb2 as pb
 from .const import (
+    DUPLICATE_REPORT_WINDOW_S,
     MAX_FIRST_REPORTS,
     MAX_REPORTS_PER_HEARTBEAT,
     MAX_SESSIONS,
     OWN_SLOT,
-    SAME_REPORT_S,
 )
 from .member_codec import decode_members, encode_members
 from .messages import ReceivedHeartbeat
@@ -24,8 +24,8 @@
 
 
 @define(eq=False)
-class Wanted:
-    """Slots of a peer that it has to send again."""
+class UnknownSlots:
+    """Unknown slots of a peer, which it has to resend."""
 
     members: set[int] = field(factory=set)
     names: set[int] = field(factory=set)
@@ -46,10 +46,12 @@
     _table: SlotTable = field(init=False)
     _peers: OrderedDict[int, PeerView] = field(factory=OrderedDict, init=False)
     _senders: SenderViews = field(factory=SenderViews, init=False)
-    _wanted: dict[int, Wanted] = field(factory=dict, init=False)
-    _heard: dict[int, dict[UpstreamId, float]] = field(factory=dict, init=False)
-    """Reports in the last heartbeat by its session, so that the reply leaves out what
-    the peer has."""
+    _unknown_slots: dict[int, UnknownSlots] = field(factory=dict, init=False)
+    _sender_report_times: dict[int, dict[UpstreamId, float]] = field(
+        factory=dict, init=False
+    )
+    """Times of the reports in the last received heartbeat, by its session, so that the
+    reply leaves out reports that the peer has."""
 
     def __attrs_post_init__(self) -> None:
         self._begin_session()
@@ -57,7 +59,7 @@
     def encode(
         self, peer_session: int, members: Sequence[Member], now: float
     ) -> pb.Heartbeat:
-        """Return a heartbeat for a peer; session 0 stands for an unknown peer."""
+        """Return a heartbeat for a peer; session 0 is for an unknown peer."""
         try:
             return self._encode(peer_session, members, now)
         except SlotsExhausted:
@@ -65,10 +67,10 @@
             return self._encode(peer_session, members, now)
 
     def decode(self, heartbeat: pb.Heartbeat, now: float) -> ReceivedHeartbeat:
-        """Resolve a heartbeat; its reports go into the book.
+        """Decode a heartbeat and add its reports to the report tracker.
 
         Raises:
-            MangowayError: PEER_FAILED if the message breaks the protocol.
+            MangowayError: PEER_FAILED if the message violates the protocol.
         """
         try:
             return self._decode(heartbeat, now)
@@ -76,8 +78,8 @@
             detail = f"malformed heartbeat: {error!r}"
             raise MangowayError(ErrorCode.PEER_FAILED, detail) from error
 
-    def forget(self, peer_session: int) -> None:
-        """Send a peer everything anew, since a heartbeat to it was lost."""
+    def reset_peer(self, peer_session: int) -> None:
+        """Resend everything to a peer, since a heartbeat to it was lost."""
         self._peers.pop(peer_session, None)
 
     def _begin_session(self) -> None:
@@ -88,11 +90,11 @@
     def _encode(
         self, peer_session: int, members: Sequence[Member], now: float
     ) -> pb.Heartbeat:
-        view = self._use_view(peer_session)
+        view = self._get_or_create_view(peer_session)
         heartbeat = pb.Heartbeat(session=self._session, receiver_session=peer_session)
         encode_members(members, self._table, view, heartbeat)
         self._add_reports(view, heartbeat, now)
-        self._add_wanted(peer_session, heartbeat)
+        self._add_unknown_slots(peer_session, heartbeat)
         return heartbeat
 
     def _add_reports(self, view: PeerView, heartbeat: pb.Heartbeat, now: float) -> None:
@@ -102,23 +104,23 @@
         if not entries:
             return
         view.reports_up_to = entries[-1].update
-        heard = self._heard.pop(view.session, {})
+        report_times = self._sender_report_times.pop(view.session, {})
         others = [
             entry
             for entry in entries
-            if entry.source != view.session and not _has_heard(heard, entry)
+            if entry.source != view.session and not _has_report(report_times, entry)
         ]
         ReportEncoder(self._table, view, heartbeat, now).add(others)
 
-    def _add_wanted(self, peer_session: int, heartbeat: pb.Heartbeat) -> None:
-        wanted = self._wanted.pop(peer_session, None)
-        if wanted is None:
+    def _add_unknown_slots(self, peer_session: int, heartbeat: pb.Heartbeat) -> None:
+        unknown = self._unknown_slots.pop(peer_session, None)
+        if unknown is None:
             return
-        heartbeat.unknown_members.extend(sorted(wanted.members))
-        heartbeat.unknown_names.extend(sorted(wanted.names))
-        heartbeat.unknown_residencies.extend(sorted(wanted.residencies))
+        heartbeat.unknown_members.extend(sorted(unknown.members))
+        heartbeat.unknown_names.extend(sorted(unknown.names))
+        heartbeat.unknown_residencies.extend(sorted(unknown.residencies))
 
-    def _use_view(self, peer_session: int) -> PeerView:
+    def _get_or_create_view(self, peer_session: int) -> PeerView:
         view = self._peers.get(peer_session)
         if view is None:
             view = PeerView(peer_session)
@@ -130,17 +132,17 @@
 
     def _decode(self, heartbeat: pb.Heartbeat, now: float) -> ReceivedHeartbeat:
         session = heartbeat.session
-        self._send_again(heartbeat)
+        self._mark_for_resend(heartbeat)
         sender = self._senders.get(session)
-        wanted = Wanted()
-        members = decode_members(heartbeat, sender, wanted.members)
+        unknown = UnknownSlots()
+        members = decode_members(heartbeat, sender, unknown.members)
         decoder = ReportDecoder(sender, self.report_tracker, now)
         reports = decoder.decode(heartbeat)
-        wanted.names = decoder.unknown_names
-        wanted.residencies = decoder.unknown_residencies
-        if wanted.members or wanted.names or wanted.residencies:
-            self._wanted[session] = wanted
-        self._heard = {session: decoder.heard}
+        unknown.names = decoder.unknown_names
+        unknown.residencies = decoder.unknown_residencies
+        if unknown.members or unknown.names or unknown.residencies:
+            self._unknown_slots[session] = unknown
+        self._sender_report_times = {session: decoder.report_times}
         newer = tuple(
             report
             for report in reports
@@ -154,7 +156,7 @@
             reports=newer,
         )
 
-    def _send_again(self, heartbeat: pb.Heartbeat) -> None:
+    def _mark_for_resend(self, heartbeat: pb.Heartbeat) -> None:
         view = self._peers.get(heartbeat.session)
         if view is None or heartbeat.receiver_session != self._session:
             return
@@ -169,9 +171,9 @@
             view.reports_up_to = 0
 
 
-def _has_heard(heard: dict[UpstreamId, float], entry: ReportEntry) -> bool:
-    """Return whether a peer's report of a runner is as new as an entry."""
-    reported_at = heard.get(entry.report.upstream)
+def _has_report(report_times: dict[UpstreamId, float], entry: ReportEntry) -> bool:
+    """Return whether a peer's report of a runner is as new as the own entry."""
+    reported_at = report_times.get(entry.report.upstream)
     if reported_at is None:
         return False
-    return entry.report.reported_at <= reported_at + SAME_REPORT_S
+    return entry.report.reported_at <= reported_at + DUPLICATE_REPORT_WINDOW_S
--- a/mangoway/peers/link.py
+++ b/mangoway/peers/link.py
@@ -1,4 +1,4 @@
-"""One connection to a peer, replaced when it goes silent."""
+"""Connections to a peer that are replaced when they become silent."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,35 +13,35 @@
 
 @define(eq=False)
 class Link:
-    """A connection with its open calls.
+    """A connection with the number of its open calls.
 
-    A retired link takes no new calls and is closed when its last call ends, so
-    that a call which still makes progress is not cut off with a silent one.
+    A retired link accepts no new calls and is closed when its last call ends, so that
+    a call that still makes progress is not aborted because of a silent one.
     """
 
     channel: Channel
     stub: PeersStub
-    calls: int = 0
+    open_calls: int = 0
     retired: bool = False
-    heard_at: float = 0.0
-    used_at: float = 0.0
+    last_received_at: float = 0.0
+    last_used_at: float = 0.0
 
-    def note_heard(self) -> None:
-        """Note that the peer sent something."""
-        self.heard_at = asyncio.get_running_loop().time()
+    def record_received(self) -> None:
+        """Record that a message of the peer was received."""
+        self.last_received_at = asyncio.get_running_loop().time()
 
     def retire(self) -> None:
-        """Take no new calls; close as soon as none is open."""
+        """Accept no new calls, and close once none is open."""
         self.retired = True
         self._close_if_unused()
 
     def _close_if_unused(self) -> None:
-        if self.retired and self.calls == 0:
+        if self.retired and self.open_calls == 0:
             self.channel.close()
 
 
 @define(eq=False)
-class LinkHolder:
+class CurrentLink:
     """The current link to one address."""
 
     address: str
@@ -49,18 +49,18 @@
 
     @asynccontextmanager
     async def async_use(self) -> AsyncIterator[Link]:
-        """Use the current link for one call, opening a new one if need be."""
+        """Use the current link for one call; open a new one if necessary."""
         link = self._get()
-        link.calls += 1
-        link.used_at = asyncio.get_running_loop().time()
+        link.open_calls += 1
+        link.last_used_at = asyncio.get_running_loop().time()
         try:
             yield link
         finally:
-            link.calls -= 1
+            link.open_calls -= 1
             link._close_if_unused()
 
     def replace(self, link: Link) -> None:
-        """Let later calls open a new connection; this one went silent or broke."""
+        """Use a new connection for later calls, since this one is silent or broken."""
         link.retire()
         if self._link is link:
             self._link = None
@@ -71,9 +71,9 @@
             self.replace(self._link)
 
     def is_idle(self, since: float) -> bool:
-        """Tell whether no call is open and none was begun after `since`."""
+        """Return whether no call is open and none was started after `since`."""
         link = self._link
-        return link is None or (link.calls == 0 and link.used_at < since)
+        return link is None or (link.open_calls == 0 and link.last_used_at < since)
 
     def _get(self) -> Link:
         if self._link is None:
--- a/mangoway/peers/member_codec.py
+++ b/mangoway/peers/member_codec.py
@@ -1,4 +1,4 @@
-"""Entries of processes to heartbeat columns and back."""
+"""Conversion of member entries to heartbeat columns and back."""
 
 from collections.abc import Sequence
 
@@ -19,17 +19,17 @@
 
 _STATES = (MemberState.LIVE, MemberState.LEAVING, MemberState.GONE)
 _STATE_NUMBERS = {state: number for number, state in enumerate(_STATES)}
-_ROLES = {
+_ROLE_NUMBERS = {
     ProcessRole.GATEWAY: pb.ROLE_GATEWAY,
     ProcessRole.CONTROLLER: pb.ROLE_CONTROLLER,
 }
-_ROLES_BACK = {number: role for role, number in _ROLES.items()}
+_ROLES_BY_NUMBER = {number: role for role, number in _ROLE_NUMBERS.items()}
 
 
 def encode_members(
     members: Sequence[Member], table: SlotTable, view: PeerView, heartbeat: pb.Heartbeat
 ) -> None:
-    """Add entries to a heartbeat, with the identities that the peer lacks."""
+    """Add entries to a heartbeat, with the identities that the peer doesn't have."""
     columns = heartbeat.members
     newest = max((member.config_version for member in members), default=0)
     columns.newest_version = newest
@@ -47,7 +47,7 @@
 def decode_members(
     heartbeat: pb.Heartbeat, view: SenderView, unknown: set[int]
 ) -> tuple[Member, ...]:
-    """Return the entries whose slots are known; add the others to `unknown`."""
+    """Return the entries with known slots; add the other slots to `unknown`."""
     for identity in heartbeat.identities:
         view.members[identity.slot] = _decode_identity(identity)
     columns = heartbeat.members
@@ -64,8 +64,8 @@
 
 
 def encode_role(role: ProcessRole) -> pb.Role.ValueType:
-    """Return the number of a role."""
-    return _ROLES[role]
+    """Return the protocol number of a role."""
+    return _ROLE_NUMBERS[role]
 
 
 def _needs_identity(slot: int, member: Member, view: PeerView) -> bool:
@@ -78,7 +78,7 @@
     return pb.MemberIdentity(
         slot=slot,
         host=member.host,
-        role=_ROLES[member.role],
+        role=_ROLE_NUMBERS[member.role],
         incarnation=member.incarnation,
         started_at=member.started_at,
         data_centre=member.data_centre,
@@ -91,7 +91,7 @@
 def _decode_identity(identity: pb.MemberIdentity) -> Member:
     return Member(
         host=HostId(identity.host),
-        role=_ROLES_BACK[identity.role],
+        role=_ROLES_BY_NUMBER[identity.role],
         incarnation=IncarnationId(identity.incarnation),
         started_at=identity.started_at,
         data_centre=DataCentreId(identity.data_centre),
--- a/mangoway/peers/member_log.py
+++ b/mangoway/peers/member_log.py
@@ -1,4 +1,4 @@
-"""Logs which processes of the system come, leave and go."""
+"""Log of processes that join, leave and are gone."""
 
 from attrs import define, field
 
@@ -10,12 +10,12 @@
 
 @define(eq=False)
 class MemberLog:
-    """Compares the entries with those before."""
+    """Logs changes of the member entries."""
 
     _known: dict[IncarnationId, Member] = field(factory=dict, init=False)
 
-    def note(self, members: tuple[Member, ...]) -> None:
-        """Log what changed since the last call."""
+    def log_changes(self, members: tuple[Member, ...]) -> None:
+        """Log the changes since the last call."""
         previous = self._known
         self._known = {member.incarnation: member for member in members}
         for member in members:
--- a/mangoway/peers/membership.py
+++ b/mangoway/peers/membership.py
@@ -1,4 +1,4 @@
-"""The loop side of the membership core: heartbeats to and from peers."""
+"""Event loop adapter of the membership core: heartbeats to and from peers."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -39,7 +39,7 @@
 
 @define(eq=False)
 class PeerRecord:
-    """What is known of the process at one address."""
+    """State of the process at one address."""
 
     session: int = UNKNOWN_SESSION
     exchanging: bool = False
@@ -47,10 +47,10 @@
 
 @define(eq=False, kw_only=True)
 class MembershipDriver:
-    """Exchanges heartbeats as the core decides; one at a time with each peer.
+    """Exchanges heartbeats as the core decides, one at a time with each peer.
 
-    `own` is this process's entry as it starts. `on_members` is called with all
-    entries whenever the core says that they changed.
+    `own` is the initial entry of this process. `on_members` is called with all entries
+    whenever the core reports a change.
     """
 
     core: Core[MembershipEvent, MembershipAction]
@@ -65,68 +65,70 @@
     _hosts: dict[str, HostId] = field(factory=dict, init=False)
     """Hosts by peer address."""
 
-    _answer: tuple[Member, ...] = field(default=(), init=False)
+    _reply_members: tuple[Member, ...] = field(default=(), init=False)
     """Entries for the reply to the heartbeat that is being received."""
 
     def __attrs_post_init__(self) -> None:
-        self._driver = CoreDriver(self.core, self._carry_out, Ticked)
+        self._driver = CoreDriver(self.core, self._execute, Ticked)
 
     def async_start(self, seeds: Iterable[str]) -> None:
-        """Begin with the peer addresses that the settings name."""
+        """Start with the peer addresses in the settings."""
         self.async_update_hosts(ListedHost(peer_address=seed) for seed in seeds)
         self._driver.async_handle(Ticked())
 
     def async_stop(self) -> None:
-        """Send nothing further."""
+        """Stop sending heartbeats."""
         self._driver.async_stop()
 
     def async_update_hosts(self, hosts: Iterable[ListedHost]) -> None:
-        """Take the processes that the host list or the settings name."""
+        """Update the processes that the host list or the settings contain."""
         self._driver.async_handle(HostListUpdated(hosts=tuple(hosts)))
 
-    def async_set_self(self, config_version: ConfigVersion, ready: bool) -> None:
-        """Tell the peers which version is in force here, and whether it serves."""
+    def async_update_own_member(
+        self, config_version: ConfigVersion, ready: bool
+    ) -> None:
+        """Update the version in force and the readiness that peers receive."""
         changed = OwnMemberChanged(config_version=config_version, ready=ready)
         self._driver.async_handle(changed)
 
     def async_announce(self, successor: IncarnationId | None) -> None:
-        """Tell the peers that this process leaves, and who has its keys."""
+        """Announce that this process is leaving, with the successor for its keys."""
         self._driver.async_handle(LeaveRequested(successor=successor))
 
     def async_receive_heartbeat(self, heartbeat: pb.Heartbeat) -> pb.Heartbeat:
-        """Take a peer's heartbeat and return this process's own."""
+        """Handle a peer's heartbeat and return the reply."""
         received = self.codec.decode(heartbeat, _now())
-        self._answer = (self.own,)
-        self._feed(received, heartbeat, wants_reply=True)
-        return self.codec.encode(heartbeat.session, self._answer, _now())
+        self._reply_members = (self.own,)
+        self._handle_received(received, heartbeat, wants_reply=True)
+        return self.codec.encode(heartbeat.session, self._reply_members, _now())
 
     @singledispatchmethod
-    def _carry_out(self, action: MembershipAction) -> None:
+    def _execute(self, action: MembershipAction) -> None:
         raise TypeError(f"unknown action {action!r}")
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: SendHeartbeat) -> None:
-        self._note_own(action.members)
+        self._update_own(action.members)
         record = self._peers.setdefault(action.peer_address, PeerRecord())
         if record.exchanging:
-            # The core took these entries for sent.
-            self._note_lost(action.peer_address)
+            # The core counts these entries as sent.
+            self._handle_undelivered(action.peer_address)
             return
         record.exchanging = True
         self.tasks.async_start(self._async_exchange(record, action))
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: ReplyHeartbeat) -> None:
-        self._note_own(action.members)
-        self._answer = action.members
+        self._update_own(action.members)
+        self._reply_members = action.members
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: MembersChanged) -> None:
-        self._note_own(action.members)
-        self._note_addresses(action.members)
+        self._update_own(action.members)
+        self._update_addresses(action.members)
         self.on_members(action.members)
 
-    @_carry_out.register
+    @_execute.register
     def _(self, action: WakeAt) -> None:
         self._driver.async_wake_at(action.time)
 
@@ -137,45 +139,45 @@
             reply = await client.async_exchange(heartbeat)
             received = self.codec.decode(reply, _now())
         except MangowayError as error:
-            self._note_failure(record, action.peer_address, error)
+            self._handle_failure(record, action.peer_address, error)
             return
         finally:
             record.exchanging = False
         record.session = reply.session
-        self._feed(received, reply, wants_reply=False)
+        self._handle_received(received, reply, wants_reply=False)
 
-    def _feed(
+    def _handle_received(
         self, received: ReceivedHeartbeat, heartbeat: pb.Heartbeat, wants_reply: bool
     ) -> None:
         if received.sender is None or received.sender_address is None:
             return
         if heartbeat.unknown_members:
-            self._note_lost(received.sender_address)
+            self._handle_undelivered(received.sender_address)
         event = HeartbeatReceived(
             sender=received.sender, members=received.members, wants_reply=wants_reply
         )
         self._driver.async_handle(event)
 
-    def _note_failure(
+    def _handle_failure(
         self, record: PeerRecord, address: str, error: MangowayError
     ) -> None:
-        self.codec.forget(record.session)
+        self.codec.reset_peer(record.session)
         record.session = UNKNOWN_SESSION
         self.on_unreachable(address, error)
-        self._note_lost(address)
+        self._handle_undelivered(address)
 
-    def _note_lost(self, address: str) -> None:
-        """Let the core send again what a peer did not get."""
+    def _handle_undelivered(self, address: str) -> None:
+        """Report to the core that a peer did not receive a heartbeat."""
         host = self._hosts.get(address)
         if host is not None:
             self._driver.async_handle(SendFailed(peer=host))
 
-    def _note_own(self, members: tuple[Member, ...]) -> None:
+    def _update_own(self, members: tuple[Member, ...]) -> None:
         for member in members:
             if member.incarnation == self.own.incarnation:
                 self.own = member
 
-    def _note_addresses(self, members: tuple[Member, ...]) -> None:
+    def _update_addresses(self, members: tuple[Member, ...]) -> None:
         self._hosts = {member.peer_address: member.host for member in members}
         for address, record in tuple(self._peers.items()):
             if address not in self._hosts and not record.exchanging:
--- a/mangoway/peers/messages.py
+++ b/mangoway/peers/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between processes, as the rest of the system sees them."""
+"""Messages between processes, independent of their encoding."""
 
 from attrs import frozen
 
@@ -10,7 +10,7 @@
 
 @frozen
 class ForwardedHeader:
-    """One header of a forwarded request or answer."""
+    """One header of a forwarded request or response."""
 
     name: str
     value: str
@@ -18,13 +18,13 @@
 
 @frozen(kw_only=True)
 class ForwardedRequest:
-    """A caller's request on its way to another gateway."""
+    """A caller's request that is forwarded to another gateway."""
 
     request_id: RequestId
-    """Id at the gateway that forwards it."""
+    """Id at the forwarding gateway."""
 
     home: IncarnationId | None
-    """Incarnation that must answer; None if any gateway may."""
+    """Incarnation that must handle the request; None if any gateway may."""
 
     method: str
     path: str
@@ -33,15 +33,15 @@
     headers: tuple[ForwardedHeader, ...]
     body: bytes
     timeout_s: float
-    """Seconds that are left until the deadline; 0 if the request named none."""
+    """Seconds left until the deadline; 0 if the request has none."""
 
     hops: int = 0
-    """Gateways that forwarded it before."""
+    """Number of gateways that forwarded the request before."""
 
 
 @frozen(kw_only=True)
 class ForwardedHead:
-    """Status and headers of a forwarded answer; body parts follow."""
+    """Status and headers of a forwarded response; body parts follow."""
 
     status: int
     headers: tuple[ForwardedHeader, ...] = ()
@@ -49,18 +49,18 @@
 
 @frozen
 class ForwardedFailure:
-    """A failure that ends a forwarded answer."""
+    """A failure that ends a forwarded response."""
 
     failure: Failure
 
 
 ForwardedFrame = ForwardedHead | bytes | ForwardedFailure
-"""Part of a forwarded answer: the head, then body parts, or a failure."""
+"""Part of a forwarded response: the head, then body parts, or a failure."""
 
 
 @frozen(kw_only=True)
 class ReceivedHeartbeat:
-    """A heartbeat with its slots resolved."""
+    """A received heartbeat with its slots resolved."""
 
     sender: HostId | None
     """None if the sender's own entry could not be resolved."""
--- a/mangoway/peers/network.py
+++ b/mangoway/peers/network.py
@@ -1,4 +1,4 @@
-"""What every process does with its peers: heartbeats and the configuration."""
+"""Membership and configuration exchange of a process with its peers."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -31,7 +31,7 @@
 
 @define(eq=False, kw_only=True)
 class PeerNetwork:
-    """Keeps one process in touch with the others and at the newest configuration.
+    """Exchanges heartbeats with peers, and follows the newest configuration.
 
     `on_members` and `on_configuration` are called with each change, in order.
     """
@@ -61,7 +61,7 @@
             ),
             clients=self.clients,
             tasks=self.tasks,
-            on_members=self._take_members,
+            on_members=self._handle_members,
         )
         self.configuration = ConfigurationDriver(
             core=ConfigurationCore(name_process(self.own), self.rng),
@@ -76,39 +76,39 @@
         )
 
     def add_to(self, receivers: PeerReceivers) -> None:
-        """Answer heartbeats and calls about the configuration."""
+        """Register the receivers of heartbeats and configuration calls."""
         receivers.heartbeats = self.membership
         receivers.configuration = self.configuration
 
     def async_start(self, seeds: Iterable[str]) -> None:
-        """Begin with the peer addresses that the settings name."""
+        """Start with the peer addresses in the settings."""
         self.directory.set_members((self.own,))
         self.membership.async_start(seeds)
         self.configuration.async_start()
         self.tasks.async_start(self._async_close_idle())
 
     def async_stop(self) -> None:
-        """Exchange nothing further."""
+        """Stop all exchanges with peers."""
         self.membership.async_stop()
         self.configuration.async_stop()
 
     def async_update_hosts(self, hosts: Iterable[ListedHost]) -> None:
-        """Take the processes that the host list names."""
+        """Update the processes that the host list contains."""
         self.membership.async_update_hosts(hosts)
 
     def async_announce(self, successor: IncarnationId | None) -> None:
-        """Tell the peers that this process leaves, and who has its keys."""
+        """Announce that this process is leaving, with the successor for its keys."""
         self.membership.async_announce(successor)
 
-    def _take_members(self, members: tuple[Member, ...]) -> None:
-        self._log.note(members)
+    def _handle_members(self, members: tuple[Member, ...]) -> None:
+        self._log.log_changes(members)
         self.directory.set_members(members)
-        self.configuration.async_set_members()
+        self.configuration.async_update_members()
         self.on_members(members)
 
     def _apply(self, configuration: Configuration) -> None:
         self.on_configuration(configuration)
-        self.membership.async_set_self(configuration.version, ready=True)
+        self.membership.async_update_own_member(configuration.version, ready=True)
 
     async def _async_close_idle(self) -> None:
         loop = asyncio.get_running_loop()
@@ -118,5 +118,5 @@
 
 
 def make_session() -> int:
-    """Return a session number that no process ever had, and not 0."""
+    """Return a random session number, unique with near certainty and not 0."""
     return SystemRandom().getrandbits(SESSION_BITS) or 1
--- a/mangoway/peers/report_codec.py
+++ b/mangoway/peers/report_codec.py
@@ -1,4 +1,4 @@
-"""Reports of runners to heartbeat columns and back."""
+"""Conversion of runner reports to heartbeat columns and back."""
 
 from collections.abc import Iterable
 
@@ -13,16 +13,16 @@
 
 AGE_UNITS_PER_S = 100
 
-_STATES = {
+_STATE_NUMBERS = {
     Residency.LOADING: pb.RESIDENT_STATE_LOADING,
     Residency.READY: pb.RESIDENT_STATE_READY,
     Residency.UNLOADING: pb.RESIDENT_STATE_UNLOADING,
 }
-_STATES_BACK = {number: state for state, number in _STATES.items()}
+_STATES_BY_NUMBER = {number: state for state, number in _STATE_NUMBERS.items()}
 
 
 class ReportEncoder:
-    """Adds reports to one heartbeat, with the texts that the peer lacks."""
+    """Adds reports to one heartbeat, with the texts that the peer doesn't have."""
 
     def __init__(
         self, table: SlotTable, view: PeerView, heartbeat: pb.Heartbeat, now: float
@@ -33,7 +33,7 @@
         self._now = now
 
     def add(self, entries: Iterable[ReportEntry]) -> None:
-        """Add entries of the report book."""
+        """Add entries of the report tracker."""
         for entry in entries:
             self._add_load(entry)
             self._add_residency(entry)
@@ -64,7 +64,7 @@
         for resident in report.residents:
             residency.artifacts.append(self._find_slot(str(resident.artifact)))
             residency.memory_mb.append(resident.memory_mb)
-            residency.states.append(_STATES[resident.state])
+            residency.states.append(_STATE_NUMBERS[resident.state])
 
     def _find_slot(self, text: str) -> int:
         slot = self._table.find_name(text)
@@ -75,10 +75,10 @@
 
 
 class ReportDecoder:
-    """Reads the reports of one heartbeat.
+    """Decodes the reports of one heartbeat.
 
-    `unknown_names` and `unknown_residencies` collect the slots that the sender
-    has to send again; the reports that need them are left out.
+    `unknown_names` and `unknown_residencies` collect the slots that the sender has to
+    resend; reports that need them are left out.
     """
 
     def __init__(
@@ -89,12 +89,12 @@
         self._now = now
         self.unknown_names: set[int] = set()
         self.unknown_residencies: set[int] = set()
-        self.heard: dict[UpstreamId, float] = {}
+        self.report_times: dict[UpstreamId, float] = {}
         """Time of the sender's report of each runner in the heartbeat."""
 
     def decode(self, heartbeat: pb.Heartbeat) -> list[EngineReport]:
-        """Return the reports that are news."""
-        self._learn_names(heartbeat.names)
+        """Return the reports that are newer than the tracked ones."""
+        self._store_names(heartbeat.names)
         residencies = {row.runner: row for row in heartbeat.residencies}
         loads = heartbeat.loads
         columns = zip(
@@ -109,7 +109,7 @@
         reports: list[EngineReport] = []
         for runner, age, running, waiting, used_mb, digest in columns:
             reported_at = self._now - age / AGE_UNITS_PER_S
-            if not self._note_heard(runner, reported_at):
+            if not self._record_report_time(runner, reported_at):
                 continue
             base = self._find_base(runner, digest, residencies.get(runner))
             if base is None:
@@ -125,21 +125,21 @@
             reports.append(report)
         return reports
 
-    def _note_heard(self, runner: int, reported_at: float) -> bool:
-        """Note what the sender has; return whether it may be news.
+    def _record_report_time(self, runner: int, reported_at: float) -> bool:
+        """Record the time of the sender's report; return whether it may be newer.
 
-        Most reports come from several peers; building each would cost most of the
-        processor time of a heartbeat.
+        Most reports are received from several peers, and decoding each of them would
+        take most of the processor time of a heartbeat.
         """
         upstream = self._view.names.get(runner)
         if upstream is None:
             return True
-        self.heard[UpstreamId(upstream)] = reported_at
-        return self._report_tracker.is_news(UpstreamId(upstream), reported_at)
+        self.report_times[UpstreamId(upstream)] = reported_at
+        return self._report_tracker.is_newer(UpstreamId(upstream), reported_at)
 
-    def _learn_names(self, names: Iterable[pb.Name]) -> None:
+    def _store_names(self, names: Iterable[pb.Name]) -> None:
         for name in names:
-            self._view.names.learn(name.slot, name.text)
+            self._view.names.store(name.slot, name.text)
 
     def _find_base(
         self, runner: int, digest: int, residency: pb.Residency | None
@@ -167,7 +167,7 @@
             ResidentArtifact(
                 artifact=Artifact.parse(text or ""),
                 memory_mb=memory_mb,
-                state=_STATES_BACK[state],
+                state=_STATES_BY_NUMBER[state],
             )
             for text, memory_mb, state in zip(
                 texts, row.memory_mb, row.states, strict=True
--- a/mangoway/peers/reports.py
+++ b/mangoway/peers/reports.py
@@ -1,4 +1,4 @@
-"""Newest report of each runner, shared between processes."""
+"""Newest report of each runner, exchanged between processes."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
@@ -9,27 +9,27 @@
 
 from ..models.identifiers import UpstreamId
 from ..models.upstream import EngineReport
-from .const import SAME_REPORT_S
+from .const import DUPLICATE_REPORT_WINDOW_S
 
 
 @frozen(kw_only=True)
 class ReportEntry:
-    """A report with what is needed to pass it on."""
+    """A report with the data needed to relay it."""
 
     report: EngineReport
     digest: int
-    """Digest of the residency, so that a receiver sees whether it has it."""
+    """Digest of the residency, by which a receiver detects whether it has it."""
 
     update: int
-    """Number of the update that brought it."""
+    """Number of the update that added the report."""
 
     source: int
-    """Session that it came from; 0 if this process asked the engine itself."""
+    """Session of the sender; 0 if this process polled the engine itself."""
 
 
 @define(eq=False)
 class ReportTracker:
-    """Newest report of each runner, in the order in which they came."""
+    """Newest report of each runner, in the order of arrival."""
 
     _entries: OrderedDict[UpstreamId, ReportEntry] = field(
         factory=OrderedDict, init=False
@@ -43,18 +43,18 @@
         return self._updates
 
     def add_listener(self, listener: Callable[[EngineReport], None]) -> None:
-        """Call `listener` with each newer report that a peer passes on."""
+        """Call `listener` with each newer report that a peer relays."""
         self._listeners.append(listener)
 
     def add_if_newer(self, report: EngineReport, source: int = 0) -> bool:
-        """Keep a report unless a newer one, or the same one, is here."""
+        """Add a report if it is newer than the tracked one; return whether it is."""
         known = self._entries.get(report.upstream)
-        if not self.is_news(report.upstream, report.reported_at):
+        if not self.is_newer(report.upstream, report.reported_at):
             return False
         self._updates += 1
         self._entries[report.upstream] = ReportEntry(
             report=report,
-            digest=_find_digest(report, known),
+            digest=_get_digest(report, known),
             update=self._updates,
             source=source,
         )
@@ -64,28 +64,27 @@
                 listener(report)
         return True
 
-    def is_news(self, upstream: UpstreamId, reported_at: float) -> bool:
-        """Tell whether a report of a runner at a time is newer than the one here."""
+    def is_newer(self, upstream: UpstreamId, reported_at: float) -> bool:
+        """Return whether a report of this time is newer than the tracked one."""
         known = self._entries.get(upstream)
         if known is None:
             return True
-        return reported_at > known.report.reported_at + SAME_REPORT_S
+        return reported_at > known.report.reported_at + DUPLICATE_REPORT_WINDOW_S
 
     def get(self, upstream: UpstreamId) -> ReportEntry | None:
         """Return the newest entry of a runner."""
         return self._entries.get(upstream)
 
     def retain(self, keep: frozenset[UpstreamId]) -> None:
-        """Drop every runner that is not in `keep`."""
+        """Remove every runner that is not in `keep`."""
         for upstream in tuple(self._entries):
             if upstream not in keep:
                 del self._entries[upstream]
 
     def list_since(self, update: int, limit: int) -> list[ReportEntry]:
-        """Return the newest entries after an update, in the order they came.
+        """Return the newest entries after an update, in the order of arrival.
 
-        Where there are more than the limit, the older ones are left out: they are
-        the next to be replaced.
+        Above the limit, the older ones are left out, since they will be replaced next.
         """
         newest = list(islice(self._iterate_back_to(update), limit))
         newest.reverse()
@@ -99,7 +98,7 @@
 
 
 def digest_residency(report: EngineReport) -> int:
-    """Return a short digest of what does not change with the load."""
+    """Return a short digest of the data that doesn't change with the load."""
     texts = [report.incarnation, str(report.fence), str(report.leaving)]
     texts.extend(
         f"{resident.artifact}={resident.memory_mb}:{resident.state.value}"
@@ -108,7 +107,7 @@
     return xxhash.xxh32_intdigest("\n".join(texts).encode())
 
 
-def _find_digest(report: EngineReport, known: ReportEntry | None) -> int:
+def _get_digest(report: EngineReport, known: ReportEntry | None) -> int:
     if known is None or not _has_same_residency(report, known.report):
         return digest_residency(report)
     return known.digest
--- a/mangoway/peers/server.py
+++ b/mangoway/peers/server.py
@@ -1,4 +1,4 @@
-"""The listener for other processes."""
+"""The gRPC server for other processes."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterable, Callable
@@ -23,76 +23,76 @@
 
 
 class ForwardReceiver(Protocol):
-    """Answers requests that other gateways forward."""
+    """Handles requests that other gateways forward."""
 
     def async_receive(
         self, request: ForwardedRequest
     ) -> AsyncGenerator[ForwardedFrame, None]:
-        """Yield the parts of the answer; it is closed if the forwarder hangs up.
+        """Yield the parts of the response; closed if the forwarder disconnects.
 
         Raises:
-            MangowayError: If the request fails; it is passed on as it is.
+            MangowayError: If the request fails; it is forwarded unchanged.
         """
         ...
 
 
 class HeartbeatReceiver(Protocol):
-    """Answers heartbeats."""
+    """Handles heartbeats."""
 
     def async_receive_heartbeat(self, heartbeat: pb.Heartbeat) -> pb.Heartbeat:
-        """Take a heartbeat and return this process's own."""
+        """Handle a heartbeat and return the reply."""
         ...
 
 
 class ConfigurationReceiver(Protocol):
-    """Answers calls about the configuration."""
+    """Handles configuration calls."""
 
     def async_read_document(
         self, request: pb.FetchConfigurationRequest
     ) -> pb.ConfigurationDocument:
-        """Return the configuration in force if it is newer than the asker's."""
+        """Return the configuration in force if it is newer than the requester's."""
         ...
 
     def async_receive_document(
         self, document: pb.ConfigurationDocument
     ) -> pb.PushConfigurationReply:
-        """Take a configuration and return the version in force."""
+        """Handle a pushed configuration and return the version in force."""
         ...
 
 
 class DemandReceiver(Protocol):
-    """Takes reports of demand."""
+    """Handles demand reports."""
 
     def async_receive_demand(self, report: pb.DemandReport) -> pb.DemandReply:
-        """Take a gateway's report."""
+        """Handle a gateway's report."""
         ...
 
 
 class KeyReceiver(Protocol):
-    """Takes over idempotency keys of a home that leaves."""
+    """Receives the idempotency keys of a home that is leaving."""
 
     async def async_receive_keys(
         self, chunks: AsyncIterable[pb.KeyChunk]
     ) -> pb.HandOverReply:
-        """Take a whole hand-over; nothing is taken if `chunks` raises."""
+        """Receive a complete hand-over; nothing is stored if `chunks` raises."""
         ...
 
 
 class StatusReader(Protocol):
-    """Answers operators."""
+    """Handles operators' queries."""
 
     def async_read_status(self) -> pb.StatusReply:
-        """Return what this process knows."""
+        """Return the status of this process."""
         ...
 
     def async_explain(self, request: pb.ExplainRequest) -> pb.ExplainReply:
-        """Return why this process did something."""
+        """Return the explanation of this process's decisions."""
         ...
 
 
 @define(kw_only=True)
 class PeerReceivers:
-    """Who answers which calls; None: not served by this process."""
+    """Receivers of each kind of call; None if this process doesn't serve it."""
 
     heartbeats: HeartbeatReceiver | None = None
     configuration: ConfigurationReceiver | None = None
@@ -108,7 +108,7 @@
 
     receivers: PeerReceivers
     port: int = field(default=0, init=False)
-    """Port it listens on; 0 before the start."""
+    """Listening port; 0 before the start."""
 
     _server: Server | None = field(default=None, init=False)
 
@@ -124,7 +124,7 @@
         await self._server.start(sock=listener)
 
     async def async_stop(self) -> None:
-        """Stop listening and cancel what still runs."""
+        """Stop listening and cancel open calls."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
@@ -132,21 +132,21 @@
 
 
 class PeerService(PeersBase):
-    """Hands each call to its receiver; a missing one answers UNIMPLEMENTED."""
+    """Passes each call to its receiver; UNIMPLEMENTED if there is none."""
 
     def __init__(self, receivers: PeerReceivers) -> None:
         self._receivers = receivers
         self._handed_over_bytes = 0
 
     async def Exchange(self, stream: Stream[pb.Heartbeat, pb.Heartbeat]) -> None:
-        """Answer a heartbeat."""
+        """Handle a heartbeat."""
         receiver = _require(self._receivers.heartbeats)
-        await _async_answer(stream, receiver.async_receive_heartbeat)
+        await _async_handle(stream, receiver.async_receive_heartbeat)
 
     async def Forward(
         self, stream: Stream[pb.ForwardedRequest, pb.ForwardedFrame]
     ) -> None:
-        """Stream the answer to a forwarded request, with pings while it waits."""
+        """Stream the response to a forwarded request, with pings while it waits."""
         receiver = _require(self._receivers.forwards)
         message = await _async_read(stream)
         sender = _FrameSender(stream)
@@ -159,19 +159,19 @@
     async def FetchConfiguration(
         self, stream: Stream[pb.FetchConfigurationRequest, pb.ConfigurationDocument]
     ) -> None:
-        """Answer with the configuration in force."""
+        """Reply with the configuration in force."""
         receiver = _require(self._receivers.configuration)
-        await _async_answer(stream, receiver.async_read_document)
+        await _async_handle(stream, receiver.async_read_document)
 
     async def PushConfiguration(
         self, stream: Stream[pb.ConfigurationDocument, pb.PushConfigurationReply]
     ) -> None:
-        """Take a configuration."""
+        """Handle a pushed configuration."""
         receiver = _require(self._receivers.configuration)
-        await _async_answer(stream, receiver.async_receive_document)
+        await _async_handle(stream, receiver.async_receive_document)
 
     async def HandOverKeys(self, stream: Stream[pb.KeyChunk, pb.HandOverReply]) -> None:
-        """Take over a home's idempotency keys, all or none."""
+        """Receive a home's idempotency keys, all or none."""
         receiver = _require(self._receivers.keys)
         try:
             reply = await receiver.async_receive_keys(self._async_read(stream))
@@ -182,7 +182,7 @@
     async def _async_read(
         self, stream: Stream[pb.KeyChunk, pb.HandOverReply]
     ) -> AsyncGenerator[pb.KeyChunk, None]:
-        """Yield the messages of a hand-over that is whole and not too large."""
+        """Yield the messages of a hand-over; raise if it is incomplete or too large."""
         size = 0
         last = False
         try:
@@ -194,39 +194,39 @@
         finally:
             self._handed_over_bytes -= size
         if not last:
-            raise GRPCError(Status.DATA_LOSS, "the hand-over is not whole")
+            raise GRPCError(Status.DATA_LOSS, "the hand-over is incomplete")
 
     def _count_handed_over(self, size: int) -> None:
         self._handed_over_bytes += size
         if self._handed_over_bytes > HAND_OVER_LIMIT_BYTES:
             raise GRPCError(
                 Status.RESOURCE_EXHAUSTED,
-                f"hand-overs of more than {HAND_OVER_LIMIT_BYTES} bytes at once",
+                f"concurrent hand-overs of more than {HAND_OVER_LIMIT_BYTES} bytes",
             )
 
     async def ReportDemand(
         self, stream: Stream[pb.DemandReport, pb.DemandReply]
     ) -> None:
-        """Take a report of demand."""
+        """Handle a demand report."""
         receiver = _require(self._receivers.demand)
-        await _async_answer(stream, receiver.async_receive_demand)
+        await _async_handle(stream, receiver.async_receive_demand)
 
     async def ReadStatus(
         self, stream: Stream[pb.StatusRequest, pb.StatusReply]
     ) -> None:
-        """Answer with what this process knows."""
+        """Reply with the status of this process."""
         receiver = _require(self._receivers.status)
-        await _async_answer(stream, lambda _: receiver.async_read_status())
+        await _async_handle(stream, lambda _: receiver.async_read_status())
 
     async def Explain(self, stream: Stream[pb.ExplainRequest, pb.ExplainReply]) -> None:
-        """Answer why this process did something."""
+        """Reply with the explanation of this process's decisions."""
         receiver = _require(self._receivers.status)
-        await _async_answer(stream, receiver.async_explain)
+        await _async_handle(stream, receiver.async_explain)
 
 
 @define(eq=False)
 class _FrameSender:
-    """Sends frames one at a time, and pings where nothing was sent for long."""
+    """Sends frames one at a time, and pings while there are none to send."""
 
     _stream: Stream[pb.ForwardedRequest, pb.ForwardedFrame]
     _lock: asyncio.Lock = field(factory=asyncio.Lock, init=False)
@@ -261,23 +261,23 @@
         await sender.async_send(pb.ForwardedFrame(end=pb.ForwardedEnd()))
 
 
-async def _async_answer(
-    stream: Stream[RequestT, ReplyT], answer: Callable[[RequestT], ReplyT]
+async def _async_handle(
+    stream: Stream[RequestT, ReplyT], handler: Callable[[RequestT], ReplyT]
 ) -> None:
     request = await _async_read(stream)
-    await stream.send_message(_guard(answer, request))
+    await stream.send_message(_call_handler(handler, request))
 
 
 async def _async_read(stream: Stream[RequestT, ReplyT]) -> RequestT:
     request = await stream.recv_message()
     if request is None:
-        raise GRPCError(Status.INVALID_ARGUMENT, "the message is missing")
+        raise GRPCError(Status.INVALID_ARGUMENT, "the request message is missing")
     return request
 
 
-def _guard(answer: Callable[[RequestT], ReplyT], request: RequestT) -> ReplyT:
+def _call_handler(handler: Callable[[RequestT], ReplyT], request: RequestT) -> ReplyT:
     try:
-        return answer(request)
+        return handler(request)
     except MangowayError as error:
         raise GRPCError(Status.FAILED_PRECONDITION, str(error)) from error
 
--- a/mangoway/peers/slots.py
+++ b/mangoway/peers/slots.py
@@ -1,4 +1,4 @@
-"""Short slot numbers for texts that heartbeats would repeat."""
+"""Short slot numbers for texts that are repeated in heartbeats."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -12,12 +12,12 @@
 
 
 class SlotsExhausted(Exception):
-    """A session has no slot left; the sender begins a new one."""
+    """A session has no slot left; the sender starts a new session."""
 
 
 @define(eq=False)
 class SlotTable:
-    """Slots that this process gave out in its current session."""
+    """Slots that this process assigned in its current session."""
 
     own: IncarnationId
     _members: dict[IncarnationId, int] = field(factory=dict, init=False)
@@ -25,7 +25,7 @@
     _texts: list[str] = field(factory=list, init=False)
 
     def find_member(self, incarnation: IncarnationId) -> int:
-        """Return the slot of an incarnation, a new one if it has none.
+        """Return the slot of an incarnation; assign one if it has none.
 
         Raises:
             SlotsExhausted: If no slot is left.
@@ -40,7 +40,7 @@
         return slot
 
     def find_name(self, text: str) -> int:
-        """Return the slot of a text, a new one if it has none.
+        """Return the slot of a text; assign one if it has none.
 
         Raises:
             SlotsExhausted: If no slot is left.
@@ -54,13 +54,13 @@
         return slot
 
     def get_text(self, slot: int) -> str:
-        """Return the text of a slot that this table gave out."""
+        """Return the text of an assigned slot."""
         return self._texts[slot]
 
 
 @define(eq=False)
 class SlotSet:
-    """Slots as marks in bytes; a process keeps one for each peer."""
+    """A set of slots as one byte each; compact, since there is a set for each peer."""
 
     _marks: bytearray = field(factory=bytearray, init=False)
 
@@ -68,23 +68,23 @@
         return slot < len(self._marks) and bool(self._marks[slot])
 
     def add(self, slot: int) -> None:
-        """Mark a slot."""
+        """Add a slot."""
         missing = slot + 1 - len(self._marks)
         if missing > 0:
             self._marks.extend(bytes(missing))
         self._marks[slot] = 1
 
     def clear(self) -> None:
-        """Unmark all slots."""
+        """Remove all slots."""
         self._marks.clear()
 
 
 @define(eq=False)
 class SlotTexts:
-    """Texts by slot, in a list, since slots are dense; equal texts are kept once.
+    """Texts by slot, in a list, since slots are dense; equal texts are stored once.
 
     Each peer sends the same names of runners and artifacts, so copies of them would
-    be most of what a process in a large cell holds.
+    take most of the memory of a process in a large cell.
     """
 
     _texts: list[str | None] = field(factory=list, init=False)
@@ -93,11 +93,11 @@
         """Return the text of a slot; None if it is unknown."""
         return self._texts[slot] if slot < len(self._texts) else None
 
-    def learn(self, slot: int, text: str) -> None:
-        """Take what a slot means.
+    def store(self, slot: int, text: str) -> None:
+        """Store the text of a slot.
 
         Raises:
-            ValueError: If no session has such a slot.
+            ValueError: If the slot exceeds the limit of a session.
         """
         if slot >= MAX_SLOTS:
             raise ValueError(f"slot {slot}")
@@ -109,25 +109,25 @@
 
 @define(eq=False)
 class PeerView:
-    """What a peer was sent in this process's current session."""
+    """Data that a peer was sent in this process's current session."""
 
     session: int
     """Session of the peer."""
 
     successors: dict[int, IncarnationId | None] = field(factory=dict)
-    """Slots of members whose identity was sent, with the successor it named."""
+    """Slots of members whose identity was sent, with the sent successor."""
 
     names: SlotSet = field(factory=SlotSet)
     reports_up_to: int = 0
-    """Reports up to this update of the report book were sent."""
+    """Reports up to this update of the report tracker were sent."""
 
     residencies: dict[int, int] = field(factory=dict)
-    """Digest of the residency that was sent last, by slot of the runner."""
+    """Digest of the last sent residency, by slot of the runner."""
 
 
 @define(eq=False)
 class SenderView:
-    """What a peer's slots mean, in one session of it."""
+    """Meanings of a peer's slots in one of its sessions."""
 
     members: dict[int, Member] = field(factory=dict)
     names: SlotTexts = field(factory=SlotTexts)
@@ -135,7 +135,7 @@
 
 @define(eq=False)
 class SenderViews:
-    """Views of the senders that were heard last, by session."""
+    """Views of the most recent senders, by session."""
 
     _views: OrderedDict[int, SenderView] = field(factory=OrderedDict, init=False)
 
@@ -143,7 +143,7 @@
         return iter(self._views)
 
     def get(self, session: int) -> SenderView:
-        """Return the view of a session; the one heard longest ago may be dropped."""
+        """Return the view of a session; the least recent one may be removed."""
         view = self._views.get(session)
         if view is None:
             view = SenderView()
--- a/mangoway/peers/status.py
+++ b/mangoway/peers/status.py
@@ -1,4 +1,4 @@
-"""Answers to operators that gateways and controllers share."""
+"""Replies to operators' queries, shared by gateways and controllers."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Final
@@ -12,14 +12,14 @@
 from .member_codec import encode_role
 
 if TYPE_CHECKING:
-    # A controller keeps no spans, and the library of traces costs it memory.
+    # A controller stores no spans, and the tracing library would cost memory.
     from ..observability.tracing import SpanRecord, Tracing
 
 KIND_TRACE: Final = "trace"
 
 
 def encode_host(member: Member) -> pb.HostStatus:
-    """Return the message of one process."""
+    """Return the status message of one process."""
     return pb.HostStatus(
         host=member.host,
         role=encode_role(member.role),
@@ -34,7 +34,7 @@
 
 
 def name_role(number: int) -> str:
-    """Return the name of a role's number."""
+    """Return the name of a role by its protocol number."""
     is_gateway = number == pb.ROLE_GATEWAY
     role = ProcessRole.GATEWAY if is_gateway else ProcessRole.CONTROLLER
     return role.value
@@ -46,10 +46,10 @@
     host: HostId,
     tracing: "Tracing | None" = None,
 ) -> pb.ExplainReply:
-    """Return the entries of a journal, or the spans, that answer a question.
+    """Return the journal entries, or the spans, that match an operator's query.
 
     Raises:
-        MangowayError: MALFORMED_REQUEST if the kind of question is not known.
+        MangowayError: MALFORMED_REQUEST if the kind of query is unknown.
     """
     if request.kind == KIND_TRACE:
         spans = tracing.list_spans(request.id) if tracing else ()
@@ -59,10 +59,10 @@
 
 
 def make_query(kind: str, identifier: str) -> JournalQuery:
-    """Return the query of a question to a journal.
+    """Return the journal query for an operator's query.
 
     Raises:
-        MangowayError: MALFORMED_REQUEST if the kind is not known.
+        MangowayError: MALFORMED_REQUEST if the kind is unknown.
     """
     match kind:
         case "request":
--- a/mangoway/services/client.py
+++ b/mangoway/services/client.py
@@ -1,4 +1,4 @@
-"""Client of the plain services."""
+"""HTTP client of plain services."""
 
 from ..models.errors import ErrorCode, MangowayError
 from ..models.verdict import Verdict
@@ -15,20 +15,22 @@
     read_refusal,
 )
 from .const import CONTENT_TYPE_JSON, HEADER_CONTENT_TYPE
-from .messages import ServiceAnswer, ServiceAttempt
+from .messages import ServiceAttempt, ServiceResponse
 
 
 class ServiceClient:
-    """Talks to hosts of plain services by address (`a.b.c.d:port`)."""
+    """Calls hosts of plain services by address (`a.b.c.d:port`)."""
 
     def __init__(self, session: UpstreamSession) -> None:
         self._session = session
 
-    async def async_call(self, address: str, attempt: ServiceAttempt) -> ServiceAnswer:
-        """Make a call; any status that is not a refusal passes through.
+    async def async_call(
+        self, address: str, attempt: ServiceAttempt
+    ) -> ServiceResponse:
+        """Send a call and return the response, unless it rejects the call.
 
-        A call that may not be repeated gets a connection of its own, so that a
-        dead pooled connection cannot leave open whether it ran.
+        A call that must not be retried uses a new connection, since on a dead pooled
+        connection it would be unknown whether the call ran.
 
         Raises:
             MangowayError: The verdict is NOT_RUN only if it certainly did not run.
@@ -47,11 +49,11 @@
             fresh=not attempt.idempotent,
         )
         async with self._session.async_open(call) as response:
-            refused = response.headers.get(HEADER_VERDICT) == VERDICT_NOT_RUN
-            if refused or response.status in BUSY_STATUSES:
+            not_run = response.headers.get(HEADER_VERDICT) == VERDICT_NOT_RUN
+            if not_run or response.status in BUSY_STATUSES:
                 raise read_refusal(response)
-            _check_owner(response.headers.get(HEADER_REQUEST_ID), attempt)
-            return ServiceAnswer(
+            _check_request_id(response.headers.get(HEADER_REQUEST_ID), attempt)
+            return ServiceResponse(
                 status=response.status,
                 content_type=response.headers.get(
                     HEADER_CONTENT_TYPE, CONTENT_TYPE_JSON
@@ -60,10 +62,10 @@
             )
 
 
-def _check_owner(echoed: str | None, attempt: ServiceAttempt) -> None:
+def _check_request_id(echoed: str | None, attempt: ServiceAttempt) -> None:
     if echoed is not None and echoed != attempt.id:
         raise MangowayError(
             ErrorCode.UPSTREAM_FAILED,
-            f"answer of attempt {echoed} on the connection of {attempt.id}",
+            f"response to attempt {echoed} on the connection of {attempt.id}",
             Verdict.MAY_HAVE_RUN,
         )
--- a/mangoway/services/const.py
+++ b/mangoway/services/const.py
@@ -1,4 +1,4 @@
-"""Constants of the plain services' protocol."""
+"""Constants of the plain service protocol."""
 
 from typing import Final
 
--- a/mangoway/services/messages.py
+++ b/mangoway/services/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the plain services' protocol."""
+"""Messages of the plain service protocol."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class ServiceAttempt:
-    """One try of a call at one host of a plain service."""
+    """One attempt of a call at one host of a plain service."""
 
     id: AttemptId
     call: CallName
@@ -18,8 +18,8 @@
 
 
 @frozen(kw_only=True)
-class ServiceAnswer:
-    """The answer of a plain service, as it came."""
+class ServiceResponse:
+    """The unchanged response of a plain service."""
 
     status: int
     content_type: str
--- a/mangoway/upstreams/__init__.py
+++ b/mangoway/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""What the clients of engines and plain services share: the HTTP session."""
+"""HTTP session shared by the clients of engines and plain services."""
--- a/mangoway/upstreams/const.py
+++ b/mangoway/upstreams/const.py
@@ -9,17 +9,17 @@
 VERDICT_NOT_RUN: Final = "not_run"
 
 CONNECT_TIMEOUT_S: Final = 2.0
-"""Longest time to open a connection; hosts are milliseconds apart."""
+"""Longest time to open a connection; the latency between hosts is milliseconds."""
 
 HEAD_TIMEOUT_S: Final = 0.4
-"""Longest time to the head of a streamed answer on a pooled connection."""
+"""Longest time to the headers of a streamed response on a pooled connection."""
 
 IDLE_CONNECTION_S: Final = 15.0
-"""Time for which an idle connection is kept for the next request."""
+"""Time for which an idle connection is kept in the pool."""
 
 READ_BUFFER_BYTES: Final = 1 << 16
-ANSWER_LIMIT_BYTES: Final = 16 << 20
-"""Largest whole answer that is read from an upstream."""
+MAX_RESPONSE_BYTES: Final = 16 << 20
+"""Largest response body that is read as a whole."""
 
 STATUS_OK: Final = 200
 BUSY_STATUSES: Final = frozenset({429, 503})
--- a/mangoway/upstreams/exchange.py
+++ b/mangoway/upstreams/exchange.py
@@ -1,6 +1,6 @@
-"""One short HTTP exchange on a connection of its own, with few imports.
+"""One short HTTP exchange on a new connection, with few imports.
 
-A controller has to stay small, and the full client takes several megabytes.
+The full HTTP client needs several megabytes of memory, too much for a controller.
 """
 
 import asyncio
@@ -14,10 +14,10 @@
 from ..models.verdict import Verdict
 from ..util.address import split_address
 from .const import (
-    ANSWER_LIMIT_BYTES,
     BUSY_STATUSES,
     CONNECT_TIMEOUT_S,
     HEADER_VERDICT,
+    MAX_RESPONSE_BYTES,
     READ_BUFFER_BYTES,
     STATUS_OK,
     VERDICT_NOT_RUN,
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True)
 class ExchangeRequest:
-    """A request whose answer is read whole."""
+    """A request whose response is read as a whole."""
 
     method: str
     address: str
@@ -38,29 +38,31 @@
     timeout_s: float
     """Seconds for the whole exchange."""
 
-    limit_bytes: int = ANSWER_LIMIT_BYTES
-    """Largest answer that is read."""
+    limit_bytes: int = MAX_RESPONSE_BYTES
+    """Largest response body that is read."""
 
     send_before: float = inf
-    """Loop time after which it must not be sent any more."""
+    """Loop time after which the request must not be sent."""
 
 
 async def async_exchange(request: ExchangeRequest) -> bytes:
-    """Send a request on a new connection and return the body of its answer.
+    """Send a request on a new connection and return the response body.
 
     Raises:
         MangowayError: UPSTREAM_SILENT, UPSTREAM_FAILED, UPSTREAM_BUSY, or
-            DEADLINE_EXCEEDED if it was too late to be sent; the verdict is NOT_RUN
-            only if nothing was sent, or the upstream says so.
+            DEADLINE_EXCEEDED if it was too late to send the request; the verdict is
+            NOT_RUN only if nothing was sent or the upstream reports so.
     """
     exchange = _Exchange(request)
     try:
         async with asyncio.timeout(request.timeout_s):
             return await exchange.async_run()
     except TimeoutError as error:
-        raise exchange.fail(ErrorCode.UPSTREAM_SILENT, "no answer in time") from error
+        raise exchange.make_error(
+            ErrorCode.UPSTREAM_SILENT, "no response in time"
+        ) from error
     except (OSError, h11.RemoteProtocolError) as error:
-        raise exchange.fail(ErrorCode.UPSTREAM_FAILED, str(error)) from error
+        raise exchange.make_error(ErrorCode.UPSTREAM_FAILED, str(error)) from error
     finally:
         exchange.close()
 
@@ -81,19 +83,21 @@
             reader, self._writer = await asyncio.open_connection(host, port)
         data = self._encode()
         if asyncio.get_running_loop().time() > self.request.send_before:
-            raise self.fail(ErrorCode.DEADLINE_EXCEEDED, "too late to be sent")
+            raise self.make_error(
+                ErrorCode.DEADLINE_EXCEEDED, "too late to send the request"
+            )
         self._sent = True
         self._writer.write(data)
         await self._writer.drain()
         return await self._async_read(reader)
 
-    def fail(self, code: ErrorCode, detail: str) -> MangowayError:
+    def make_error(self, code: ErrorCode, detail: str) -> MangowayError:
         """Return the error of this exchange."""
         verdict = Verdict.MAY_HAVE_RUN if self._sent else Verdict.NOT_RUN
         return MangowayError(code, f"{self.request.address}: {detail}", verdict)
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Abort the connection."""
         if self._writer is not None:
             self._writer.transport.abort()
 
@@ -119,15 +123,17 @@
             if event is h11.NEED_DATA:
                 self._http.receive_data(await reader.read(READ_BUFFER_BYTES))
             elif isinstance(event, h11.Response):
-                self._check(event)
+                self._check_status(event)
             elif isinstance(event, h11.Data):
                 body.extend(event.data)
                 if len(body) > self.request.limit_bytes:
-                    raise self.fail(ErrorCode.UPSTREAM_FAILED, "answer too large")
+                    raise self.make_error(
+                        ErrorCode.UPSTREAM_FAILED, "response too large"
+                    )
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
 
-    def _check(self, response: h11.Response) -> None:
+    def _check_status(self, response: h11.Response) -> None:
         status = response.status_code
         if status == STATUS_OK:
             return
@@ -137,4 +143,4 @@
             (name, value) for name, value in response.headers
         ]:
             self._sent = False
-        raise self.fail(code, f"status {status}")
+        raise self.make_error(code, f"status {status}")
--- a/mangoway/upstreams/session.py
+++ b/mangoway/upstreams/session.py
@@ -1,4 +1,4 @@
-"""HTTP requests to upstreams with exact verdicts and no silent repeats."""
+"""HTTP requests to upstreams with exact verdicts and no implicit retries."""
 
 import asyncio
 from collections.abc import AsyncIterator, Mapping
@@ -12,13 +12,13 @@
 from ..models.errors import ErrorCode, MangowayError
 from ..models.verdict import Verdict
 from .const import (
-    ANSWER_LIMIT_BYTES,
     BUSY_STATUSES,
     CONNECT_TIMEOUT_S,
     HEAD_TIMEOUT_S,
     HEADER_RETRY_AFTER,
     HEADER_VERDICT,
     IDLE_CONNECTION_S,
+    MAX_RESPONSE_BYTES,
     READ_BUFFER_BYTES,
     VERDICT_NOT_RUN,
 )
@@ -38,22 +38,22 @@
     """Seconds for the whole exchange."""
 
     silence_s: float
-    """Seconds without a byte after which the connection is given up."""
+    """Seconds without a received byte after which the connection is closed."""
 
     streamed: bool = False
-    """Whether the body comes in many small parts over a long time."""
+    """Whether the response body arrives in many small parts over a long time."""
 
     fresh: bool = False
-    """Whether to open a connection for this call alone.
+    """Whether to open a new connection for this call alone.
 
-    A pooled connection may have died unnoticed, and a request written to it may
-    or may not have run. On a connection of its own a dead path shows while
-    connecting, when it is certain that nothing ran.
+    A pooled connection may be dead without notice, so that it is unknown whether a
+    request that was written to it ran. With a new connection, an unreachable upstream
+    is detected while connecting, when certainly nothing ran.
     """
 
 
 class UpstreamSession:
-    """A pool of connections to upstreams; close it on the loop that opened it."""
+    """A pool of connections to upstreams, to be closed on the loop that opened it."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
             aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_CONNECTION_S)
         )
         self._fresh = _open_session(aiohttp.TCPConnector(limit=0, force_close=True))
-        self._distrusted_until: dict[str, float] = {}
+        self._unpooled_until: dict[str, float] = {}
 
     async def __aenter__(self) -> Self:
         return self
@@ -88,16 +88,16 @@
     async def async_open(
         self, call: UpstreamCall
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a call and yield its response once the headers are there.
+        """Send a call and yield its response once the headers are received.
 
-        An error inside the block, before the body's end, closes the connection.
-        Nothing is repeated.
+        An error inside the block, before the end of the body, closes the connection.
+        No request is retried.
 
         Raises:
             MangowayError: UPSTREAM_SILENT, UPSTREAM_FAILED or DEADLINE_EXCEEDED;
                 the verdict is NOT_RUN only if no byte was sent.
         """
-        session = self._choose(call)
+        session = self._choose_session(call)
         watch: SilenceWatch | None = None
         try:
             async with session.request(
@@ -105,7 +105,7 @@
                 f"http://{call.address}{call.path}",
                 data=call.body,
                 headers=call.headers,
-                timeout=self._limit(call, session),
+                timeout=self._make_timeout(call, session),
                 allow_redirects=False,
                 read_bufsize=READ_BUFFER_BYTES,
             ) as response:
@@ -114,9 +114,13 @@
                 yield response
         except (aiohttp.ClientError, OSError) as error:
             silent = watch is not None and watch.silent
-            failed = _make_silent(call) if silent else _translate(error, call.address)
+            failed = (
+                _make_silence_error(call)
+                if silent
+                else _convert_error(error, call.address)
+            )
             if failed.code is ErrorCode.UPSTREAM_SILENT:
-                self._distrust(call.address)
+                self._avoid_pool(call.address)
             raise failed from error
         finally:
             if watch is not None:
@@ -126,37 +130,37 @@
         """Return the body of a successful response.
 
         Raises:
-            MangowayError: As `async_open`, or the upstream refused.
+            MangowayError: As `async_open`, or the status is not successful.
         """
         async with self.async_open(call) as response:
             if not response.ok:
                 raise read_refusal(response)
             return await async_read_body(response)
 
-    def _choose(self, call: UpstreamCall) -> aiohttp.ClientSession:
-        distrusted_until = self._distrusted_until.get(call.address)
-        if distrusted_until is None:
+    def _choose_session(self, call: UpstreamCall) -> aiohttp.ClientSession:
+        unpooled_until = self._unpooled_until.get(call.address)
+        if unpooled_until is None:
             return self._fresh if call.fresh else self._pooled
-        if _now() >= distrusted_until:
-            del self._distrusted_until[call.address]
+        if _now() >= unpooled_until:
+            del self._unpooled_until[call.address]
         return self._fresh
 
-    def _distrust(self, address: str) -> None:
+    def _avoid_pool(self, address: str) -> None:
         """Use no pooled connection to an address until those idle now are closed.
 
-        What made one of them silent has most likely made the others so as well, and
-        each of them would cost a request.
+        The cause that made one of them silent most likely affects the others as well,
+        and each of them would fail a request.
         """
-        self._distrusted_until[address] = _now() + IDLE_CONNECTION_S
+        self._unpooled_until[address] = _now() + IDLE_CONNECTION_S
 
-    def _limit(
+    def _make_timeout(
         self, call: UpstreamCall, session: aiohttp.ClientSession
     ) -> aiohttp.ClientTimeout:
         silence_s = call.silence_s
         if call.streamed and session is self._pooled:
-            # A streamed answer begins with its head long before its first token.
-            # Where that isn't so, this costs one try: the next connection to the
-            # address is not a pooled one.
+            # An upstream sends the headers of a streamed response long before the
+            # first token. If one doesn't, this fails one attempt: the next one to
+            # the address uses a new connection.
             silence_s = min(silence_s, self._head_timeout_s)
         return aiohttp.ClientTimeout(
             total=call.timeout_s,
@@ -179,53 +183,53 @@
 
 
 async def async_read_body(response: aiohttp.ClientResponse) -> bytes:
-    """Read a whole body of bounded size.
+    """Return the whole body of a response of limited size.
 
     Raises:
-        MangowayError: UPSTREAM_FAILED if it is larger than the bound.
+        MangowayError: UPSTREAM_FAILED if it is larger than `MAX_RESPONSE_BYTES`.
     """
     body = bytearray()
     async for part in response.content.iter_any():
         body.extend(part)
-        if len(body) > ANSWER_LIMIT_BYTES:
+        if len(body) > MAX_RESPONSE_BYTES:
             raise MangowayError(
                 ErrorCode.UPSTREAM_FAILED,
-                f"the answer is larger than {ANSWER_LIMIT_BYTES} bytes",
+                f"the response is larger than {MAX_RESPONSE_BYTES} bytes",
                 Verdict.MAY_HAVE_RUN,
             )
     return bytes(body)
 
 
 def read_refusal(response: aiohttp.ClientResponse) -> MangowayError:
-    """Return the error that an unsuccessful response stands for."""
+    """Return the error for an unsuccessful response."""
     not_run = response.headers.get(HEADER_VERDICT) == VERDICT_NOT_RUN
     busy = response.status in BUSY_STATUSES
     return MangowayError(
         ErrorCode.UPSTREAM_BUSY if busy else ErrorCode.UPSTREAM_FAILED,
-        f"the upstream answered with status {response.status}",
+        f"the upstream responded with status {response.status}",
         Verdict.NOT_RUN if not_run else Verdict.MAY_HAVE_RUN,
-        read_seconds(response.headers.get(HEADER_RETRY_AFTER)),
+        parse_seconds(response.headers.get(HEADER_RETRY_AFTER)),
     )
 
 
-def read_seconds(text: str | None) -> float | None:
-    """Parse a header of seconds; None if it is absent or not a number."""
+def parse_seconds(text: str | None) -> float | None:
+    """Return the seconds in a header; None if it is absent or not a number."""
     try:
         return float(text) if text is not None else None
     except ValueError:
         return None
 
 
-def _make_silent(call: UpstreamCall) -> MangowayError:
+def _make_silence_error(call: UpstreamCall) -> MangowayError:
     return MangowayError(
         ErrorCode.UPSTREAM_SILENT,
-        f"{call.address}: no byte for {call.silence_s:g} seconds",
+        f"{call.address}: no byte received for {call.silence_s:g} seconds",
         Verdict.MAY_HAVE_RUN,
     )
 
 
-def _translate(error: Exception, address: str) -> MangowayError:
-    # The order matters: the timeouts of aiohttp are also plain TimeoutErrors.
+def _convert_error(error: Exception, address: str) -> MangowayError:
+    # The order matters, since aiohttp's timeout errors are also TimeoutErrors.
     match error:
         case aiohttp.ConnectionTimeoutError():
             code, verdict = ErrorCode.UPSTREAM_SILENT, Verdict.NOT_RUN
--- a/mangoway/upstreams/silence.py
+++ b/mangoway/upstreams/silence.py
@@ -1,52 +1,55 @@
-"""Notices streams that have gone silent, at no cost for each read."""
+"""Detection of silent streams without a cost for each read."""
 
 import asyncio
 
 import aiohttp
 
 CHECKS_PER_LIMIT = 4
-"""Looks per limit; silence is noticed within a quarter of the limit after it."""
+"""Checks per limit; silence is detected within a quarter of the limit after it."""
 
 
 class SilenceWatch:
-    """Closes a response that brings no byte for a time.
+    """Closes a response that receives no byte for a time.
 
-    It compares the bytes received at each look. The library's own limit arms a new
-    timer at each read instead, which costs a tenth of a streamed event.
+    Each check compares the number of received bytes with that of the last check. The
+    read timeout of aiohttp would set a new timer at each read, which takes a tenth of
+    the cost of a streamed event.
     """
 
     def __init__(self, response: aiohttp.ClientResponse, limit_s: float) -> None:
         self.silent = False
-        """Whether it closed the response."""
+        """Whether the response was closed for silence."""
 
         self._response = response
         self._period_s = limit_s / CHECKS_PER_LIMIT
         self._received = response.content.total_bytes
-        self._quiet_looks = 0
-        _drop_own_limit(response)
-        self._arm()
+        self._silent_checks = 0
+        _disable_read_timeout(response)
+        self._schedule_check()
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Stop checking."""
         self._timer.cancel()
 
-    def _arm(self) -> None:
+    def _schedule_check(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._period_s, self._look)
+        self._timer = loop.call_later(self._period_s, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         received = self._response.content.total_bytes
-        self._quiet_looks = 0 if received != self._received else self._quiet_looks + 1
+        self._silent_checks = (
+            0 if received != self._received else self._silent_checks + 1
+        )
         self._received = received
-        if self._quiet_looks >= CHECKS_PER_LIMIT:
+        if self._silent_checks >= CHECKS_PER_LIMIT:
             self.silent = True
             self._response.close()
         else:
-            self._arm()
+            self._schedule_check()
 
 
-def _drop_own_limit(response: aiohttp.ClientResponse) -> None:
+def _disable_read_timeout(response: aiohttp.ClientResponse) -> None:
     connection = response.connection
-    # None once the whole body is here.
+    # None once the whole body is received.
     if connection is not None and connection.protocol is not None:
         connection.protocol.read_timeout = None
--- a/mangoway/util/__init__.py
+++ b/mangoway/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small aids that several packages share."""
+"""Utilities that several packages share."""
--- a/mangoway/util/address.py
+++ b/mangoway/util/address.py
@@ -1,7 +1,7 @@
-"""Addresses: an IP number and a port in one text."""
+"""Addresses of the form `ip:port`."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of `ip:port`, without the brackets of an IPv6 number."""
+    """Return the IP address and port of `ip:port`, without IPv6 brackets."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/mangoway/util/backoff.py
+++ b/mangoway/util/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between tries that grow and are spread."""
+"""Exponential backoff with jitter."""
 
 from random import Random
 
@@ -7,18 +7,18 @@
 
 @define
 class Backoff:
-    """Doubles the wait with each failure, up to a bound, and spreads it by half."""
+    """Delays that double with each failure up to a maximum, with a jitter of half."""
 
-    first_s: float
-    most_s: float
+    initial_s: float
+    max_s: float
     random: Random = field(factory=Random)
     _next_s: float = field(default=0.0, init=False)
 
     def next(self) -> float:
-        """Return the seconds to wait after one more failure."""
-        self._next_s = min(self.most_s, max(self.first_s, self._next_s * 2))
+        """Return the delay in seconds after another failure."""
+        self._next_s = min(self.max_s, max(self.initial_s, self._next_s * 2))
         return self._next_s * self.random.uniform(0.5, 1.0)
 
     def reset(self) -> None:
-        """Start anew after a success."""
+        """Start again at the initial delay, after a success."""
         self._next_s = 0.0
--- a/mangoway/util/clock.py
+++ b/mangoway/util/clock.py
@@ -1,8 +1,8 @@
-"""Clocks that decisions about leases rest on."""
+"""Clock for decisions about leases."""
 
 import time
 
 
 def read_boot_clock() -> float:
-    """Return seconds on a clock that also runs while the host is suspended."""
+    """Return seconds of a clock that also advances while the host is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/mangoway/util/collector.py
+++ b/mangoway/util/collector.py
@@ -1,13 +1,13 @@
-"""Settings of the garbage collector."""
+"""Garbage collector configuration."""
 
 import gc
 
 
 def freeze_startup_objects() -> None:
-    """Keep what the start has made out of later collections.
+    """Exempt all objects that exist now from later garbage collections.
 
-    Modules and classes live as long as the process, and a full collection that goes
-    through them stops the loop for tens of milliseconds.
+    Modules and classes exist as long as the process, and a full collection that
+    traverses them blocks the event loop for tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
--- a/mangoway/util/core_driver.py
+++ b/mangoway/util/core_driver.py
@@ -1,4 +1,4 @@
-"""The loop side of a decision core: feeds it events and carries out its actions."""
+"""Event loop adapter of a decision core: passes events in and executes its actions."""
 
 import asyncio
 from collections import deque
@@ -12,20 +12,20 @@
 
 
 class CoreDriver(Generic[EventT, ActionT]):
-    """Feeds a core with events and hands its actions to `carry_out`.
+    """Passes events to a core and its actions to `execute`.
 
-    An event that an action brings about is queued behind the one in hand, so the
-    core never sees an event while another is being carried out.
+    An event that an action causes is queued until all actions of the current event
+    are executed, so the core is never re-entered.
     """
 
     def __init__(
         self,
         core: Core[EventT, ActionT],
-        carry_out: Callable[[ActionT], None],
+        execute: Callable[[ActionT], None],
         make_tick: Callable[[], EventT],
     ) -> None:
         self._core = core
-        self._carry_out = carry_out
+        self._execute = execute
         self._make_tick = make_tick
         self._events: deque[EventT] = deque()
         self._handling = False
@@ -34,7 +34,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def async_handle(self, event: EventT) -> None:
-        """Feed one event at the time of the running loop; ignored once stopped."""
+        """Handle an event at the current loop time; does nothing after `async_stop`."""
         if self._stopped:
             return
         self._events.append(event)
@@ -42,14 +42,14 @@
             self._drain()
 
     def async_wake_at(self, time: float) -> None:
-        """Feed a tick at this time of the loop; it replaces any earlier one."""
+        """Schedule a tick at a loop time; it replaces the one scheduled before."""
         self._cancel_timer()
         if not self._stopped:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_at(time, self._tick, time)
 
     def async_stop(self) -> None:
-        """Feed nothing further."""
+        """Discard queued events and ignore later ones."""
         self._stopped = True
         self._events.clear()
         self._cancel_timer()
@@ -62,14 +62,14 @@
                 event = self._events.popleft()
                 self._now = max(self._now, loop.time())
                 for action in self._core.handle(event, self._now):
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
             self._handling = False
 
     def _tick(self, due: float) -> None:
         self._timer = None
-        # A loop may run a timer early by its clock's resolution; a core that is
-        # ticked before the time it asked for would ask for the same time for ever.
+        # The loop may run a timer early by its clock's resolution; a core that gets
+        # its tick before the requested time would request the same time forever.
         self._now = max(self._now, due)
         self.async_handle(self._make_tick())
 
--- a/mangoway/util/listener.py
+++ b/mangoway/util/listener.py
@@ -4,21 +4,21 @@
 from typing import Final
 
 BACKLOG: Final = 1024
-"""Connections that wait to be accepted. Beyond it the kernel drops them, and they are
-tried again after a second. A loop that is given a listener sets its own, 100, unless
-it is told this one."""
+"""Connections that may wait to be accepted. The kernel drops any further ones, and
+their clients retry after a second. An asyncio server sets its own backlog of 100 on a
+given listener unless this value is passed to it."""
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Listen on an address; port 0 takes a free one.
+    """Return a socket that listens on an address; port 0 selects a free port.
 
-    The protocol is named on purpose: asyncio turns Nagle's algorithm off only on
-    sockets that say that they are TCP, and an accepted socket takes after its
-    listener. With it on, answers in small parts wait some 40 ms for the caller's
-    delayed acknowledgements.
+    The protocol is passed explicitly, since asyncio turns Nagle's algorithm off only
+    on sockets whose protocol is TCP, and an accepted socket inherits the protocol of
+    its listener. With Nagle's algorithm, responses in small parts wait some 40 ms for
+    the client's delayed acknowledgements.
 
     Raises:
-        OSError: If the address can't be used; its text names the address.
+        OSError: If the address can't be used; the message contains the address.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
--- a/mangoway/util/signals.py
+++ b/mangoway/util/signals.py
@@ -1,4 +1,4 @@
-"""Signals that stop a process."""
+"""Operating system signals that stop a process."""
 
 import asyncio
 import signal
@@ -11,26 +11,28 @@
 
 @define(eq=False)
 class StopSignals:
-    """The first signal asks for a planned stop, any later one ends it at once."""
+    """Stop signals: the first requests a graceful stop, later ones force it."""
 
     on_second: Callable[[], None]
-    _name: "asyncio.Future[str]" = field(init=False)
+    _first_signal: "asyncio.Future[str]" = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._name = asyncio.get_running_loop().create_future()
+        self._first_signal = asyncio.get_running_loop().create_future()
 
     def async_listen(self) -> None:
-        """Take the signals from now on."""
+        """Install the signal handlers."""
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, self._take, signal.Signals(number).name)
+            loop.add_signal_handler(
+                number, self._handle_signal, signal.Signals(number).name
+            )
 
     async def async_wait(self) -> str:
         """Wait for the first signal and return its name."""
-        return await asyncio.shield(self._name)
+        return await asyncio.shield(self._first_signal)
 
-    def _take(self, name: str) -> None:
-        if self._name.done():
+    def _handle_signal(self, name: str) -> None:
+        if self._first_signal.done():
             self.on_second()
         else:
-            self._name.set_result(name)
+            self._first_signal.set_result(name)
--- a/mangoway/util/tasks.py
+++ b/mangoway/util/tasks.py
@@ -6,9 +6,9 @@
 
 
 class Tasks:
-    """Tasks that an owner starts and stops together.
+    """Tasks that an owner starts and cancels together.
 
-    A task that fails is reported to `on_error` and does not stop the others.
+    `on_error` is called with the exception of a failed task; the others continue.
     """
 
     def __init__(self, on_error: Callable[[BaseException], None]) -> None:
@@ -19,20 +19,20 @@
         return len(self._running)
 
     def async_start(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a coroutine on the running loop."""
+        """Start a coroutine as a task on the running loop."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._running.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._handle_done)
         return task
 
     async def async_cancel(self) -> None:
-        """Cancel what runs and wait for its end."""
+        """Cancel all running tasks and wait until they have ended."""
         tasks = tuple(self._running)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _end(self, task: asyncio.Task[Any]) -> None:
+    def _handle_done(self, task: asyncio.Task[Any]) -> None:
         self._running.discard(task)
         if task.cancelled():
             return
--- a/tests/host_list/__init__.py
+++ b/tests/host_list/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package host_list."""
+"""Tests of the host list."""
--- a/tests/host_list/test_http.py
+++ b/tests/host_list/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP adapter's settings."""
+"""Tests of the HTTP adapter."""
 
 import pytest
 
@@ -9,9 +9,9 @@
 
 
 class TestHttpHostList:
-    """URLs that the adapter takes."""
+    """Accepted URLs, and reuse of parsed lists."""
 
-    def test_encrypted_url_is_refused_and_not_read_in_the_clear(self) -> None:
+    def test_https_url_is_rejected_and_not_read_unencrypted(self) -> None:
         with pytest.raises(SettingError, match="--host-list-url"):
             HttpHostList("https://10.0.0.1/hosts")
 
@@ -28,15 +28,15 @@
         parsed: list[bytes] = []
         parse = http.parse_listing
 
-        async def async_answer(_: object) -> bytes:
+        async def async_respond(_: object) -> bytes:
             return bodies.pop(0)
 
-        def note(body: bytes) -> object:
+        def record(body: bytes) -> object:
             parsed.append(body)
             return parse(body)
 
-        monkeypatch.setattr(http, "async_exchange", async_answer)
-        monkeypatch.setattr(http, "parse_listing", note)
+        monkeypatch.setattr(http, "async_exchange", async_respond)
+        monkeypatch.setattr(http, "parse_listing", record)
         reader = HttpHostList("http://10.0.0.1/hosts")
         counts = [len((await reader.async_read()).upstreams) for _ in range(2)]
         with pytest.raises(MangowayError) as raised:
--- a/tests/host_list/test_parser.py
+++ b/tests/host_list/test_parser.py
@@ -17,7 +17,7 @@
 
 
 class TestParseListing:
-    """Entries, their labels, and those that cannot be used."""
+    """Entries, their labels, and unusable entries."""
 
     def test_runner_service_and_processes(self) -> None:
         listing = parse(
@@ -58,6 +58,6 @@
         assert [upstream.leaving for upstream in listing.upstreams] == [True]
 
     @pytest.mark.parametrize("body", [b"", b"{}", b"[1]", b'[{"targets": 1}]'])
-    def test_other_format_is_refused(self, body: bytes) -> None:
+    def test_other_format_is_rejected(self, body: bytes) -> None:
         with pytest.raises(ValueError, match=r"expected|unexpected|empty"):
             parse_listing(body)
--- a/tests/host_list/test_poller.py
+++ b/tests/host_list/test_poller.py
@@ -1,4 +1,4 @@
-"""Tests of reading the host list again and again."""
+"""Tests of polling the host list."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,14 +12,14 @@
 from mangoway.observability.metrics import Metrics
 from tests.stand_ins.host_list import HostListStandIn, make_group
 
-LIMIT_S = 10.0
+TIMEOUT_S = 10.0
 RUNNER = make_group("10.0.0.1:80", "runner", "r1")
 LEAVING = make_group("10.0.0.1:80", "runner", "r1", state="leaving")
 
 
 @define
 class Setup:
-    """A stand-in and a poller of it."""
+    """A simulated host list and its poller."""
 
     stand_in: HostListStandIn
     host_list: HttpHostList
@@ -47,9 +47,9 @@
 
 
 class TestHostListPoller:
-    """What is kept and what is passed on."""
+    """Listings that are kept and passed to the callback."""
 
-    async def test_only_changes_are_passed_on(self, setup: Setup) -> None:
+    async def test_callback_is_called_for_changes_only(self, setup: Setup) -> None:
         setup.stand_in.set_groups([RUNNER])
         await setup.poller.async_poll()
         await setup.poller.async_poll()
@@ -57,7 +57,7 @@
         await setup.poller.async_poll()
         assert [each.count_leaving() for each in setup.changes] == [0, 1]
 
-    async def test_lagging_list_shows_the_old_state(self, setup: Setup) -> None:
+    async def test_outdated_list_returns_the_old_state(self, setup: Setup) -> None:
         setup.stand_in.set_groups([RUNNER])
         setup.stand_in.switches.lag_s = 1000.0
         setup.stand_in.set_groups([LEAVING])
@@ -76,24 +76,24 @@
         await setup.poller.async_poll()
         assert setup.poller.listing.count_leaving() == 1
 
-    async def test_taker_that_fails_does_not_end_the_polling(
+    async def test_failing_callback_does_not_end_the_polling(
         self, setup: Setup, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        taken = asyncio.Event()
+        accepted = asyncio.Event()
         listings: list[HostListing] = []
 
-        def take(listing: HostListing) -> None:
+        def accept(listing: HostListing) -> None:
             listings.append(listing)
             if len(listings) == 1:
                 setup.stand_in.set_groups([LEAVING])
-                raise RuntimeError("taker")
-            taken.set()
+                raise RuntimeError("callback")
+            accepted.set()
 
         setup.stand_in.set_groups([RUNNER])
-        monkeypatch.setattr(setup.poller, "_on_change", take)
+        monkeypatch.setattr(setup.poller, "_on_change", accept)
         monkeypatch.setattr(setup.poller, "_period_s", 0.01)
         polling = asyncio.create_task(setup.poller.async_run())
-        await asyncio.wait_for(taken.wait(), LIMIT_S)
+        await asyncio.wait_for(accepted.wait(), TIMEOUT_S)
         polling.cancel()
         assert listings[-1].count_leaving() == 1
 
--- a/tests/peers/conftest.py
+++ b/tests/peers/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a peer server on loopback behind a relay that can go silent."""
+"""Fixtures: a peer server on loopback behind a relay that can become silent."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,7 +13,7 @@
 
 @define(eq=False)
 class Relay:
-    """Passes bytes on to a port; open connections can be made silent for good."""
+    """Relays bytes to a port; open connections can be made silent permanently."""
 
     target_port: int
     connections: int = 0
@@ -40,7 +40,7 @@
             writer.transport.abort()
 
     def silence(self) -> None:
-        """Pass nothing on for the connections that are open now."""
+        """Stop relaying on the connections that are open now."""
         self._silent.set()
         self._silent = asyncio.Event()
 
@@ -49,10 +49,10 @@
     ) -> None:
         self.connections += 1
         silent = self._silent
-        there = await asyncio.open_connection(LOOPBACK, self.target_port)
-        self._writers += [writer, there[1]]
+        target = await asyncio.open_connection(LOOPBACK, self.target_port)
+        self._writers += [writer, target[1]]
         loop = asyncio.get_running_loop()
-        for source, sink in ((reader, there[1]), (there[0], writer)):
+        for source, sink in ((reader, target[1]), (target[0], writer)):
             self._tasks.append(loop.create_task(_async_copy(source, sink, silent)))
 
 
@@ -68,13 +68,13 @@
 
 @pytest.fixture
 def receivers() -> PeerReceivers:
-    """Receivers of the server under test; a test sets those that it needs."""
+    """Return the server's receivers; a test sets those that it needs."""
     return PeerReceivers()
 
 
 @pytest.fixture
 async def relay(receivers: PeerReceivers) -> AsyncIterator[Relay]:
-    """Start a peer server and a relay before it."""
+    """Start a peer server and a relay in front of it."""
     server = PeerServer(receivers)
     await server.async_start(LOOPBACK, 0)
     relay = Relay(server.port)
--- a/tests/peers/test_client.py
+++ b/tests/peers/test_client.py
@@ -35,15 +35,15 @@
 )
 
 
-class Echo:
-    """Answers heartbeats with an empty one."""
+class HeartbeatStub:
+    """Replies to heartbeats with an empty one."""
 
     def async_receive_heartbeat(self, heartbeat: pb.Heartbeat) -> pb.Heartbeat:
         return pb.Heartbeat(session=9)
 
 
-class Receiver:
-    """Answers forwarded requests as a test tells it to."""
+class ScriptedReceiver:
+    """Responds to forwarded requests as a test sets it up."""
 
     def __init__(self) -> None:
         self.received: list[ForwardedRequest] = []
@@ -70,8 +70,8 @@
 
 
 @pytest.fixture
-def forwarded(receivers: PeerReceivers) -> Receiver:
-    receiver = Receiver()
+def forwarded(receivers: PeerReceivers) -> ScriptedReceiver:
+    receiver = ScriptedReceiver()
     receivers.forwards = receiver
     return receiver
 
@@ -93,13 +93,13 @@
 
 
 class TestSilence:
-    """Connections that pass nothing on any more."""
+    """Connections that became silent."""
 
     async def test_silent_connection_is_replaced(
         self, relay: Relay, receivers: PeerReceivers, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(client_module, "EXCHANGE_TIMEOUT_S", 0.2)
-        receivers.heartbeats = Echo()
+        receivers.heartbeats = HeartbeatStub()
         client = PeerClient(relay.address)
         await client.async_exchange(pb.Heartbeat(session=1))
         relay.silence()
@@ -113,7 +113,7 @@
         client.close()
 
     async def test_silent_forward_may_have_run(
-        self, relay: Relay, forwarded: Receiver, monkeypatch: pytest.MonkeyPatch
+        self, relay: Relay, forwarded: ScriptedReceiver, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(client_module, "SILENCE_S", 0.3)
         forwarded.hang = True
@@ -128,8 +128,8 @@
         assert raised.value.failure.verdict is Verdict.MAY_HAVE_RUN
         clients.close()
 
-    async def test_pings_keep_a_slow_answer_alive(
-        self, relay: Relay, forwarded: Receiver, monkeypatch: pytest.MonkeyPatch
+    async def test_pings_keep_a_slow_response_alive(
+        self, relay: Relay, forwarded: ScriptedReceiver, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(client_module, "SILENCE_S", 0.4)
         monkeypatch.setattr(server_module, "PING_PERIOD_S", 0.05)
@@ -139,7 +139,7 @@
 
 
 class TestVerdict:
-    """What is known of a forwarded request that failed."""
+    """Verdicts of failed forwarded requests."""
 
     async def test_refused_connection_is_not_run(self) -> None:
         with pytest.raises(MangowayError) as raised:
@@ -150,10 +150,10 @@
     async def test_connection_closed_before_the_call_is_not_run(
         self, relay: Relay, receivers: PeerReceivers
     ) -> None:
-        receivers.heartbeats = Echo()
+        receivers.heartbeats = HeartbeatStub()
         client = PeerClient(relay.address)
         await client.async_exchange(pb.Heartbeat(session=1))
-        async with client._holder.async_use() as link:
+        async with client._current_link.async_use() as link:
             protocol = await link.channel.__connect__()
         protocol.processor.connection.close()
         with pytest.raises(MangowayError) as raised:
@@ -164,7 +164,7 @@
         client.close()
 
     async def test_connection_lost_after_sending_may_have_run(
-        self, relay: Relay, forwarded: Receiver
+        self, relay: Relay, forwarded: ScriptedReceiver
     ) -> None:
         forwarded.hang = True
         clients = PeerClients()
@@ -178,8 +178,8 @@
         clients.close()
 
     @pytest.mark.parametrize("verdict", list(Verdict))
-    async def test_failure_of_the_peer_is_passed_on_as_it_is(
-        self, relay: Relay, forwarded: Receiver, verdict: Verdict
+    async def test_failure_of_the_peer_is_forwarded_unchanged(
+        self, relay: Relay, forwarded: ScriptedReceiver, verdict: Verdict
     ) -> None:
         forwarded.error = MangowayError(ErrorCode.OVERLOADED, "full", verdict, 2.5)
         with pytest.raises(MangowayError) as raised:
@@ -196,16 +196,16 @@
 
 
 class TestForward:
-    """The request and its answer."""
+    """Forwarded requests and their responses."""
 
-    async def test_request_arrives_as_it_was_sent(
-        self, relay: Relay, forwarded: Receiver
+    async def test_request_is_received_unchanged(
+        self, relay: Relay, forwarded: ScriptedReceiver
     ) -> None:
         await _async_collect(relay.address)
         assert forwarded.received == [REQUEST]
 
-    async def test_hang_up_closes_the_answer_at_the_peer(
-        self, relay: Relay, forwarded: Receiver
+    async def test_disconnect_closes_the_response_at_the_peer(
+        self, relay: Relay, forwarded: ScriptedReceiver
     ) -> None:
         forwarded.hang = True
         clients = PeerClients()
--- a/tests/peers/test_configuration.py
+++ b/tests/peers/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration's spread between processes, in virtual time."""
+"""Tests of the propagation of configurations between processes, in virtual time."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -37,23 +37,23 @@
 
 
 @define
-class Net:
-    """Processes that call each other directly; a cut one can't be reached."""
+class FakeNetwork:
+    """Processes that call each other directly; some can be made unreachable."""
 
     store: FakeKeyValueStore = field(factory=FakeKeyValueStore)
-    nodes: dict[str, "Node"] = field(factory=dict)
-    cut: set[str] = field(factory=set)
+    processes: dict[str, "Process"] = field(factory=dict)
+    unreachable: set[str] = field(factory=set)
     errors: list[BaseException] = field(factory=list)
 
-    def get(self, address: str) -> "Link":
-        return Link(self, address)
+    def get(self, address: str) -> "FakePeerClient":
+        return FakePeerClient(self, address)
 
-    def spread(self) -> None:
-        """Let every process know all others and their versions."""
-        members = tuple(node.member for node in self.nodes.values())
-        for node in self.nodes.values():
-            node.directory.set_members(members)
-            node.driver.async_set_members()
+    def update_directories(self) -> None:
+        """Update every process's directory with all processes and versions."""
+        members = tuple(process.member for process in self.processes.values())
+        for process in self.processes.values():
+            process.directory.set_members(members)
+            process.driver.async_update_members()
 
     async def async_edit(self, memory_mb: int) -> None:
         repository = ConfigurationRepository(self.store)
@@ -61,54 +61,54 @@
         await repository.async_apply(edit, "operator")
 
     def list_versions(self) -> set[int]:
-        return {node.version for node in self.nodes.values()}
+        return {process.version for process in self.processes.values()}
 
 
 @define
-class Link:
-    """Stands in for `PeerClient`."""
+class FakePeerClient:
+    """Simulated `PeerClient`."""
 
-    net: Net
+    network: FakeNetwork
     address: str
 
     async def async_fetch_configuration(
         self, request: pb.FetchConfigurationRequest
     ) -> pb.ConfigurationDocument:
-        return (await self._async_reach()).async_read_document(request)
+        return (await self._async_connect()).async_read_document(request)
 
     async def async_push_configuration(
         self, document: pb.ConfigurationDocument
     ) -> pb.PushConfigurationReply:
-        return (await self._async_reach()).async_receive_document(document)
+        return (await self._async_connect()).async_receive_document(document)
 
-    async def _async_reach(self) -> ConfigurationDriver:
+    async def _async_connect(self) -> ConfigurationDriver:
         await asyncio.sleep(0.002)
-        if self.address in self.net.cut:
+        if self.address in self.network.unreachable:
             raise MangowayError(ErrorCode.PEER_SILENT, "cut", Verdict.MAY_HAVE_RUN)
-        return self.net.nodes[self.address].driver
+        return self.network.processes[self.address].driver
 
 
-class Node:
+class Process:
     """One process of the test."""
 
-    def __init__(self, net: Net, name: str) -> None:
+    def __init__(self, network: FakeNetwork, name: str) -> None:
         self.applied: list[Configuration] = []
         self.name = name
         self.journal = Journal()
         self.directory = Directory(IncarnationId(f"{name}.1"))
-        self.tasks = Tasks(net.errors.append)
+        self.tasks = Tasks(network.errors.append)
         self.driver = ConfigurationDriver(
             core=ConfigurationCore(HostId(name), Random(name)),
-            store=net.store,
+            store=network.store,
             follower=ConfigurationFollower(SITE),
-            clients=net,  # type: ignore[arg-type]
+            clients=network,  # type: ignore[arg-type]
             directory=self.directory,
             data_centre=DataCentreId("dc1"),
             tasks=self.tasks,
             on_applied=self.applied.append,
             log=ConfigurationLog(self.journal),
         )
-        net.nodes[name] = self
+        network.processes[name] = self
 
     async def async_stop(self) -> None:
         self.driver.async_stop()
@@ -133,77 +133,79 @@
 
 
 @asynccontextmanager
-async def run_net(*started: str) -> AsyncIterator[Net]:
-    """Run four processes that know each other; only the named ones start.
+async def run_network(*started: str) -> AsyncIterator[FakeNetwork]:
+    """Run four processes that know each other; start the named ones, or all.
 
-    This is no fixture, since fixtures run outside of the virtual time.
+    This isn't a fixture, since fixtures don't run in virtual time.
     """
-    net = Net()
+    network = FakeNetwork()
     for number in range(4):
-        Node(net, f"n{number}")
-    net.spread()
-    for name in started or net.nodes:
-        net.nodes[name].driver.async_start()
-    await net.async_edit(5)
+        Process(network, f"n{number}")
+    network.update_directories()
+    for name in started or network.processes:
+        network.processes[name].driver.async_start()
+    await network.async_edit(5)
     await asyncio.sleep(8)
-    yield net
-    for node in net.nodes.values():
-        await node.async_stop()
-    assert net.errors == []
+    yield network
+    for process in network.processes.values():
+        await process.async_stop()
+    assert network.errors == []
 
 
-class TestSpread:
-    """Versions reach every process and never go back."""
+class TestPropagation:
+    """Versions reach every process and are never replaced by older ones."""
 
-    async def test_edit_comes_in_force_everywhere(self) -> None:
-        async with run_net() as net:
+    async def test_edit_is_applied_everywhere(self) -> None:
+        async with run_network() as network:
             for memory_mb in (6, 7):
-                await net.async_edit(memory_mb)
+                await network.async_edit(memory_mb)
                 await asyncio.sleep(8)
-            assert net.list_versions() == {3}
-            for node in net.nodes.values():
-                assert [each.version for each in node.applied] == [1, 2, 3]
+            assert network.list_versions() == {3}
+            for process in network.processes.values():
+                assert [each.version for each in process.applied] == [1, 2, 3]
                 query = JournalQuery(config_version=ConfigVersion(3))
-                assert [each.reason for each in node.journal.find(query)] == ["applied"]
-
-    async def test_process_that_missed_the_push_asks_a_peer(self) -> None:
-        async with run_net() as net:
-            net.cut.add("n0")
-            net.store.stalled = True
-            await net.async_edit(6)
+                assert [each.reason for each in process.journal.find(query)] == [
+                    "applied"
+                ]
+
+    async def test_process_that_missed_the_push_fetches_from_a_peer(self) -> None:
+        async with run_network() as network:
+            network.unreachable.add("n0")
+            network.store.stalled = True
+            await network.async_edit(6)
             await asyncio.sleep(2)
-            net.cut.clear()
+            network.unreachable.clear()
             for _ in range(6):
-                net.spread()
+                network.update_directories()
                 await asyncio.sleep(1)
-            assert net.list_versions() == {2}
+            assert network.list_versions() == {2}
 
-    async def test_new_process_in_an_outage_takes_what_its_peers_have(self) -> None:
-        async with run_net("n0", "n1", "n2") as net:
-            net.spread()
-            net.store.down = True
-            net.nodes["n3"].driver.async_start()
+    async def test_new_process_in_an_outage_fetches_from_a_peer(self) -> None:
+        async with run_network("n0", "n1", "n2") as network:
+            network.update_directories()
+            network.store.down = True
+            network.processes["n3"].driver.async_start()
             await asyncio.sleep(20)
-            assert net.nodes["n3"].version == 1
+            assert network.processes["n3"].version == 1
 
     async def test_older_document_changes_nothing(self) -> None:
-        async with run_net() as net:
-            node = net.nodes["n0"]
-            old = node.driver.async_read_document(pb.FetchConfigurationRequest())
+        async with run_network() as network:
+            process = network.processes["n0"]
+            old = process.driver.async_read_document(pb.FetchConfigurationRequest())
             old.source = "n1"
-            await net.async_edit(6)
+            await network.async_edit(6)
             await asyncio.sleep(8)
-            assert node.driver.async_receive_document(old).version == 2
-            assert [each.version for each in node.applied] == [1, 2]
+            assert process.driver.async_receive_document(old).version == 2
+            assert [each.version for each in process.applied] == [1, 2]
 
-    async def test_document_that_cannot_be_read_changes_nothing(self) -> None:
-        async with run_net() as net:
+    async def test_unreadable_document_changes_nothing(self) -> None:
+        async with run_network() as network:
             document = pb.ConfigurationDocument(
                 version=9, document=b"z???", source="n1"
             )
-            node = net.nodes["n0"]
-            assert node.driver.async_receive_document(document).version == 1
+            process = network.processes["n0"]
+            assert process.driver.async_receive_document(document).version == 1
             query = JournalQuery(config_version=ConfigVersion(9))
-            (entry,) = node.journal.find(query)
+            (entry,) = process.journal.find(query)
             assert entry.reason == "refused"
             assert entry.detail.startswith("source n1: config_malformed")
--- a/tests/peers/test_hand_over.py
+++ b/tests/peers/test_hand_over.py
@@ -50,10 +50,10 @@
 
 
 class TestHandOver:
-    """Records and kept answers survive the way to the successor."""
+    """Records and stored responses reach the successor unchanged."""
 
     @given(keys=HAND_OVERS)
-    def test_chunks_join_to_what_was_handed_over(self, keys: KeyHandOver) -> None:
+    def test_assembled_chunks_equal_the_hand_over(self, keys: KeyHandOver) -> None:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(hand_over, "HAND_OVER_CHUNK_RECORDS", 2)
             patch.setattr(hand_over, "HAND_OVER_CHUNK_BYTES", 7)
@@ -62,44 +62,44 @@
             evolve(record, expires_at=record.expires_at + 400)
             for record in keys.records
         ]
-        intake = HandOverAssembler(500.0)
+        assembler = HandOverAssembler(500.0)
         for chunk in chunks:
             assert len(chunk.records) <= 2
             assert len(chunk.answers) <= 2
-            intake.add(chunk)
-        assert intake.finish() == evolve(keys, records=tuple(expected))
+            assembler.add(chunk)
+        assert assembler.finish() == evolve(keys, records=tuple(expected))
 
-    def test_missing_part_of_an_answer_is_refused(self) -> None:
+    def test_missing_part_of_a_response_is_rejected(self) -> None:
         part = pb.AnswerPart(answer_id="r-1", body=b"half")
-        intake = HandOverAssembler(0.0)
-        intake.add(pb.KeyChunk(home="home.1", answers=[part], last=True))
+        assembler = HandOverAssembler(0.0)
+        assembler.add(pb.KeyChunk(home="home.1", answers=[part], last=True))
         with pytest.raises(MangowayError):
-            intake.finish()
+            assembler.finish()
 
-    async def test_hand_over_that_is_not_whole_or_too_large_is_not_taken(
+    async def test_incomplete_or_too_large_hand_over_is_rejected(
         self,
         relay: Relay,
         receivers: PeerReceivers,
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        taken: list[pb.KeyChunk] = []
+        received: list[pb.KeyChunk] = []
 
         class Successor:
             async def async_receive_keys(
                 self, chunks: AsyncIterable[pb.KeyChunk]
             ) -> pb.HandOverReply:
                 whole = [chunk async for chunk in chunks]
-                taken.extend(whole)
+                received.extend(whole)
                 return pb.HandOverReply(records=len(whole))
 
         receivers.keys = Successor()
         client = PeerClient(relay.address)
         with pytest.raises(MangowayError):
             await client.async_hand_over([pb.KeyChunk(home="home.1")])
-        assert taken == []
+        assert received == []
         whole = [pb.KeyChunk(home="home.1"), pb.KeyChunk(home="home.1", last=True)]
         assert (await client.async_hand_over(whole)).records == 2
-        # The bound is on what is received at one time, so each of these may come.
+        # The limit is on concurrent hand-overs, so each of these is below it.
         monkeypatch.setattr(server, "HAND_OVER_LIMIT_BYTES", 30)
         assert (await client.async_hand_over(whole)).records == 2
         with pytest.raises(MangowayError, match="30 bytes"):
--- a/tests/peers/test_heartbeat.py
+++ b/tests/peers/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""Tests of heartbeat encoding: every entry and report arrives as it was sent."""
+"""Tests of heartbeat encoding: every entry and report is received unchanged."""
 
 from collections.abc import Iterator
 from itertools import count
@@ -110,7 +110,7 @@
     """Entries of processes."""
 
     @given(rounds=st.lists(_members(), max_size=4))
-    def test_entries_arrive_as_they_were_sent(
+    def test_entries_are_received_unchanged(
         self, rounds: list[tuple[Member, ...]]
     ) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
@@ -146,7 +146,7 @@
         received = lost.decode(sender.encode(100, members, 0.0), 0.0)
         assert received.members == members
 
-    def test_exhausted_slots_begin_a_new_session(
+    def test_exhausted_slots_start_a_new_session(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(slots, "MAX_SLOTS", 3)
@@ -157,7 +157,7 @@
             assert receiver.decode(heartbeat, 0.0).members == members
 
     @pytest.mark.parametrize("change", ["uneven", "state", "role", "artifact"])
-    def test_malformed_heartbeat_is_refused_with_a_code(self, change: str) -> None:
+    def test_malformed_heartbeat_is_rejected_with_a_code(self, change: str) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         sender.report_tracker.add_if_newer(_make_report(1, 0.0))
         heartbeat = sender.encode(100, (_make_member(0),), 0.0)
@@ -179,7 +179,7 @@
     """Reports of runners."""
 
     @given(rounds=st.lists(_residents(), min_size=1, max_size=4))
-    def test_reports_arrive_as_they_were_sent(
+    def test_reports_are_received_unchanged(
         self, rounds: list[tuple[ResidentArtifact, ...]]
     ) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
@@ -189,20 +189,20 @@
             received = receiver.decode(sender.encode(100, (), float(time)), float(time))
             assert received.reports == (report,)
 
-    def test_age_carries_over_to_the_clock_of_the_receiver(self) -> None:
+    def test_age_is_converted_to_the_clock_of_the_receiver(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         sender.report_tracker.add_if_newer(_make_report(1, 10.0))
         received = receiver.decode(sender.encode(100, (), 10.5), 77.0)
         assert received.reports[0].reported_at == pytest.approx(76.5)
 
-    def test_report_is_not_sent_back_to_where_it_came_from(self) -> None:
+    def test_report_is_not_sent_back_to_its_source(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         sender.report_tracker.add_if_newer(_make_report(1, 1.0))
         receiver.decode(sender.encode(100, (), 1.0), 1.0)
         assert len(receiver.encode(1, (), 1.0).loads.runners) == 0
         assert len(receiver.encode(2, (), 1.0).loads.runners) == 1
 
-    def test_reply_leaves_out_what_the_peer_has_from_elsewhere(self) -> None:
+    def test_reply_leaves_out_reports_that_the_peer_has(self) -> None:
         one, other = _make_codec("host-0.1", 1), _make_codec("other", 100)
         for number, time in ((1, 5.0), (2, 5.0), (3, 9.0)):
             one.report_tracker.add_if_newer(_make_report(number, 5.0), source=7)
@@ -234,7 +234,7 @@
         assert entry is not None
         assert entry.report.running == 8
 
-    def test_lost_residency_is_asked_for_and_sent_again(self) -> None:
+    def test_lost_residency_is_requested_and_resent(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         sender.report_tracker.add_if_newer(_make_report(1, 1.0))
         sender.encode(100, (), 1.0)
@@ -245,7 +245,7 @@
         received = receiver.decode(sender.encode(100, (), 2.0), 2.0)
         assert received.reports == (newer,)
 
-    def test_slot_that_no_session_has_is_refused(self) -> None:
+    def test_slot_beyond_the_limit_is_rejected(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         heartbeat = sender.encode(100, (_make_member(0),), 0.0)
         heartbeat.names.add(slot=2**31, text="runner-1")
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -44,63 +44,66 @@
 
 
 @define
-class Net:
-    """Processes that exchange heartbeats directly; some can't be reached."""
+class FakeNetwork:
+    """Processes that exchange heartbeats directly; some can be made unreachable."""
 
-    nodes: dict[str, "Node"] = field(factory=dict)
-    cut: set[str] = field(factory=set)
+    processes: dict[str, "Process"] = field(factory=dict)
+    unreachable: set[str] = field(factory=set)
     errors: list[BaseException] = field(factory=list)
     sessions: "count[int]" = field(factory=lambda: count(1))
     lost_replies: int = 0
 
-    def get(self, address: str) -> "Link":
-        return Link(self, address)
+    def get(self, address: str) -> "FakePeerClient":
+        return FakePeerClient(self, address)
 
-    def start(self, name: str, life: int = 1) -> "Node":
-        node = Node(self, name, life)
-        self.nodes[name] = node
-        node.driver.async_start(["n0"])
-        return node
+    def start(self, name: str, run_number: int = 1) -> "Process":
+        process = Process(self, name, run_number)
+        self.processes[name] = process
+        process.driver.async_start(["n0"])
+        return process
 
     def list_states(self, of: str) -> list[str]:
-        """Return the state of one process as each other one sees it."""
+        """Return the state of one process at each other reachable process."""
         return [
-            node.states.get(of, "unknown")
-            for name, node in self.nodes.items()
-            if name != of and name not in self.cut
+            process.states.get(of, "unknown")
+            for name, process in self.processes.items()
+            if name != of and name not in self.unreachable
         ]
 
 
 @define
-class Link:
-    """Stands in for `PeerClient`; every message goes over the wire form."""
+class FakePeerClient:
+    """Simulated `PeerClient`; every message is serialized and parsed."""
 
-    net: Net
+    network: FakeNetwork
     address: str
 
     async def async_exchange(self, heartbeat: pb.Heartbeat) -> pb.Heartbeat:
         await asyncio.sleep(0.001)
-        if self.address in self.net.cut or self.address not in self.net.nodes:
+        if (
+            self.address in self.network.unreachable
+            or self.address not in self.network.processes
+        ):
             await asyncio.sleep(1.0)
             raise MangowayError(ErrorCode.PEER_SILENT, "cut", Verdict.MAY_HAVE_RUN)
-        node = self.net.nodes[self.address]
+        process = self.network.processes[self.address]
         sent = pb.Heartbeat.FromString(heartbeat.SerializeToString())
-        reply = node.driver.async_receive_heartbeat(sent)
-        if self.net.lost_replies:
-            self.net.lost_replies -= 1
+        reply = process.driver.async_receive_heartbeat(sent)
+        if self.network.lost_replies:
+            self.network.lost_replies -= 1
             raise MangowayError(ErrorCode.PEER_SILENT, "lost", Verdict.MAY_HAVE_RUN)
         return pb.Heartbeat.FromString(reply.SerializeToString())
 
 
 class ScriptedCore:
-    """Sends one heartbeat to `n1` at each tick, and keeps what it was told."""
+    """Sends one heartbeat to `n1` at each tick, and records the received events."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
-        self.told: list[MembershipEvent] = []
+        self.received_events: list[MembershipEvent] = []
 
     def handle(self, event: MembershipEvent, now: float) -> list[MembershipAction]:
-        self.told.append(event)
+        self.received_events.append(event)
         if isinstance(event, Ticked):
             return [SendHeartbeat(peer_address="n1", members=(self.own,))]
         if isinstance(event, HostListUpdated):
@@ -109,39 +112,41 @@
         return []
 
     @property
-    def lost(self) -> list[MembershipEvent]:
-        return [event for event in self.told if isinstance(event, SendFailed)]
+    def send_failures(self) -> list[MembershipEvent]:
+        return [
+            event for event in self.received_events if isinstance(event, SendFailed)
+        ]
 
 
-def make_member(name: str, life: int = 1) -> Member:
+def make_member(name: str, run_number: int = 1) -> Member:
     return Member(
         host=HostId(name),
         role=ProcessRole.GATEWAY,
-        incarnation=IncarnationId(f"{name}.{life}"),
-        started_at=float(life),
+        incarnation=IncarnationId(f"{name}.{run_number}"),
+        started_at=float(run_number),
         data_centre=DataCentreId("dc1"),
         peer_address=name,
         caller_address=None,
     )
 
 
-class Node:
+class Process:
     """One process of the test."""
 
-    def __init__(self, net: Net, name: str, life: int) -> None:
+    def __init__(self, network: FakeNetwork, name: str, run_number: int) -> None:
         self.members: tuple[Member, ...] = ()
         self.report_tracker = ReportTracker()
-        self.tasks = Tasks(net.errors.append)
-        own = make_member(name, life)
+        self.tasks = Tasks(network.errors.append)
+        own = make_member(name, run_number)
         self.driver = MembershipDriver(
             core=MembershipCore(own, Random(name)),
             own=own,
             codec=HeartbeatCodec(
-                own.incarnation, self.report_tracker, lambda: next(net.sessions)
+                own.incarnation, self.report_tracker, lambda: next(network.sessions)
             ),
-            clients=net,  # type: ignore[arg-type]
+            clients=network,  # type: ignore[arg-type]
             tasks=self.tasks,
-            on_members=self._take_members,
+            on_members=self._handle_members,
         )
 
     @property
@@ -152,64 +157,66 @@
         self.driver.async_stop()
         await self.tasks.async_cancel()
 
-    def _take_members(self, members: tuple[Member, ...]) -> None:
+    def _handle_members(self, members: tuple[Member, ...]) -> None:
         self.members = members
 
 
 @asynccontextmanager
-async def run_net(size: int = 4) -> AsyncIterator[Net]:
-    """Run processes that know only the first of them, until they settled."""
-    net = Net()
+async def run_network(size: int = 4) -> AsyncIterator[FakeNetwork]:
+    """Run processes that know only the first of them, until all have met."""
+    network = FakeNetwork()
     for number in range(size):
-        net.start(f"n{number}")
+        network.start(f"n{number}")
     await asyncio.sleep(SETTLE_S)
-    yield net
-    for node in net.nodes.values():
-        await node.async_stop()
-    assert net.errors == []
+    yield network
+    for process in network.processes.values():
+        await process.async_stop()
+    assert network.errors == []
 
 
 class TestMembership:
-    """What the processes know of each other."""
+    """Entries that the processes have of each other."""
 
     async def test_all_meet_through_one_seed(self) -> None:
-        async with run_net(6) as net:
-            for name in net.nodes:
-                assert net.list_states(name) == ["live"] * 5
+        async with run_network(6) as network:
+            for name in network.processes:
+                assert network.list_states(name) == ["live"] * 5
 
-    async def test_leaving_is_known_within_two_seconds(self) -> None:
-        async with run_net() as net:
-            net.nodes["n2"].driver.async_announce(IncarnationId("n1.1"))
+    async def test_leaving_reaches_all_within_two_seconds(self) -> None:
+        async with run_network() as network:
+            network.processes["n2"].driver.async_announce(IncarnationId("n1.1"))
             await asyncio.sleep(2)
-            assert net.list_states("n2") == ["leaving"] * 3
-            (seen,) = (m for m in net.nodes["n3"].members if m.host == "n2")
+            assert network.list_states("n2") == ["leaving"] * 3
+            (seen,) = (m for m in network.processes["n3"].members if m.host == "n2")
             assert seen.successor == "n1.1"
 
-    async def test_silent_process_is_gone_and_comes_back(self) -> None:
-        async with run_net() as net:
-            net.cut.add("n3")
-            net.nodes["n3"].driver.async_stop()
+    async def test_silent_process_is_gone_and_can_rejoin(self) -> None:
+        async with run_network() as network:
+            network.unreachable.add("n3")
+            network.processes["n3"].driver.async_stop()
             await asyncio.sleep(SETTLE_S)
-            assert net.list_states("n3") == ["gone"] * 3
-            net.cut.clear()
-            net.start("n3", life=2)
+            assert network.list_states("n3") == ["gone"] * 3
+            network.unreachable.clear()
+            network.start("n3", run_number=2)
             await asyncio.sleep(SETTLE_S)
-            assert net.list_states("n3") == ["live"] * 3
+            assert network.list_states("n3") == ["live"] * 3
 
-    async def test_version_and_readiness_spread_also_when_replies_are_lost(
+    async def test_version_and_readiness_reach_all_despite_lost_replies(
         self,
     ) -> None:
-        async with run_net() as net:
-            net.lost_replies = 6
-            net.nodes["n1"].driver.async_set_self(ConfigVersion(7), ready=True)
+        async with run_network() as network:
+            network.lost_replies = 6
+            network.processes["n1"].driver.async_update_own_member(
+                ConfigVersion(7), ready=True
+            )
             await asyncio.sleep(SETTLE_S)
-            for node in net.nodes.values():
-                (seen,) = (m for m in node.members if m.host == "n1")
+            for process in network.processes.values():
+                (seen,) = (m for m in process.members if m.host == "n1")
                 assert (seen.config_version, seen.ready) == (7, True)
                 assert seen.state is MemberState.LIVE
 
-    async def test_reports_reach_everyone_in_seconds(self) -> None:
-        async with run_net(6) as net:
+    async def test_reports_reach_all_within_seconds(self) -> None:
+        async with run_network(6) as network:
             now = asyncio.get_running_loop().time()
             report = EngineReport(
                 upstream=UpstreamId("r1"),
@@ -218,58 +225,58 @@
                 running=3,
                 waiting=0,
             )
-            net.nodes["n5"].report_tracker.add_if_newer(report)
+            network.processes["n5"].report_tracker.add_if_newer(report)
             await asyncio.sleep(5)
-            for node in net.nodes.values():
-                entry = node.report_tracker.get(UpstreamId("r1"))
+            for process in network.processes.values():
+                entry = process.report_tracker.get(UpstreamId("r1"))
                 assert entry is not None
                 assert entry.report.running == 3
                 assert entry.report.reported_at == pytest.approx(now, abs=0.1)
 
 
 class TestLostHeartbeats:
-    """The core is told of entries that a peer did not get."""
+    """Heartbeats that a peer did not receive are reported to the core."""
 
     async def test_failed_exchange(self) -> None:
-        net = Net(cut={"n1"})
-        core, driver = _make_scripted(net)
+        network = FakeNetwork(unreachable={"n1"})
+        core, driver = _make_scripted(network)
         driver.async_start([])
         await asyncio.sleep(3)
-        assert core.lost == [SendFailed(peer=HostId("n1"))]
+        assert core.send_failures == [SendFailed(peer=HostId("n1"))]
 
-    async def test_heartbeat_that_is_skipped_while_one_is_under_way(self) -> None:
-        net = Net()
-        net.nodes["n1"] = Node(net, "n1", 1)
-        core, driver = _make_scripted(net)
+    async def test_heartbeat_that_is_skipped_during_an_exchange(self) -> None:
+        network = FakeNetwork()
+        network.processes["n1"] = Process(network, "n1", 1)
+        core, driver = _make_scripted(network)
         driver.async_start([])
         driver._driver.async_handle(Ticked())
-        assert core.lost == [SendFailed(peer=HostId("n1"))]
+        assert core.send_failures == [SendFailed(peer=HostId("n1"))]
         await asyncio.sleep(1)
-        assert len(core.lost) == 1
-        await net.nodes["n1"].async_stop()
+        assert len(core.send_failures) == 1
+        await network.processes["n1"].async_stop()
 
-    async def test_peer_that_does_not_know_a_slot(self) -> None:
-        net = Net()
-        core, driver = _make_scripted(net)
+    async def test_peer_with_an_unknown_slot(self) -> None:
+        network = FakeNetwork()
+        core, driver = _make_scripted(network)
         driver.async_start([])
         heartbeat = pb.Heartbeat(session=77, unknown_members=[3])
         identity = heartbeat.identities.add(host="n1", incarnation="n1.1")
         identity.peer_address = "n1"
         driver.async_receive_heartbeat(heartbeat)
-        assert core.lost == [SendFailed(peer=HostId("n1"))]
+        assert core.send_failures == [SendFailed(peer=HostId("n1"))]
 
 
-def _make_scripted(net: Net) -> tuple[ScriptedCore, MembershipDriver]:
+def _make_scripted(network: FakeNetwork) -> tuple[ScriptedCore, MembershipDriver]:
     own = make_member("n0")
     core = ScriptedCore(own)
     driver = MembershipDriver(
         core=core,
         own=own,
         codec=HeartbeatCodec(
-            own.incarnation, ReportTracker(), lambda: next(net.sessions)
+            own.incarnation, ReportTracker(), lambda: next(network.sessions)
         ),
-        clients=net,  # type: ignore[arg-type]
-        tasks=Tasks(net.errors.append),
+        clients=network,  # type: ignore[arg-type]
+        tasks=Tasks(network.errors.append),
         on_members=lambda _: None,
     )
     return core, driver
--- a/tests/services/test_client.py
+++ b/tests/services/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the client of plain services."""
+"""Tests of the plain service client."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from mangoway.models.identifiers import AttemptId, CallName
 from mangoway.models.verdict import Verdict
 from mangoway.services.client import ServiceClient
-from mangoway.services.messages import ServiceAnswer, ServiceAttempt
+from mangoway.services.messages import ServiceAttempt, ServiceResponse
 from mangoway.upstreams.session import UpstreamSession
 
 from ..upstreams.raw_server import RawServer, Script, answer, cut, frame
@@ -23,24 +23,24 @@
     )
 
 
-async def call(script: Script) -> ServiceAnswer:
+async def call(script: Script) -> ServiceResponse:
     async with RawServer(script) as server, UpstreamSession() as session:
         client = ServiceClient(session)
         return await client.async_call(server.address, make_attempt())
 
 
 class TestServiceClient:
-    """Calls of a plain service."""
+    """Calls to a plain service."""
 
     @pytest.mark.parametrize("status", [200, 404, 422, 500])
     async def test_status_and_body_pass_through(self, status: int) -> None:
         response = frame(status, b"[1]", "Content-Type: text/x\r\n")
         result = await call(answer(response))
-        assert result == ServiceAnswer(
+        assert result == ServiceResponse(
             status=status, content_type="text/x", body=b"[1]"
         )
 
-    async def test_request_names_the_call_and_the_attempt(self) -> None:
+    async def test_request_contains_the_call_and_the_attempt(self) -> None:
         async with (
             RawServer(answer(frame(200))) as server,
             UpstreamSession() as session,
@@ -57,19 +57,19 @@
             (503, "", Verdict.MAY_HAVE_RUN),
         ],
     )
-    async def test_refusal_is_an_error(
+    async def test_rejection_raises_an_error(
         self, status: int, headers: str, verdict: Verdict
     ) -> None:
         with pytest.raises(MangowayError) as caught:
             await call(answer(frame(status, headers=headers)))
         assert caught.value.failure.verdict is verdict
 
-    async def test_answer_of_another_attempt_is_refused(self) -> None:
+    async def test_response_to_another_attempt_is_rejected(self) -> None:
         with pytest.raises(MangowayError) as caught:
             await call(answer(frame(200, headers="X-Request-Id: a-0\r\n")))
         assert caught.value.failure.verdict is Verdict.MAY_HAVE_RUN
 
-    async def test_cut_connection_may_have_run_and_is_not_repeated(self) -> None:
+    async def test_closed_connection_may_have_run_and_is_not_retried(self) -> None:
         async with RawServer(cut()) as server, UpstreamSession() as session:
             with pytest.raises(MangowayError) as caught:
                 await ServiceClient(session).async_call(server.address, make_attempt())
--- a/tests/upstreams/raw_server.py
+++ b/tests/upstreams/raw_server.py
@@ -1,4 +1,4 @@
-"""A loopback server that answers each connection with a script of raw bytes."""
+"""A loopback server whose responses are raw bytes written by scripts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,9 +14,9 @@
 
 
 class RawServer:
-    """Counts connections and requests; a script writes each answer.
+    """Counts connections and requests; a script writes each response.
 
-    A script that returns leaves the connection open, as a silent one would be.
+    The connection stays open after the script returns, like a silent connection.
     """
 
     def __init__(self, *scripts: Script) -> None:
@@ -37,7 +37,7 @@
             task.cancel()
 
     def silence(self) -> None:
-        """Answer no more on the connections that are open now."""
+        """Stop responding on the connections that are open now."""
         self._silent |= self._tasks
 
     @property
@@ -76,7 +76,7 @@
 
 
 def answer(*parts: bytes) -> Script:
-    """Write parts and keep the connection open."""
+    """Return a script that writes parts and keeps the connection open."""
 
     async def run(_: bytes, writer: asyncio.StreamWriter) -> None:
         for part in parts:
@@ -87,7 +87,7 @@
 
 
 def cut(*parts: bytes) -> Script:
-    """Write parts and close the connection."""
+    """Return a script that writes parts and closes the connection."""
 
     async def run(_: bytes, writer: asyncio.StreamWriter) -> None:
         writer.writelines(parts)
--- a/tests/upstreams/test_exchange.py
+++ b/tests/upstreams/test_exchange.py
@@ -11,7 +11,7 @@
 from .raw_server import RawServer, Script, answer, cut, frame
 
 
-async def send(
+async def async_send(
     address: str, timeout_s: float = 5.0, send_before: float = float("inf")
 ) -> bytes:
     request = ExchangeRequest(
@@ -26,43 +26,45 @@
     return await async_exchange(request)
 
 
-async def fail(script: Script, timeout_s: float = 5.0) -> MangowayError:
-    """Return the error of an exchange with a script."""
+async def async_expect_error(script: Script, timeout_s: float = 5.0) -> MangowayError:
+    """Return the error of an exchange with a scripted server."""
     async with RawServer(script) as server:
         with pytest.raises(MangowayError) as raised:
-            await send(server.address, timeout_s)
+            await async_send(server.address, timeout_s)
         return raised.value
 
 
 class TestExchange:
-    """What is sent and what is known of failures."""
+    """Sent requests, and verdicts of failures."""
 
-    async def test_request_and_body_arrive(self) -> None:
+    async def test_request_and_body_are_received(self) -> None:
         async with RawServer(answer(frame(200, b"whole"))) as server:
-            assert await send(server.address) == b"whole"
+            assert await async_send(server.address) == b"whole"
             assert b"POST /v1/orders HTTP/1.1" in server.requests[0]
             assert server.requests[0].endswith(b'{"a":1}')
 
     async def test_each_exchange_has_its_own_connection(self) -> None:
         async with RawServer(answer(frame(200))) as server:
-            await send(server.address)
-            await send(server.address)
+            await async_send(server.address)
+            await async_send(server.address)
             assert server.connections == 2
 
     async def test_refused_connection_is_not_run(self) -> None:
         async with RawServer(answer()) as server:
             address = server.address
         with pytest.raises(MangowayError) as raised:
-            await send(address)
+            await async_send(address)
         assert raised.value.failure.verdict is Verdict.NOT_RUN
 
     async def test_silence_may_have_run(self) -> None:
-        error = await fail(answer(), timeout_s=0.2)
+        error = await async_expect_error(answer(), timeout_s=0.2)
         assert error.code is ErrorCode.UPSTREAM_SILENT
         assert error.failure.verdict is Verdict.MAY_HAVE_RUN
 
-    async def test_cut_answer_may_have_run(self) -> None:
-        error = await fail(cut(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"))
+    async def test_truncated_response_may_have_run(self) -> None:
+        error = await async_expect_error(
+            cut(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+        )
         assert error.code is ErrorCode.UPSTREAM_FAILED
         assert error.failure.verdict is Verdict.MAY_HAVE_RUN
 
@@ -70,14 +72,14 @@
         ("headers", "verdict"),
         [("X-Verdict: not_run\r\n", Verdict.NOT_RUN), ("", Verdict.MAY_HAVE_RUN)],
     )
-    async def test_refusal_says_whether_it_ran(
+    async def test_verdict_of_a_rejection_follows_its_header(
         self, headers: str, verdict: Verdict
     ) -> None:
-        error = await fail(answer(frame(503, b"", headers)))
+        error = await async_expect_error(answer(frame(503, b"", headers)))
         assert error.code is ErrorCode.UPSTREAM_BUSY
         assert error.failure.verdict is verdict
 
-    async def test_answer_over_the_limit_is_refused(self) -> None:
+    async def test_response_over_the_limit_is_rejected(self) -> None:
         async with RawServer(answer(frame(200, b"four"))) as server:
             request = ExchangeRequest(
                 method="GET",
@@ -94,6 +96,6 @@
         async with RawServer(answer(frame(200))) as server:
             now = asyncio.get_running_loop().time()
             with pytest.raises(MangowayError) as raised:
-                await send(server.address, send_before=now - 0.001)
+                await async_send(server.address, send_before=now - 0.001)
             assert raised.value.failure.verdict is Verdict.NOT_RUN
             assert server.requests == []
--- a/tests/upstreams/test_session.py
+++ b/tests/upstreams/test_session.py
@@ -19,7 +19,7 @@
     return UpstreamCall(address=address, silence_s=silence_s, **(fields | more))
 
 
-async def fail(server_address: str, **more: object) -> MangowayError:
+async def async_expect_error(server_address: str, **more: object) -> MangowayError:
     async with UpstreamSession(connect_timeout_s=0.2) as session:
         with pytest.raises(MangowayError) as caught:
             await session.async_fetch(make_call(server_address, **more))
@@ -27,12 +27,12 @@
 
 
 class TestVerdict:
-    """What each failure says about execution."""
+    """Verdict of each failure."""
 
     async def test_refused_connection_did_not_run(self) -> None:
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
-            error = await fail(f"127.0.0.1:{unused.getsockname()[1]}")
+            error = await async_expect_error(f"127.0.0.1:{unused.getsockname()[1]}")
         assert error.code is ErrorCode.UPSTREAM_FAILED
         assert error.failure.verdict is Verdict.NOT_RUN
 
@@ -41,12 +41,12 @@
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             address = full.getsockname()
-            # Fill the queue of connections, so that the next one hangs.
+            # Fill the accept backlog, so that the next connection attempt hangs.
             fillers = [socket.socket() for _ in range(4)]
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(address)
-            error = await fail(f"127.0.0.1:{address[1]}")
+            error = await async_expect_error(f"127.0.0.1:{address[1]}")
             for filler in fillers:
                 filler.close()
         assert error.code is ErrorCode.UPSTREAM_SILENT
@@ -60,36 +60,36 @@
             ("", Verdict.MAY_HAVE_RUN),
         ],
     )
-    async def test_refusal_is_not_run_only_if_it_says_so(
+    async def test_rejection_is_not_run_only_with_that_verdict(
         self, headers: str, verdict: Verdict
     ) -> None:
         busy = frame(503, headers=headers + "Retry-After: 1.5\r\n")
         async with RawServer(answer(busy)) as server:
-            error = await fail(server.address)
+            error = await async_expect_error(server.address)
         assert error.code is ErrorCode.UPSTREAM_BUSY
         assert error.failure.verdict is verdict
         assert error.failure.retry_after == 1.5
 
-    async def test_connection_cut_after_the_request_may_have_run(self) -> None:
+    async def test_connection_closed_after_the_request_may_have_run(self) -> None:
         async with RawServer(cut()) as server:
-            error = await fail(server.address)
+            error = await async_expect_error(server.address)
         assert error.code is ErrorCode.UPSTREAM_FAILED
         assert error.failure.verdict is Verdict.MAY_HAVE_RUN
 
-    async def test_body_cut_short_may_have_run(self) -> None:
+    async def test_truncated_body_may_have_run(self) -> None:
         async with RawServer(cut(OK[:-1])) as server:
-            error = await fail(server.address)
+            error = await async_expect_error(server.address)
         assert error.failure.verdict is Verdict.MAY_HAVE_RUN
 
     async def test_deadline_may_have_run(self) -> None:
         async with RawServer(answer()) as server:
-            error = await fail(server.address, timeout_s=0.05)
+            error = await async_expect_error(server.address, timeout_s=0.05)
         assert error.code is ErrorCode.DEADLINE_EXCEEDED
         assert error.failure.verdict is Verdict.MAY_HAVE_RUN
 
 
 class TestConnections:
-    """Use and loss of pooled connections."""
+    """Use of pooled and new connections."""
 
     async def test_silent_connection_is_dropped_and_the_next_call_opens_a_new_one(
         self,
@@ -109,7 +109,7 @@
             await session.async_fetch(call)
             assert server.connections == 2
 
-    async def test_silence_costs_one_call_not_one_for_each_idle_connection(
+    async def test_silence_fails_one_call_not_one_for_each_idle_connection(
         self,
     ) -> None:
         async with RawServer(answer(OK)) as server, UpstreamSession() as session:
@@ -123,7 +123,7 @@
                 await session.async_fetch(call)
             assert server.connections == 6
 
-    async def test_head_that_does_not_come_is_noticed_on_pooled_connections_only(
+    async def test_missing_headers_are_detected_on_pooled_connections_only(
         self,
     ) -> None:
         async def slow(request: bytes, writer: asyncio.StreamWriter) -> None:
@@ -142,7 +142,7 @@
             assert caught.value.code is ErrorCode.UPSTREAM_SILENT
             await session.async_fetch(call)
 
-    async def test_stale_pooled_connection_never_repeats_a_post(self) -> None:
+    async def test_post_on_a_stale_pooled_connection_is_not_retried(self) -> None:
         async with (
             RawServer(answer(OK), cut(), answer(OK)) as server,
             UpstreamSession() as session,
@@ -165,7 +165,7 @@
             await session.async_fetch(make_call(server.address, fresh=True))
             assert server.connections == 2
 
-    async def test_fault_inside_the_block_closes_the_connection(self) -> None:
+    async def test_exception_inside_the_block_closes_the_connection(self) -> None:
         async with (
             RawServer(answer(OK[:-1]), answer(OK)) as server,
             UpstreamSession() as session,
--- a/tests/util/test_address.py
+++ b/tests/util/test_address.py
@@ -1,4 +1,4 @@
-"""Tests of addresses."""
+"""Tests of splitting addresses."""
 
 import pytest
 
@@ -6,11 +6,11 @@
 
 
 class TestSplitAddress:
-    """Hosts and ports as sockets take them."""
+    """Host and port in the form for sockets."""
 
     @pytest.mark.parametrize(
         ("address", "parts"),
         [("10.0.0.1:80", ("10.0.0.1", 80)), ("[fd00::1]:80", ("fd00::1", 80))],
     )
-    def test_brackets_are_left_out(self, address: str, parts: tuple[str, int]) -> None:
+    def test_brackets_are_removed(self, address: str, parts: tuple[str, int]) -> None:
         assert split_address(address) == parts
--- a/tests/util/test_collector.py
+++ b/tests/util/test_collector.py
@@ -1,14 +1,14 @@
-"""Tests of the settings of the garbage collector."""
+"""Tests of the garbage collector configuration."""
 
 import gc
 
 from mangoway.util.collector import freeze_startup_objects
 
 
-class TestExemptStart:
-    """What was made before takes no part in later collections."""
+class TestFreezeStartupObjects:
+    """Objects that exist at the call are exempt from later collections."""
 
-    def test_what_is_there_is_not_collected_again(self) -> None:
+    def test_existing_objects_are_exempt(self) -> None:
         kept: list[object] = []
         freeze_startup_objects()
         try:
--- a/tests/util/test_listener.py
+++ b/tests/util/test_listener.py
@@ -7,9 +7,9 @@
 
 
 class TestOpenListener:
-    """What an accepted connection takes after its listener."""
+    """Socket options that accepted connections inherit."""
 
-    async def test_accepted_connections_send_small_parts_at_once(self) -> None:
+    async def test_accepted_connections_have_nagle_disabled(self) -> None:
         options: asyncio.Queue[int] = asyncio.Queue()
 
         async def accept(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
