--- a/tests/util/test_loop_watch.py
+++ b/tests/util/test_loop_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the watch of the event loop."""
+"""Tests of measuring event loop lag."""
 
 import io
 import json
@@ -7,23 +7,25 @@
 
 from mangoway.observability.event_log import LogLevel, start_log
 from mangoway.observability.metrics import Metrics
-from mangoway.util.loop_watch import LOG_FROM_S, PERIOD_S, async_watch_loop
+from mangoway.util.loop_watch import CHECK_PERIOD_S, MIN_LOGGED_LAG_S, async_watch_loop
 
 LAG_EVENT = 106
 
 
 class TestWatchLoop:
-    """A process that was paused."""
+    """Lag after a pause of the process."""
 
     async def test_pause_is_logged(self) -> None:
         stream = io.StringIO()
         stop = start_log(LogLevel.INFO, host="h", role="gateway", stream=stream)
-        # In time, then late by just the limit; the third reading ends the watch.
-        times = iter([0.0, PERIOD_S, 10.0, 10.0 + PERIOD_S + LOG_FROM_S])
+        # On time, then late by exactly the limit; the third iteration ends the watch.
+        times = iter(
+            [0.0, CHECK_PERIOD_S, 10.0, 10.0 + CHECK_PERIOD_S + MIN_LOGGED_LAG_S]
+        )
         watch = async_watch_loop(Metrics(), lambda: next(times))
         with pytest.raises(RuntimeError, match="StopIteration"):
             await watch
         stop()
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
         lags = [line for line in lines if line["event"] == LAG_EVENT]
-        assert [lag["seconds"] for lag in lags] == [LOG_FROM_S]
+        assert [lag["seconds"] for lag in lags] == [MIN_LOGGED_LAG_S]
--- a/tests/util/test_ticks.py
+++ b/tests/util/test_ticks.py
@@ -1,4 +1,4 @@
-"""Tests of periodic tasks, in virtual time."""
+"""Tests of aligned wakeups, in virtual time."""
 
 import asyncio
 
@@ -23,12 +23,12 @@
 
     async def test_tasks_of_several_periods_wake_together(self) -> None:
         loop = asyncio.get_running_loop()
-        woken: set[float] = set()
+        wake_times: set[float] = set()
 
         async def async_tick(period_s: float) -> None:
             for _ in range(int(2 / period_s)):
                 await async_sleep_to_tick(period_s)
-                woken.add(round(loop.time(), 6))
+                wake_times.add(round(loop.time(), 6))
 
         await asyncio.gather(*(async_tick(each) for each in (0.1, 0.2, 0.5)))
-        assert len(woken) == 20
+        assert len(wake_times) == 20
