--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -114,7 +114,7 @@
             request.identity,
             incarnation,
             _get_stage(request.ran_s),
-            alone=self.served_requests.contains_content(content, self.clock()),
+            variant_only=self.served_requests.contains_content(content, self.clock()),
         )
 
     def _clear(
@@ -167,4 +167,4 @@
     """
     if ran_s <= 0:
         return RunStage.NOTHING_SENT
-    return RunStage.BEGUN if ran_s < EARLY_RUN_S else RunStage.GOING_ON
+    return RunStage.OUTPUT_STARTED if ran_s < EARLY_RUN_S else RunStage.OUTPUT_ONGOING
