--- a/mangoway/peers/const.py
+++ b/mangoway/peers/const.py
@@ -40,7 +40,7 @@
 """
 
 MAX_FIRST_REPORTS: Final = 2048
-"""Runner reports in the first heartbeat to a peer, which contains all known ones."""
+"""Runner reports in the first heartbeat to a peer; enough for all known ones."""
 
 DUPLICATE_REPORT_WINDOW_S: Final = 0.05
 """Reports of a runner that are closer in time than this count as the same report.
@@ -50,7 +50,7 @@
 """
 
 MAX_SESSIONS: Final = 4096
-"""Sender sessions whose slots a receiver keeps."""
+"""Largest number of sender sessions whose slots a receiver keeps."""
 
 MAX_SLOTS: Final = 16_384
 """Slots of one session; a sender that needs more starts a new session."""
--- a/tests/peers/test_heartbeat.py
+++ b/tests/peers/test_heartbeat.py
@@ -127,23 +127,23 @@
         assert len(second.identities) == 0
         assert second.ByteSize() < 60
 
-    def test_sender_is_known_by_its_own_slot(self) -> None:
+    def test_sender_is_identified_by_its_own_slot(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         received = receiver.decode(
             sender.encode(100, (_make_member(1), _make_member(0)), 0.0), 0.0
         )
         assert received.sender == HostId("host-0")
 
-    def test_restarted_receiver_asks_for_identities_and_gets_them(self) -> None:
+    def test_restarted_receiver_requests_and_receives_identities(self) -> None:
         sender, receiver = _make_codec("host-0.1", 1), _make_codec("other", 100)
         members = (_make_member(0), _make_member(1))
         receiver.decode(sender.encode(100, members, 0.0), 0.0)
-        lost = _make_codec("other", 100)
-        received = lost.decode(sender.encode(100, members, 0.0), 0.0)
+        restarted = _make_codec("other", 100)
+        received = restarted.decode(sender.encode(100, members, 0.0), 0.0)
         assert received.sender is None
         assert received.members == ()
-        sender.decode(lost.encode(1, (), 0.0), 0.0)
-        received = lost.decode(sender.encode(100, members, 0.0), 0.0)
+        sender.decode(restarted.encode(1, (), 0.0), 0.0)
+        received = restarted.decode(sender.encode(100, members, 0.0), 0.0)
         assert received.members == members
 
     def test_exhausted_slots_start_a_new_session(
