--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -259,7 +259,7 @@
         healed_s = TRUST_HEALS * max(0.0, now - self._broken_at)
         return min(MAX_TRUSTED_IDLE_S, self._limit_s + healed_s)
 
-    def note_broken(self, idle_s: float, now: float) -> None:
+    def record_break(self, idle_s: float, now: float) -> None:
         """Note that a connection that stood idle for so long broke unanswered."""
         self._limit_s = min(self.limit(now), TRUST_AFTER_BREAK * idle_s)
         self._broken_at = now
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -157,7 +157,7 @@
         """An idle connection is used only directly after a response on it."""
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
-            edge.forwarder.pool.trust.note_broken(0.0, now=now())
+            edge.forwarder.pool.trust.record_break(0.0, now=now())
             await edge.async_call("/safe/x")
             await edge.async_call("/once/x")
             assert runner.connections == 2
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -193,19 +193,19 @@
 
     def test_break_shortens_it(self) -> None:
         trust = IdleTrust()
-        trust.note_broken(0.4, now=10.0)
+        trust.record_break(0.4, now=10.0)
         assert trust.limit(10.0) == 0.2
-        trust.note_broken(0.1, now=11.0)
+        trust.record_break(0.1, now=11.0)
         assert trust.limit(11.0) == 0.05
 
     def test_later_break_does_not_lengthen_it(self) -> None:
         trust = IdleTrust()
-        trust.note_broken(0.1, now=10.0)
-        trust.note_broken(2.0, now=10.0)
+        trust.record_break(0.1, now=10.0)
+        trust.record_break(2.0, now=10.0)
         assert trust.limit(10.0) == 0.05
 
     def test_it_grows_again(self) -> None:
         trust = IdleTrust()
-        trust.note_broken(0.4, now=10.0)
+        trust.record_break(0.4, now=10.0)
         assert 0.2 < trust.limit(20.0) < MAX_TRUSTED_IDLE_S
         assert trust.limit(100.0) == MAX_TRUSTED_IDLE_S
