--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -139,7 +139,7 @@
         except ExchangeFailedError:
             if connection.idle_s is not None:
                 now = asyncio.get_running_loop().time()
-                self.pool.trust.record_break(connection.idle_s, now)
+                self.pool.idle_limit.record_break(connection.idle_s, now)
             raise
 
     async def _async_read_own_head(self, connection: Connection) -> ResponseHead:
--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -15,7 +15,7 @@
     DEFAULT_KEEP_ALIVE_S,
     DISTRUST_IDLE_S,
     MAX_RESPONSE_HEADER_BYTES,
-    MAX_TRUSTED_IDLE_S,
+    MAX_REUSE_IDLE_S,
     READ_BYTES,
     TRUST_AFTER_BREAK,
     TRUST_HEALS,
@@ -243,7 +243,7 @@
 
 
 @define(eq=False)
-class IdleTrust:
+class IdleReuseLimit:
     """How long a connection may stand idle and still be trusted to work.
 
     A request that may not be repeated is lost to its caller if a kept connection turns
@@ -251,17 +251,17 @@
     only just after an answer came on it, and less long after any was seen to break.
     """
 
-    _limit_s: float = MAX_TRUSTED_IDLE_S
+    _limit_s: float = MAX_REUSE_IDLE_S
     _broken_at: float = -1e9
 
-    def limit(self, now: float) -> float:
+    def compute_s(self, now: float) -> float:
         """Return the longest idle time in seconds."""
         healed_s = TRUST_HEALS * max(0.0, now - self._broken_at)
-        return min(MAX_TRUSTED_IDLE_S, self._limit_s + healed_s)
+        return min(MAX_REUSE_IDLE_S, self._limit_s + healed_s)
 
     def record_break(self, idle_s: float, now: float) -> None:
         """Note that a connection that stood idle for so long broke unanswered."""
-        self._limit_s = min(self.limit(now), TRUST_AFTER_BREAK * idle_s)
+        self._limit_s = min(self.compute_s(now), TRUST_AFTER_BREAK * idle_s)
         self._broken_at = now
 
 
@@ -272,7 +272,7 @@
     max_idle: int
     """Idle connections that are kept for one address."""
 
-    trust: IdleTrust = field(factory=IdleTrust)
+    idle_limit: IdleReuseLimit = field(factory=IdleReuseLimit)
 
     _idle: dict[str, list[Connection]] = field(factory=dict, init=False)
 
@@ -289,7 +289,9 @@
         """
         kept = self._idle.get(address)
         while kept:
-            if not repeatable and now - kept[-1].idle_since > self.trust.limit(now):
+            if not repeatable and now - kept[-1].idle_since > self.idle_limit.compute_s(
+                now
+            ):
                 return None
             connection = kept.pop()
             if connection.is_fresh_enough(now):
--- a/mangoway/http1/const.py
+++ b/mangoway/http1/const.py
@@ -26,7 +26,7 @@
 DEFAULT_KEEP_ALIVE_S: Final = 4.0
 """Idle time for which a connection is kept if the upstream announces none."""
 
-MAX_TRUSTED_IDLE_S: Final = 1.0
+MAX_REUSE_IDLE_S: Final = 1.0
 """Longest idle time after which a connection still takes a request that may not be
 repeated. Upstreams keep idle ones for whole seconds. A fresh connection for each such
 request was three of five new connections, and each is priced."""
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mangoway.http1.const import MAX_TRUSTED_IDLE_S
+from mangoway.http1.const import MAX_REUSE_IDLE_S
 from mangoway.policy.scheduling.events import EndKind
 
 from ..upstreams.raw_server import RawServer, answer, cut, frame
@@ -157,7 +157,7 @@
         """An idle connection is used only directly after a response on it."""
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
-            edge.forwarder.pool.trust.record_break(0.0, now=now())
+            edge.forwarder.pool.idle_limit.record_break(0.0, now=now())
             await edge.async_call("/safe/x")
             await edge.async_call("/once/x")
             assert runner.connections == 2
@@ -184,7 +184,7 @@
             reply = await edge.async_call("/once/x")
             assert (reply.status, len(other.requests)) == (502, 0)
             assert len(runner.requests) == 2
-            assert edge.forwarder.pool.trust.limit(now()) < MAX_TRUSTED_IDLE_S
+            assert edge.forwarder.pool.idle_limit.compute_s(now()) < MAX_REUSE_IDLE_S
 
 
 class TestRejections:
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -11,10 +11,10 @@
     Connection,
     ConnectionPool,
     ExchangeFailedError,
-    IdleTrust,
+    IdleReuseLimit,
     async_connect,
 )
-from mangoway.http1.const import MAX_TRUSTED_IDLE_S
+from mangoway.http1.const import MAX_REUSE_IDLE_S
 from mangoway.http1.messages import Request
 
 from ..upstreams.raw_server import RawServer, Script, frame
@@ -192,20 +192,20 @@
     """Idle connections for requests that may not be repeated."""
 
     def test_break_shortens_it(self) -> None:
-        trust = IdleTrust()
-        trust.record_break(0.4, now=10.0)
-        assert trust.limit(10.0) == 0.2
-        trust.record_break(0.1, now=11.0)
-        assert trust.limit(11.0) == 0.05
+        idle_limit = IdleReuseLimit()
+        idle_limit.record_break(0.4, now=10.0)
+        assert idle_limit.compute_s(10.0) == 0.2
+        idle_limit.record_break(0.1, now=11.0)
+        assert idle_limit.compute_s(11.0) == 0.05
 
     def test_later_break_does_not_lengthen_it(self) -> None:
-        trust = IdleTrust()
-        trust.record_break(0.1, now=10.0)
-        trust.record_break(2.0, now=10.0)
-        assert trust.limit(10.0) == 0.05
+        idle_limit = IdleReuseLimit()
+        idle_limit.record_break(0.1, now=10.0)
+        idle_limit.record_break(2.0, now=10.0)
+        assert idle_limit.compute_s(10.0) == 0.05
 
     def test_it_grows_again(self) -> None:
-        trust = IdleTrust()
-        trust.record_break(0.4, now=10.0)
-        assert 0.2 < trust.limit(20.0) < MAX_TRUSTED_IDLE_S
-        assert trust.limit(100.0) == MAX_TRUSTED_IDLE_S
+        idle_limit = IdleReuseLimit()
+        idle_limit.record_break(0.4, now=10.0)
+        assert 0.2 < idle_limit.compute_s(20.0) < MAX_REUSE_IDLE_S
+        assert idle_limit.compute_s(100.0) == MAX_REUSE_IDLE_S
