--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -70,7 +70,7 @@
     request_id: str
     runner: RunnerEntry
     streaming: bool
-    repeatable: bool
+    retryable: bool
     """Whether the request may be sent again after a connection closed without a
     response, which doesn't prove that it has not run. Otherwise, an idle connection is
     used only if it was in use just before."""
@@ -116,7 +116,7 @@
     async def _async_exchange(self) -> AttemptResult:
         now = asyncio.get_running_loop().time
         connection = self.pool.take(
-            self.runner.address, now(), repeatable=self.repeatable
+            self.runner.address, now(), retryable=self.retryable
         )
         if connection is None:
             connection = await async_connect(self.runner.address, now())
--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -158,7 +158,7 @@
             request_id=self.fields.request_id,
             runner=runner,
             streaming=self.route.kind is RouteKind.STREAMING,
-            repeatable=idempotent,
+            retryable=idempotent,
             silence_s=self._get_max_silence() if idempotent else None,
             on_silence=self._async_find_alternative,
             pool=self.context.pool,
--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -277,7 +277,7 @@
     _idle: dict[str, list[Connection]] = field(factory=dict, init=False)
 
     def take(
-        self, address: str, now: float, *, repeatable: bool = True
+        self, address: str, now: float, *, retryable: bool = True
     ) -> Connection | None:
         """Return an idle connection that should still be open; None without one.
 
@@ -289,7 +289,7 @@
         """
         kept = self._idle.get(address)
         while kept:
-            if not repeatable and now - kept[-1].idle_since > self.idle_limit.compute_s(
+            if not retryable and now - kept[-1].idle_since > self.idle_limit.compute_s(
                 now
             ):
                 return None
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -166,8 +166,8 @@
             await read_whole(connection)
             pool.put(server.address, connection, now())
             late = now() + 1.1
-            assert pool.take(server.address, late, repeatable=False) is None
-            assert pool.take(server.address, now(), repeatable=False) is connection
+            assert pool.take(server.address, late, retryable=False) is None
+            assert pool.take(server.address, now(), retryable=False) is connection
 
     async def test_no_more_than_so_many_are_kept(self) -> None:
         async with RawServer(*[script(frame(200))] * 3) as server:
