--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -298,7 +298,7 @@
         )
         self.log.log_failed(response_status, reason, self._runner_id)
         if is_cut_off:
-            self.delivery.exchange.break_off()
+            self.delivery.exchange.abort()
         elif error is not None:
             deliver_buffered(self.delivery, error)
         else:
--- a/mangoway/http1/server.py
+++ b/mangoway/http1/server.py
@@ -106,7 +106,7 @@
         self._connection.write_part(body)
         self.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection so that the answer can't look complete."""
         self._connection.abort()
 
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -41,7 +41,7 @@
         if request.path == "/cut":
             exchange.start(200, b"OK", ())
             await exchange.async_write(b"half")
-            exchange.break_off()
+            exchange.abort()
             return
         exchange.answer(200, (), b"ok")
 
