--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -115,7 +115,7 @@
 
     async def _async_exchange(self) -> AttemptResult:
         now = asyncio.get_running_loop().time
-        connection = self.pool.take(
+        connection = self.pool.acquire(
             self.runner.address, now(), retryable=self.retryable
         )
         if connection is None:
@@ -225,7 +225,7 @@
             return
         if complete:
             now = asyncio.get_running_loop().time()
-            self.pool.put(self.runner.address, connection, now)
+            self.pool.release(self.runner.address, connection, now)
         else:
             connection.close()
 
--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -276,7 +276,7 @@
 
     _idle: dict[str, list[Connection]] = field(factory=dict, init=False)
 
-    def take(
+    def acquire(
         self, address: str, now: float, *, retryable: bool = True
     ) -> Connection | None:
         """Return an idle connection that should still be open; None without one.
@@ -300,7 +300,7 @@
             connection.close()
         return None
 
-    def put(self, address: str, connection: Connection, now: float) -> None:
+    def release(self, address: str, connection: Connection, now: float) -> None:
         """Keep a connection whose exchange is complete, if it can be used again."""
         kept = self._idle.setdefault(address, [])
         if len(kept) >= self.max_idle or not connection.prepare_reuse(now):
--- a/mangoway/http1/json_client.py
+++ b/mangoway/http1/json_client.py
@@ -95,7 +95,7 @@
 
     async def _async_get(self, address: str, fresh: bool) -> Connection:
         now = asyncio.get_running_loop().time()
-        kept = None if fresh else self.pool.take(address, now)
+        kept = None if fresh else self.pool.acquire(address, now)
         return kept or await async_connect(address, now)
 
     async def _async_exchange(
@@ -105,7 +105,7 @@
         head = await connection.async_read_head()
         parts = [part async for part in connection.async_iterate_body()]
         now = asyncio.get_running_loop().time()
-        self.pool.put(address, connection, now)
+        self.pool.release(address, connection, now)
         return _read_reply(head, b"".join(parts))
 
 
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -123,25 +123,25 @@
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
-            pool.put(server.address, connection, now())
-            assert pool.take(server.address, now()) is connection
+            pool.release(server.address, connection, now())
+            assert pool.acquire(server.address, now()) is connection
 
     async def test_bytes_after_a_response_spoil_it(self) -> None:
         async with RawServer(script(frame(200) + b"more")) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
-            pool.put(server.address, connection, now())
-            assert pool.take(server.address, now()) is None
+            pool.release(server.address, connection, now())
+            assert pool.acquire(server.address, now()) is None
 
     async def test_bytes_that_come_later_spoil_it(self) -> None:
         async with RawServer(script(frame(200), b"late")) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
-            pool.put(server.address, connection, now())
+            pool.release(server.address, connection, now())
             await asyncio.sleep(0.1)
-            assert pool.take(server.address, now()) is None
+            assert pool.acquire(server.address, now()) is None
 
     async def test_announced_end_is_believed(self) -> None:
         answer = frame(200, headers="Connection: close\r\n")
@@ -156,18 +156,18 @@
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
-            pool.put(server.address, connection, now())
-            assert pool.take(server.address, now() + 2.5) is None
+            pool.release(server.address, connection, now())
+            assert pool.acquire(server.address, now() + 2.5) is None
 
     async def test_one_for_what_may_not_be_repeated_was_used_just_before(self) -> None:
         async with RawServer(script(frame(200))) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
-            pool.put(server.address, connection, now())
+            pool.release(server.address, connection, now())
             late = now() + 1.1
-            assert pool.take(server.address, late, retryable=False) is None
-            assert pool.take(server.address, now(), retryable=False) is connection
+            assert pool.acquire(server.address, late, retryable=False) is None
+            assert pool.acquire(server.address, now(), retryable=False) is connection
 
     async def test_no_more_than_so_many_are_kept(self) -> None:
         async with RawServer(*[script(frame(200))] * 3) as server:
@@ -175,9 +175,9 @@
             kept = [await connect(server) for _ in range(3)]
             for each in kept:
                 await read_whole(each)
-                pool.put(server.address, each, now())
-            assert pool.take(server.address, now()) is not None
-            assert pool.take(server.address, now()) is None
+                pool.release(server.address, each, now())
+            assert pool.acquire(server.address, now()) is not None
+            assert pool.acquire(server.address, now()) is None
 
 
 class TestConnect:
