--- a/mangoway/callers/__init__.py
+++ b/mangoway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers of the system and the HTTP interface for them."""
+"""HTTP interface for the callers of the system."""
--- a/mangoway/callers/answer.py
+++ b/mangoway/callers/answer.py
@@ -1,4 +1,4 @@
-"""An answer while it grows; any number of callers may read it."""
+"""Answers that are filled over time and read by any number of callers."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -13,7 +13,7 @@
 
 @frozen(kw_only=True)
 class PlainBody:
-    """A whole answer that passes through as it is."""
+    """Complete answer that is passed on unchanged."""
 
     status: int
     content_type: str
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True)
 class RelayedAnswer:
-    """An answer of another gateway: its head, and the parts of its body."""
+    """Response of another gateway: its head, and the parts of its body."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -31,16 +31,16 @@
 
 @define(eq=False)
 class Answer:
-    """The answer of one request, from its start to its end.
+    """Answer of one request, from its start to its end.
 
-    A completion grows by pieces of text, a service call gets its `plain` body at
-    once, and a request that went to another gateway gets `relayed`. It ends once:
-    whole, or with a failure.
+    A completion is filled with pieces of text, a service call receives its `plain`
+    body at once, and a request that was forwarded to another gateway receives
+    `relayed`. An answer ends exactly once: complete, or with a failure.
     """
 
     pieces: list[str] = field(factory=list)
     tokens: int = 0
-    """Tokens that the pieces hold."""
+    """Number of tokens in the pieces."""
 
     finish_reason: str = FINISH_REASON_DEFAULT
     plain: PlainBody | None = None
@@ -52,59 +52,65 @@
 
     @property
     def source(self) -> "Answer":
-        """Return the answer that this one shares; itself if it is its own."""
+        """Return the answer that this one follows, or itself without a leader."""
         if self._leader is None or self.ended:
             return self
         return self._leader.source
 
     @property
     def text(self) -> str:
-        """Return all text so far."""
+        """Return the text received so far."""
         return "".join(self.pieces)
 
     @property
     def has_readers(self) -> bool:
-        """Tell whether a caller waits for it."""
+        """Return whether a caller reads or waits for this answer."""
         return bool(self._readers)
 
     def append(self, text: str, tokens: int, finish_reason: str | None) -> None:
-        """Add a piece; `tokens` counts the whole answer up to its end."""
+        """Add a piece of text.
+
+        Args:
+            text: Text of the piece.
+            tokens: Tokens of the whole answer up to the end of this piece.
+            finish_reason: Finish reason of the completion, if it was reported.
+        """
         self.pieces.append(text)
         self.tokens = tokens
         if finish_reason is not None:
             self.finish_reason = finish_reason
-        self._wake()
+        self._notify_readers()
 
     def set_plain(self, plain: PlainBody) -> None:
-        """Set the whole answer of a service call."""
+        """Set the complete answer of a service call."""
         self.plain = plain
 
     def relay(self, relayed: RelayedAnswer) -> None:
-        """Let another gateway's answer take the place of this one."""
+        """Replace this answer by the response of another gateway."""
         self.relayed = relayed
-        self._wake()
+        self._notify_readers()
 
     def follow(self, leader: "Answer") -> None:
-        """Share the answer of another request."""
+        """Follow the answer of another request."""
         self._leader = leader
         for reader in self._readers:
             leader.source._readers.add(reader)
-        self._wake()
+        self._notify_readers()
 
     def finish(self) -> None:
-        """End it whole."""
+        """End the answer as complete."""
         self.ended = True
-        self._wake()
+        self._notify_readers()
 
     def fail(self, failure: Failure) -> None:
-        """End it with a failure."""
+        """End the answer with a failure."""
         self.failure = failure
         self.ended = True
-        self._wake()
+        self._notify_readers()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         for reader in self._readers:
-            reader.wake()
+            reader.notify()
 
     def _attach(self, reader: "AnswerReader") -> None:
         self._readers.add(reader)
@@ -118,16 +124,16 @@
 
 
 class AnswerReader:
-    """One caller's place in an answer; close it when the caller is done."""
+    """Read position of one caller in an answer; must be closed after use."""
 
     def __init__(self, answer: Answer) -> None:
         self._answer = answer
         self._position = 0
         self._changed = False
-        self._wake: asyncio.Future[None] | None = None
+        self._waiter: asyncio.Future[None] | None = None
         self.closed = False
         self.finished = False
-        """Whether all of the answer was read."""
+        """Whether the answer was read to its end."""
 
         answer._attach(self)
 
@@ -139,33 +145,33 @@
 
     @property
     def answer(self) -> Answer:
-        """Return the answer that is read, a shared one included."""
+        """Return the answer that is read: the leader's if one is followed."""
         return self._answer.source
 
-    def wake(self) -> None:
-        """Look again at the answer."""
+    def notify(self) -> None:
+        """Report a change of the answer to the waiting task."""
         self._changed = True
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
     def close(self) -> None:
-        """Stop reading, also while another task waits here."""
+        """Stop reading; a task that waits for the answer continues."""
         self.closed = True
         self._answer._detach(self)
-        self.wake()
+        self.notify()
 
     async def async_wait_start(self) -> None:
-        """Wait until there is text, a relayed answer, or the end."""
+        """Wait for the first text, a relayed answer, or the end of the answer."""
         while not self._has_started():
             await self._async_wait()
 
     async def async_wait_end(self) -> None:
-        """Wait until it ended or is relayed."""
+        """Wait until the answer has ended or is relayed."""
         while not (self.closed or self.answer.ended or self.answer.relayed):
             await self._async_wait()
 
     async def async_read(self) -> list[str]:
-        """Return the pieces that are new; none at the end."""
+        """Return the pieces added since the last call; an empty list at the end."""
         while True:
             pieces = self.answer.pieces[self._position :]
             if pieces:
@@ -184,8 +190,8 @@
         return self.closed or started
 
     async def _async_wait(self) -> None:
-        # A bare future: an event would cost twice the calls for each read.
+        # A bare future, since an asyncio.Event takes twice the calls for each read.
         if not self._changed:
-            self._wake = asyncio.get_running_loop().create_future()
-            await self._wake
+            self._waiter = asyncio.get_running_loop().create_future()
+            await self._waiter
         self._changed = False
--- a/mangoway/callers/application.py
+++ b/mangoway/callers/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers."""
+"""HTTP application for callers."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Awaitable, Callable, Mapping
@@ -30,7 +30,7 @@
     PATH_SERVICES,
     PATH_STATUS,
 )
-from .gate import Exchange, Gate, make_internal
+from .gate import Exchange, Gate, make_internal_failure
 from .messages import IncomingRequest, OutgoingAnswer
 from .problems import make_problem
 
@@ -41,14 +41,14 @@
 
 
 class GatewayView(Protocol):
-    """What the gateway shows of itself."""
+    """Interface to the state of the gateway that the application serves."""
 
     def list_addresses(self) -> AddressAnswer:
-        """Return the gateways that callers should use."""
+        """Return the addresses of the gateways that callers should use."""
         ...
 
     def check_ready(self) -> None:
-        """Raise `MangowayError` (NOT_READY or LEAVING) unless it serves."""
+        """Raise `MangowayError` (NOT_READY or LEAVING) unless requests are accepted."""
         ...
 
     def render_metrics(self) -> bytes:
@@ -56,17 +56,17 @@
         ...
 
     def read_status(self) -> Mapping[str, Any]:
-        """Return a snapshot that can be written as JSON."""
+        """Return a snapshot of the status that can be encoded as JSON."""
         ...
 
     def explain(self, request_id: RequestId) -> list[Mapping[str, Any]]:
-        """Return the kept decisions about a request, oldest first."""
+        """Return the recorded decisions about a request, oldest first."""
         ...
 
 
 @frozen(kw_only=True)
 class ApplicationParts:
-    """What the application is made of."""
+    """Components and limits of the application."""
 
     gate: Gate
     view: GatewayView
@@ -75,10 +75,10 @@
 
 
 def make_application(parts: ApplicationParts) -> Application:
-    """Return the application; start and stop it through its lifespan."""
+    """Return the application, which is started and stopped through its lifespan."""
     app = Application(router=Router())
-    pages = _Pages(parts)
-    requests = _Requests(parts)
+    pages = _StatusHandlers(parts)
+    requests = _RequestHandlers(parts)
     _add_route(app, "GET", PATH_ADDRESSES, pages.async_list_addresses)
     _add_route(app, "GET", PATH_STATUS, pages.async_read_status)
     _add_route(app, "GET", PATH_EXPLAIN + "{request_id}", pages.async_explain)
@@ -87,52 +87,52 @@
     _add_route(app, "GET", PATH_METRICS, pages.async_read_metrics)
     _add_route(app, "POST", PATH_COMPLETIONS, requests.async_handle)
     _add_route(app, "POST", PATH_SERVICES + "{service}/{call}", requests.async_handle)
-    app.router.fallback = _async_refuse_path
+    app.router.fallback = _async_reject_path
     return app
 
 
 def _add_route(app: Application, method: str, path: str, handler: Handler) -> None:
-    # The wrapper has the signature that the library passes a request to as it is.
+    # BlackSheep passes the request unchanged to a handler with this signature.
     async def async_handle(request: Request) -> Response:
-        return await _async_guard(handler, request)
+        return await _async_handle_errors(handler, request)
 
     app.router.add(method, path, async_handle)
     for other in HANDLED_METHODS:
         if other != method:
-            app.router.add(other, path, _async_refuse_method)
+            app.router.add(other, path, _async_reject_method)
 
 
-async def _async_guard(handler: Handler, request: Request) -> Response:
+async def _async_handle_errors(handler: Handler, request: Request) -> Response:
     try:
         return await handler(request)
     except MangowayError as error:
         return _make_response(make_problem(error.failure, None))
     except Exception as error:
-        # Callers get a problem document for unexpected errors as well.
+        # Callers receive a problem document for unexpected errors as well.
         log_event(TaskFailed(task="callers", error=repr(error)))
-        return _make_response(make_problem(make_internal(error), None))
+        return _make_response(make_problem(make_internal_failure(error), None))
 
 
-async def _async_refuse_method(request: Request) -> Response:
+async def _async_reject_method(request: Request) -> Response:
     error = MangowayError(
-        ErrorCode.METHOD_NOT_ALLOWED, f"{request.path} does not take {request.method}"
+        ErrorCode.METHOD_NOT_ALLOWED, f"{request.path} does not accept {request.method}"
     )
     return _make_response(make_problem(error.failure, None))
 
 
-async def _async_refuse_path(request: Request) -> Response:
+async def _async_reject_path(request: Request) -> Response:
     error = MangowayError(ErrorCode.NOT_FOUND, f"no such path: {request.path}")
     return _make_response(make_problem(error.failure, None))
 
 
-class _Pages:
-    """Answers that the gateway gives from its own knowledge."""
+class _StatusHandlers:
+    """Handlers of addresses, status, health, readiness and metrics."""
 
     def __init__(self, parts: ApplicationParts) -> None:
         self._parts = parts
 
     async def async_list_addresses(self, _: Request) -> Response:
-        """Answer which gateways to use."""
+        """Return the gateways that callers should use."""
         answer = self._parts.view.list_addresses()
         gateways = [
             {
@@ -146,90 +146,90 @@
         return _make_json({"gateways": gateways, "valid_for_s": answer.valid_for_s})
 
     async def async_read_status(self, _: Request) -> Response:
-        """Answer with a snapshot."""
+        """Return a snapshot of the status."""
         return _make_json(self._parts.view.read_status())
 
     async def async_explain(self, request: Request) -> Response:
-        """Answer why a request was decided as it was."""
+        """Return the recorded decisions about a request and their reasons."""
         request_id = RequestId((request.route_values or {})["request_id"] or "")
         decisions = self._parts.view.explain(request_id)
         if not decisions:
             raise MangowayError(
-                ErrorCode.NOT_FOUND, f"no decision about {request_id} is kept here"
+                ErrorCode.NOT_FOUND, f"no decision about {request_id} is recorded here"
             )
         return _make_json({"request_id": request_id, "decisions": decisions})
 
     async def async_check_health(self, _: Request) -> Response:
-        """Answer that the process runs."""
+        """Return that the process is running."""
         return _make_json({"status": "ok"})
 
     async def async_check_ready(self, _: Request) -> Response:
-        """Answer whether it takes new requests."""
+        """Return whether new requests are accepted."""
         self._parts.view.check_ready()
         return _make_json({"status": "ready"})
 
     async def async_read_metrics(self, _: Request) -> Response:
-        """Answer with the metrics."""
+        """Return the metrics."""
         content = Content(CONTENT_TYPE.encode(), self._parts.view.render_metrics())
         return Response(STATUS_OK, content=content)
 
 
-class _Requests:
-    """Completions and service calls."""
+class _RequestHandlers:
+    """Handlers of completions and service calls."""
 
     def __init__(self, parts: ApplicationParts) -> None:
         self._parts = parts
 
     async def async_handle(self, request: Request) -> Response:
-        """Answer one request, whole or streamed."""
+        """Handle one request; the response is complete or streamed."""
         gate = self._parts.gate
         try:
             body = await async_read_body(
                 request, self._parts.max_body_bytes, self._parts.body_timeout_s
             )
         except MangowayError as error:
-            refused = gate.refuse(_make_incoming(request, b""), error.failure)
-            return _make_response(make_problem(error.failure, refused))
+            request_id = gate.refuse(_make_incoming(request, b""), error.failure)
+            return _make_response(make_problem(error.failure, request_id))
         exchange = gate.open(_make_incoming(request, body))
-        watch = asyncio.get_running_loop().create_task(
+        disconnect_watch = asyncio.get_running_loop().create_task(
             _async_watch_connection(request, exchange)
         )
         keep_open = False
         try:
-            response, keep_open = await _async_respond(exchange, watch)
+            response, keep_open = await _async_respond(exchange, disconnect_watch)
             return response
         finally:
             if not keep_open:
-                watch.cancel()
+                disconnect_watch.cancel()
                 exchange.close()
 
 
 async def _async_respond(
-    exchange: Exchange, watch: "asyncio.Task[None]"
+    exchange: Exchange, disconnect_watch: "asyncio.Task[None]"
 ) -> tuple[Response, bool]:
-    """Return the response, and whether its body still streams."""
+    """Return the response, and whether its body is still streamed."""
     try:
         outgoing = await exchange.async_answer()
     except MangowayError as error:
         return _make_response(make_problem(error.failure, exchange.id)), False
     except Exception as error:
         log_event(TaskFailed(task="callers", error=repr(error)))
-        failure = make_internal(error)
-        exchange.note_failure(failure)
+        failure = make_internal_failure(error)
+        exchange.record_failure(failure)
         return _make_response(make_problem(failure, exchange.id)), False
     if outgoing is None:
-        gone = MangowayError(ErrorCode.CANCELLED, "the caller hung up")
+        gone = MangowayError(ErrorCode.CANCELLED, "the caller closed the connection")
         return _make_response(make_problem(gone.failure, exchange.id)), False
     if isinstance(outgoing.body, bytes):
         return _make_response(outgoing), False
-    return _make_stream(outgoing, outgoing.body, exchange, watch), True
+    return _make_stream(outgoing, outgoing.body, exchange, disconnect_watch), True
 
 
 def _make_stream(
     outgoing: OutgoingAnswer,
     parts: AsyncGenerator[bytes, None],
     exchange: Exchange,
-    watch: "asyncio.Task[None]",
+    disconnect_watch: "asyncio.Task[None]",
 ) -> Response:
     async def async_send() -> AsyncGenerator[bytes, None]:
         try:
@@ -237,7 +237,7 @@
                 yield part
         finally:
             await parts.aclose()
-            watch.cancel()
+            disconnect_watch.cancel()
             exchange.close()
 
     content_type = dict(outgoing.headers)[HEADER_CONTENT_TYPE].encode()
--- a/mangoway/callers/body.py
+++ b/mangoway/callers/body.py
@@ -1,4 +1,4 @@
-"""Reads the body of a caller's request within its bounds."""
+"""Reading of request bodies with limits on size and time."""
 
 import asyncio
 
@@ -9,33 +9,35 @@
 
 
 async def async_read_body(request: Request, max_bytes: int, timeout_s: float) -> bytes:
-    """Return the body.
+    """Return the body of a request.
 
     Raises:
-        MangowayError: BODY_TOO_LARGE, MALFORMED_REQUEST if it takes longer than
-            the time, or CANCELLED if the caller hung up.
+        MangowayError: BODY_TOO_LARGE, MALFORMED_REQUEST if the body takes longer
+            than `timeout_s`, or CANCELLED if the caller closed the connection.
     """
     length = request.get_first_header(b"content-length")
     if length is not None and length.isdigit() and int(length) > max_bytes:
-        raise _fail_large(max_bytes)
+        raise _make_too_large_error(max_bytes)
     body = bytearray()
     try:
         async with asyncio.timeout(timeout_s):
             async for part in request.stream():  # type: ignore[attr-defined]
                 body.extend(part or b"")
                 if len(body) > max_bytes:
-                    raise _fail_large(max_bytes)
+                    raise _make_too_large_error(max_bytes)
     except TimeoutError:
         raise MangowayError(
             ErrorCode.MALFORMED_REQUEST,
             f"the body took longer than {timeout_s:g} seconds",
         ) from None
     except MessageAborted:
-        raise MangowayError(ErrorCode.CANCELLED, "the caller hung up") from None
+        raise MangowayError(
+            ErrorCode.CANCELLED, "the caller closed the connection"
+        ) from None
     return bytes(body)
 
 
-def _fail_large(max_bytes: int) -> MangowayError:
+def _make_too_large_error(max_bytes: int) -> MangowayError:
     return MangowayError(
         ErrorCode.BODY_TOO_LARGE, f"the body is larger than {max_bytes} bytes"
     )
--- a/mangoway/callers/completions.py
+++ b/mangoway/callers/completions.py
@@ -1,4 +1,4 @@
-"""The body of a completion in the published shape."""
+"""Parsing of request bodies of the public completions API."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -6,45 +6,47 @@
 from attrs import field, frozen
 
 from .const import DEFAULT_MAX_TOKENS, MAX_TOKENS_LIMIT
-from .fields import BODY_FIELDS, fail_malformed
+from .fields import BODY_FIELDS, make_malformed_error
 
 OWN_FIELDS: Final = frozenset({"model", "prompt", "max_tokens", "stream"}) | BODY_FIELDS
 ENGINE_FIELDS: Final = frozenset(
     {"priority", "request_id", "resume_from", "resume_text"}
 )
-"""Fields of the engines' protocol that callers must not set."""
+"""Fields of the engine protocol that callers must not set."""
 
 SINGLE_ANSWER: Final = {"n": 1, "best_of": 1, "echo": False, "logprobs": None}
-"""Fields of the published shape for which only one value is served."""
+"""Fields of the public API for which only one value is supported."""
 
 
 @frozen(kw_only=True)
 class CompletionBody:
-    """A checked body."""
+    """Validated body of a completion request."""
 
     model: str
     prompt: str = field(repr=False)
     max_tokens: int
     stream: bool
     parameters: Mapping[str, Any]
-    """All further fields; the engine checks them."""
+    """All other fields; the engine validates them."""
 
     fields: Mapping[str, Any] = field(repr=False)
-    """The whole object."""
+    """All fields of the body."""
 
 
 def parse_completion(fields: Mapping[str, Any]) -> CompletionBody:
-    """Check the object of a body.
+    """Validate the decoded body of a completion request.
 
     Raises:
-        MangowayError: MALFORMED_REQUEST, naming the field.
+        MangowayError: MALFORMED_REQUEST with the name of the invalid field.
     """
-    for name, only in SINGLE_ANSWER.items():
-        if fields.get(name, only) not in (only, None):
-            raise fail_malformed(f"{name}: only {only!r} is served")
+    for name, supported in SINGLE_ANSWER.items():
+        if fields.get(name, supported) not in (supported, None):
+            raise make_malformed_error(f"{name}: only {supported!r} is supported")
     reserved = ENGINE_FIELDS.intersection(fields)
     if reserved:
-        raise fail_malformed(f"{min(reserved)}: callers can't set this field")
+        raise make_malformed_error(
+            f"{min(reserved)}: this field cannot be set by callers"
+        )
     parameters = {
         name: value
         for name, value in fields.items()
@@ -63,14 +65,14 @@
 def _read_text(fields: Mapping[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise fail_malformed(f"{name}: expected text")
+        raise make_malformed_error(f"{name}: expected text")
     return value
 
 
 def _read_max_tokens(value: Any) -> int:
-    whole = isinstance(value, int) and not isinstance(value, bool)
-    if not whole or not 1 <= value <= MAX_TOKENS_LIMIT:
-        raise fail_malformed(
+    is_whole = isinstance(value, int) and not isinstance(value, bool)
+    if not is_whole or not 1 <= value <= MAX_TOKENS_LIMIT:
+        raise make_malformed_error(
             f"max_tokens: expected a whole number from 1 to {MAX_TOKENS_LIMIT}"
         )
     return int(value)
@@ -78,5 +80,5 @@
 
 def _read_stream(value: Any) -> bool:
     if not isinstance(value, bool):
-        raise fail_malformed("stream: expected true or false")
+        raise make_malformed_error("stream: expected true or false")
     return value
--- a/mangoway/callers/connection.py
+++ b/mangoway/callers/connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection, with limits on callers that stall it."""
+"""Connections of callers, with timeouts for stalled callers."""
 
 import asyncio
 
@@ -8,46 +8,48 @@
 
 
 class CallerConnection(HttpToolsProtocol):
-    """Closes where a request's headers do not come, or the answer is not read.
+    """Connection that is aborted on incomplete headers or an unread response.
 
-    The library bounds only the time between two requests, and only until the first
-    byte of the next. Each end is logged as a warning of the library.
+    uvicorn limits only the time between two requests, and only until the first byte
+    of the next one. Each abort is logged as a warning of uvicorn's logger.
     """
 
     _headers_timer: asyncio.TimerHandle | None = None
     _unread_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin to wait for the headers of the first request."""
+        """Start the timeout for the headers of the first request."""
         super().connection_made(transport)
-        self._await_headers()
+        self._start_headers_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wait no longer."""
+        """Stop the timers."""
         super().connection_lost(exc)
         self._stop_headers_timer()
         self._stop_unread_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; those of a next request begin the wait for its headers."""
+        """Parse bytes; the first ones of a new request start its headers timeout."""
         super().data_received(data)
         if self._headers_timer is None and self._is_between_requests():
-            self._await_headers()
+            self._start_headers_timer()
 
     def on_headers_complete(self) -> None:
-        """Begin the request."""
+        """Stop the headers timeout and start the request."""
         self._stop_headers_timer()
         super().on_headers_complete()
 
     def pause_writing(self) -> None:
-        """Begin to wait until the caller reads what is buffered."""
+        """Start the timeout for a caller that does not read."""
         super().pause_writing()
         self._unread_timer = self.loop.call_later(
-            UNREAD_TIMEOUT_S, self._abort, "the caller does not read its answer"
+            UNREAD_TIMEOUT_S,
+            self._abort,
+            "timeout while the caller does not read its response",
         )
 
     def resume_writing(self) -> None:
-        """Go on, since the caller has read."""
+        """Stop the timeout after the caller has read."""
         self._stop_unread_timer()
         super().resume_writing()
 
@@ -55,9 +57,11 @@
         idle = self.cycle is None or self.cycle.response_complete
         return idle and not self.transport.is_closing()
 
-    def _await_headers(self) -> None:
+    def _start_headers_timer(self) -> None:
         self._headers_timer = self.loop.call_later(
-            HEADERS_TIMEOUT_S, self._abort, "the headers of a request did not come"
+            HEADERS_TIMEOUT_S,
+            self._abort,
+            "timeout while waiting for the headers of a request",
         )
 
     def _stop_headers_timer(self) -> None:
--- a/mangoway/callers/const.py
+++ b/mangoway/callers/const.py
@@ -23,7 +23,7 @@
         HEADER_TRACEPARENT,
     }
 )
-"""Headers that go along with a request to another gateway."""
+"""Headers that are sent with a request forwarded to another gateway."""
 
 CONTENT_TYPE_JSON: Final = "application/json"
 CONTENT_TYPE_PROBLEM: Final = "application/problem+json"
@@ -41,21 +41,21 @@
 PROBLEM_TYPE_PREFIX: Final = "urn:mangoway:error:"
 
 BODY_TIMEOUT_S: Final = 10.0
-"""Longest time in which a caller may send its body."""
+"""Timeout for receiving the body of a request."""
 
 HEADERS_TIMEOUT_S: Final = 10.0
-"""Longest time in which a caller may send the headers of a request."""
+"""Timeout for receiving the headers of a request."""
 
 UNREAD_TIMEOUT_S: Final = 60.0
-"""Longest time for which a caller may leave a full buffer of its answer unread."""
+"""Time after which a connection with a full write buffer is aborted."""
 
 DEADLINE_MAX_S: Final = 7 * 86_400.0
 DEFAULT_MAX_TOKENS: Final = 16
-"""The default of the published completions shape."""
+"""Default of the public completions API."""
 
 MAX_TOKENS_LIMIT: Final = 1 << 20
 CHARACTERS_PER_TOKEN: Final = 4
-"""Rough length of a token, for estimates of a prompt's size."""
+"""Approximate length of a token, for estimates of a prompt's size."""
 
 PREFIX_BLOCK_CHARACTERS: Final = 256
 PREFIX_BLOCKS_MAX: Final = 32
--- a/mangoway/callers/fields.py
+++ b/mangoway/callers/fields.py
@@ -1,4 +1,4 @@
-"""The fields that say who asks, how urgently and under which key."""
+"""Caller, work class, deadline and idempotency fields of a request."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -30,7 +30,7 @@
 
 @frozen(kw_only=True)
 class RequestFields:
-    """What a request says of itself; None where it says nothing."""
+    """Fields given with a request; None for those that are not given."""
 
     caller: str | None
     work_class: WorkClass | None
@@ -40,14 +40,14 @@
 
 
 def read_fields(headers: Mapping[str, str], body: Mapping[str, Any]) -> RequestFields:
-    """Read the fields; a header goes before its equivalent in the body.
+    """Read the fields; a header takes precedence over the field of the body.
 
     Raises:
-        MangowayError: MALFORMED_REQUEST or UNKNOWN_CLASS, naming the field.
+        MangowayError: MALFORMED_REQUEST or UNKNOWN_CLASS with the name of the field.
     """
     key = _read_text(headers, HEADER_IDEMPOTENCY_KEY, body, FIELD_KEY)
     if key == "":
-        raise fail_malformed(f"{HEADER_IDEMPOTENCY_KEY}: is empty")
+        raise make_malformed_error(f"{HEADER_IDEMPOTENCY_KEY}: is empty")
     return RequestFields(
         caller=_read_text(headers, HEADER_CALLER, body, FIELD_CALLER),
         work_class=_read_class(headers, body),
@@ -57,8 +57,8 @@
     )
 
 
-def fail_malformed(detail: str) -> MangowayError:
-    """Return the error of a request that breaks the interface."""
+def make_malformed_error(detail: str) -> MangowayError:
+    """Return the error for a request that violates the interface."""
     return MangowayError(ErrorCode.MALFORMED_REQUEST, detail)
 
 
@@ -67,7 +67,7 @@
 ) -> str | None:
     value = headers.get(header, body.get(name))
     if value is not None and not isinstance(value, str):
-        raise fail_malformed(f"{name}: expected text")
+        raise make_malformed_error(f"{name}: expected text")
     return value
 
 
@@ -90,13 +90,13 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, str | int | float):
-        raise fail_malformed(f"{FIELD_DEADLINE}: expected a number of seconds")
+        raise make_malformed_error(f"{FIELD_DEADLINE}: expected a number of seconds")
     try:
         seconds = float(value)
     except ValueError:
         seconds = 0.0
     if not 0 < seconds <= DEADLINE_MAX_S:
-        raise fail_malformed(
+        raise make_malformed_error(
             f"{HEADER_DEADLINE}: expected seconds above 0 and up to {DEADLINE_MAX_S:g}"
         )
     return seconds
@@ -107,10 +107,10 @@
     if text is None:
         value = body.get(FIELD_IDEMPOTENT)
         if value is not None and not isinstance(value, bool):
-            raise fail_malformed(f"{FIELD_IDEMPOTENT}: expected true or false")
+            raise make_malformed_error(f"{FIELD_IDEMPOTENT}: expected true or false")
         return value
     if text.lower() in TRUE_WORDS:
         return True
     if text.lower() in FALSE_WORDS:
         return False
-    raise fail_malformed(f"{HEADER_IDEMPOTENT}: expected true or false")
+    raise make_malformed_error(f"{HEADER_IDEMPOTENT}: expected true or false")
--- a/mangoway/callers/gate.py
+++ b/mangoway/callers/gate.py
@@ -1,4 +1,4 @@
-"""The way of one request from its arrival to its answer."""
+"""Handling of requests from their arrival to their answer."""
 
 import time
 from collections.abc import AsyncGenerator
@@ -26,12 +26,15 @@
 OUTCOME_WHOLE = "whole"
 OUTCOME_REFUSED = "refused"
 REASON_FAILED_PREFIX = "answered_"
-"""Reason of a failure as the caller got it; the decision before has its own."""
+"""Prefix of the reason under which the journal keeps the failure sent to a caller.
+
+The decision that led to the failure has a journal entry with its own reason.
+"""
 NOT_READY_RETRY_S = 1.0
 
 
 class RequestHandler(Protocol):
-    """Decides about requests and fills their answers."""
+    """Interface of the component that decides about requests and fills answers."""
 
     @property
     def configuration(self) -> Configuration | None:
@@ -39,21 +42,21 @@
         ...
 
     def now(self) -> float:
-        """Return the time on the clock of the decisions."""
+        """Return the time of the clock that deadlines refer to."""
         ...
 
     def submit(self, submission: Submission, span: HopSpan) -> Answer:
-        """Take a checked request and return its answer, which then grows."""
+        """Accept a validated request and return its answer, which is filled later."""
         ...
 
     def hang_up(self, request_id: RequestId) -> None:
-        """Note that nobody waits for a request's answer any more."""
+        """Handle the loss of the last reader of a request's answer."""
         ...
 
 
 @define(eq=False)
 class Gate:
-    """Takes requests of callers and of other gateways alike."""
+    """Entry point for requests of callers and of other gateways."""
 
     _handler: RequestHandler
     _incarnation: IncarnationId
@@ -62,15 +65,15 @@
     _journal: Journal
     _arrivals: int = field(default=0, init=False)
     open_count: int = field(default=0, init=False)
-    """Requests whose answer is not yet whole."""
+    """Number of requests whose answer is not complete."""
 
     def make_id(self) -> RequestId:
-        """Return a new request id, unique in the whole system."""
+        """Return a new request id that is unique in the whole system."""
         self._arrivals += 1
         return RequestId(f"{self._incarnation}-{self._arrivals:x}")
 
     def open(self, incoming: IncomingRequest) -> "Exchange":
-        """Begin the exchange of one request."""
+        """Start the exchange of one request."""
         parent = incoming.headers.get(HEADER_TRACEPARENT)
         span = self._tracing.start(Hop.CALLER, incoming.path, parent)
         self.open_count += 1
@@ -78,21 +81,21 @@
         return Exchange(self, incoming, self.make_id(), span)
 
     def refuse(self, incoming: IncomingRequest, failure: Failure) -> RequestId:
-        """Note a request that was refused before its body was whole."""
+        """Record a request that was refused before its body was complete."""
         exchange = self.open(incoming)
-        exchange.note_failure(failure)
+        exchange.record_failure(failure)
         exchange.close()
         return exchange.id
 
     def submit(self, exchange: "Exchange") -> Submission:
-        """Check and submit a request.
+        """Validate and submit a request.
 
         Raises:
-            MangowayError: If it was refused before any decision.
+            MangowayError: If the request was refused before any decision.
         """
         configuration = self._handler.configuration
         if configuration is None:
-            raise self._make_not_ready(exchange.incoming)
+            raise self._make_not_ready_error(exchange.incoming)
         arrival = Arrival(
             id=exchange.id, now=self._handler.now(), configuration=configuration
         )
@@ -101,7 +104,7 @@
         return submission
 
     def close(self, exchange: "Exchange") -> None:
-        """Settle the accounts of an exchange that ended."""
+        """Update metrics, log and trace after the end of an exchange."""
         self.open_count -= 1
         self._metrics.in_progress.set(level=self.open_count)
         reader, submission = exchange.reader, exchange.submission
@@ -111,23 +114,24 @@
                 log_event(CallerGone(request_id=exchange.id))
                 self._handler.hang_up(exchange.id)
         if exchange.failure is not None:
-            self._note_failure(exchange, exchange.failure)
+            self._log_failure(exchange, exchange.failure)
         elif exchange.ended and submission is not None:
-            self._note_success(exchange, submission)
+            self._log_success(exchange, submission)
         exchange.span.end()
 
-    def _make_not_ready(self, incoming: IncomingRequest) -> MangowayError:
+    def _make_not_ready_error(self, incoming: IncomingRequest) -> MangowayError:
         home = read_key_home(incoming)
-        # What nobody knows here yet may have run at the home that the key names.
-        elsewhere = home is not None and home != self._incarnation
+        # Without a configuration the key cannot be looked up, so a request whose key
+        # has another home may have run there.
+        has_other_home = home is not None and home != self._incarnation
         return MangowayError(
             ErrorCode.NOT_READY,
             "no configuration is in force yet",
-            Verdict.MAY_HAVE_RUN if elsewhere else Verdict.NOT_RUN,
+            Verdict.MAY_HAVE_RUN if has_other_home else Verdict.NOT_RUN,
             retry_after=NOT_READY_RETRY_S,
         )
 
-    def _note_success(self, exchange: "Exchange", submission: Submission) -> None:
+    def _log_success(self, exchange: "Exchange", submission: Submission) -> None:
         request = submission.request
         work_class = request.work_class.value
         seconds = self._handler.now() - request.arrived_at
@@ -144,7 +148,7 @@
             )
         )
 
-    def _note_failure(self, exchange: "Exchange", failure: Failure) -> None:
+    def _log_failure(self, exchange: "Exchange", failure: Failure) -> None:
         request = None if exchange.submission is None else exchange.submission.request
         work_class = "" if request is None else request.work_class.value
         self._metrics.requests.add(work_class, OUTCOME_REFUSED, failure.code.value)
@@ -176,7 +180,7 @@
 
 @define(eq=False)
 class Exchange:
-    """One request and its answer; close it in every case."""
+    """One request and its answer; must be closed in every case."""
 
     _gate: Gate
     incoming: IncomingRequest
@@ -187,34 +191,34 @@
     failure: Failure | None = None
     attempts: int = 0
     ended: bool = False
-    """Whether the answer was delivered to its end, or failed."""
+    """Whether the answer was delivered completely, or failed."""
 
     closed: bool = False
 
     async def async_answer(self) -> OutgoingAnswer | None:
-        """Return the answer once it can begin; None if the caller hung up.
+        """Wait for the start of the answer; return None if the caller disconnected.
 
         Raises:
-            MangowayError: If the request fails before its answer began.
+            MangowayError: If the request fails before the start of its answer.
         """
         try:
             return await self._async_answer()
         except MangowayError as error:
-            self.note_failure(error.failure)
+            self.record_failure(error.failure)
             raise
 
-    def note_failure(self, failure: Failure) -> None:
+    def record_failure(self, failure: Failure) -> None:
         """End the exchange with a failure."""
         self.failure = failure
         self.ended = True
 
     def hang_up(self) -> None:
-        """Note that the caller is gone; whoever waits for the answer goes on."""
+        """Handle a disconnect; a task that waits for the answer continues."""
         if self.reader is not None:
             self.reader.close()
 
     def close(self) -> None:
-        """End the exchange; an answer that is not whole is cancelled."""
+        """End the exchange; an incomplete answer is cancelled."""
         if self.closed:
             return
         self.closed = True
@@ -267,8 +271,8 @@
             async for part in parts:
                 yield part
         except MangowayError as error:
-            self.note_failure(error.failure)
-            # Only a stream has a place for it; any other body is left unfinished.
+            self.record_failure(error.failure)
+            # Only a stream can carry an error event; any other body is left incomplete.
             if not self._is_streamed():
                 raise
             yield make_error_event(error.failure, self.id)
@@ -286,8 +290,8 @@
     )
 
 
-def make_internal(error: Exception) -> Failure:
-    """Return the failure of an unexpected error; what ran is unknown."""
+def make_internal_failure(error: Exception) -> Failure:
+    """Return the failure of an unexpected error; the request may have run."""
     return Failure(
         code=ErrorCode.INTERNAL,
         verdict=Verdict.MAY_HAVE_RUN,
--- a/mangoway/callers/keys.py
+++ b/mangoway/callers/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: which of them name their home."""
+"""Idempotency keys that contain the incarnation of their home gateway."""
 
 import re
 from typing import Final
@@ -7,11 +7,11 @@
 from ..models.identifiers import IncarnationId
 
 INCARNATION_PATTERN: Final = re.compile(r"[0-9a-f]{32}")
-"""Form of incarnations of gateways; a plain key hardly has it by chance."""
+"""Format of gateway incarnations; a plain key is unlikely to match it by chance."""
 
 
 def find_home(key: str) -> IncarnationId | None:
-    """Return the incarnation that a key names; None for a plain key."""
+    """Return the incarnation contained in a key; None for a plain key."""
     try:
         homed = HomedKey.parse(key)
     except ValueError:
--- a/mangoway/callers/messages.py
+++ b/mangoway/callers/messages.py
@@ -1,4 +1,4 @@
-"""A caller's request and its answer, whatever carries them."""
+"""Requests of callers and their answers, independent of the transport."""
 
 from collections.abc import AsyncGenerator, Mapping
 from typing import Any
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class IncomingRequest:
-    """A request as it arrived, from a caller or through another gateway."""
+    """Request as received from a caller or from another gateway."""
 
     method: str
     path: str
@@ -19,29 +19,29 @@
 
     body: bytes = field(repr=False)
     hops: int = 0
-    """Gateways that forwarded it before."""
+    """Number of gateways that forwarded the request before."""
 
     deadline_s: float | None = None
-    """Seconds left, as the forwarding gateway counted them."""
+    """Seconds left until the deadline, as computed by the forwarding gateway."""
 
 
 @frozen(kw_only=True)
 class Submission:
-    """A checked request with what the upstream needs of it."""
+    """Validated request with the data that is sent to the upstream."""
 
     request: Request
     incoming: IncomingRequest
     prompt: str = field(default="", repr=False)
     parameters: Mapping[str, Any] = field(factory=dict)
-    """Fields of a completion's body that are passed on as they are."""
+    """Fields of a completion's body that are passed on unchanged."""
 
     model_name: str = ""
-    """Model name as the caller wrote it."""
+    """Model name as given by the caller."""
 
 
 @frozen(kw_only=True)
 class OutgoingAnswer:
-    """An answer whose body is whole or comes in parts."""
+    """Response whose body is complete or streamed in parts."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
--- a/mangoway/callers/names.py
+++ b/mangoway/callers/names.py
@@ -1,4 +1,4 @@
-"""Model names of callers: `name[@version][+adapter]`."""
+"""Model names as given by callers: `name[@version][+adapter]`."""
 
 from ..models.artifact import ADAPTER_SEPARATOR, VERSION_SEPARATOR, Artifact
 from ..models.errors import ErrorCode, MangowayError
@@ -7,24 +7,24 @@
 
 
 def resolve_model(text: str, configuration: Configuration) -> Artifact:
-    """Return the artifact that a name stands for; no version means the default.
+    """Return the artifact of a model name; the default version if none is given.
 
     Raises:
-        MangowayError: UNKNOWN_MODEL if it is not offered.
+        MangowayError: UNKNOWN_MODEL if the artifact is not offered.
     """
     base, found_adapter, adapter = text.partition(ADAPTER_SEPARATOR)
     name, found_version, version = base.partition(VERSION_SEPARATOR)
     model = configuration.models.get(ModelName(name))
-    empty = (found_adapter and not adapter) or (found_version and not version)
-    if model is None or empty:
-        raise _fail(text)
+    has_empty_part = (found_adapter and not adapter) or (found_version and not version)
+    if model is None or has_empty_part:
+        raise _make_unknown_model_error(text)
     artifact = Artifact(
         ModelName(name),
         VersionName(version) if version else model.default_version,
         AdapterName(adapter) if adapter else None,
     )
     if not _is_offered(artifact, configuration):
-        raise _fail(text)
+        raise _make_unknown_model_error(text)
     return artifact
 
 
@@ -32,11 +32,11 @@
     model = configuration.models[artifact.model]
     if artifact.adapter is None:
         return artifact.version in model.versions
-    # Adapters go with the default version only.
+    # Adapters are offered for the default version only.
     return (
         artifact.version == model.default_version and artifact.adapter in model.adapters
     )
 
 
-def _fail(text: str) -> MangowayError:
+def _make_unknown_model_error(text: str) -> MangowayError:
     return MangowayError(ErrorCode.UNKNOWN_MODEL, f"model {text!r} is not offered")
--- a/mangoway/callers/parser.py
+++ b/mangoway/callers/parser.py
@@ -1,4 +1,4 @@
-"""Checks a caller's request against the configuration in force."""
+"""Validation of requests against the configuration in force."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -21,7 +21,7 @@
 from ..models.request import Request, ServiceCall, Target, WorkClass
 from .completions import CompletionBody, parse_completion
 from .const import CHARACTERS_PER_TOKEN, PATH_COMPLETIONS, PATH_SERVICES
-from .fields import RequestFields, fail_malformed, read_fields
+from .fields import RequestFields, make_malformed_error, read_fields
 from .keys import find_home
 from .messages import IncomingRequest, Submission
 from .names import resolve_model
@@ -32,7 +32,7 @@
 
 @frozen(kw_only=True)
 class Arrival:
-    """What the gateway knows of an arrival besides the request itself."""
+    """Id, arrival time and configuration with which a request is parsed."""
 
     id: RequestId
     now: float
@@ -40,10 +40,10 @@
 
 
 def parse_request(incoming: IncomingRequest, arrival: Arrival) -> Submission:
-    """Return the checked request.
+    """Return the validated request.
 
     Raises:
-        MangowayError: A fault of the request; it did not run.
+        MangowayError: If the request is invalid; it did not run.
     """
     if incoming.path == PATH_COMPLETIONS:
         _require_post(incoming)
@@ -57,10 +57,10 @@
 
 
 def read_key_home(incoming: IncomingRequest) -> IncarnationId | None:
-    """Return the home that a request's key names; None without one.
+    """Return the home named in a request's idempotency key, or None.
 
     Raises:
-        MangowayError: A fault of the request; it did not run.
+        MangowayError: If the request is invalid; it did not run.
     """
     completion = incoming.path == PATH_COMPLETIONS
     body = _load_object(incoming.body) if completion else {}
@@ -70,7 +70,7 @@
 def _require_post(incoming: IncomingRequest) -> None:
     if incoming.method != METHOD_POST:
         raise MangowayError(
-            ErrorCode.METHOD_NOT_ALLOWED, f"{incoming.path} takes {METHOD_POST} only"
+            ErrorCode.METHOD_NOT_ALLOWED, f"{incoming.path} accepts {METHOD_POST} only"
         )
 
 
@@ -82,7 +82,7 @@
     work_class = fields.work_class or WorkClass.URGENT
     offer = arrival.configuration.classes.get(work_class)
     if offer is None:
-        detail = f"{work_class.value}: the configuration has no such class"
+        detail = f"{work_class.value}: the configuration does not offer this class"
         raise MangowayError(ErrorCode.UNKNOWN_CLASS, detail)
     first = offer.first_token_s
     request = _make_request(
@@ -121,7 +121,7 @@
         target=target,
         work_class=fields.work_class or offer.work_class,
         deadline_s=incoming.deadline_s or fields.deadline_s or offer.timeout_s,
-        # A caller may forbid repeats of a call, but not allow them.
+        # A caller may forbid retries of a call, but cannot allow them.
         idempotent=offer.idempotent and fields.idempotent is not False,
         fingerprint=_hash_call(fields, target, incoming.body),
     )
@@ -160,10 +160,12 @@
 
 def _check_caller(fields: RequestFields, configuration: Configuration) -> None:
     if fields.caller is None:
-        raise MangowayError(ErrorCode.UNKNOWN_CALLER, "X-Caller: is missing")
+        raise MangowayError(
+            ErrorCode.UNKNOWN_CALLER, "X-Caller: header or field is missing"
+        )
     if CallerId(fields.caller) not in configuration.callers:
         raise MangowayError(
-            ErrorCode.UNKNOWN_CALLER, f"X-Caller: {fields.caller!r} is not known"
+            ErrorCode.UNKNOWN_CALLER, f"X-Caller: unknown caller {fields.caller!r}"
         )
 
 
@@ -179,13 +181,13 @@
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise fail_malformed(f"the body is not JSON: {error}") from error
+        raise make_malformed_error(f"the body is not JSON: {error}") from error
 
 
 def _load_object(body: bytes) -> Mapping[str, Any]:
     fields = _load_json(body)
     if not isinstance(fields, dict):
-        raise fail_malformed("the body is not a JSON object")
+        raise make_malformed_error("the body is not a JSON object")
     return fields
 
 
--- a/mangoway/callers/prefixes.py
+++ b/mangoway/callers/prefixes.py
@@ -1,4 +1,4 @@
-"""Hashes of a prompt's leading blocks, for the choice of an engine."""
+"""Hashes of a prompt's leading blocks, for routing to engines with a warm cache."""
 
 from xxhash import xxh64
 
@@ -6,7 +6,7 @@
 
 
 def hash_prefixes(artifact: str, prompt: str) -> tuple[int, ...]:
-    """Return a hash for each whole leading block, covering all before it.
+    """Return one hash per complete block; each covers the prompt up to its block's end.
 
     The artifact is part of each hash, since caches are not shared between models.
     """
--- a/mangoway/callers/problems.py
+++ b/mangoway/callers/problems.py
@@ -1,4 +1,4 @@
-"""Failures as callers see them: problem documents and error events."""
+"""Failures as sent to callers: problem documents and error events."""
 
 import math
 from typing import Any
@@ -19,28 +19,28 @@
 
 
 def make_problem(failure: Failure, request_id: RequestId | None) -> OutgoingAnswer:
-    """Return a failure as an answer of type application/problem+json."""
+    """Return a failure as a response of type application/problem+json."""
     headers = [(HEADER_CONTENT_TYPE, CONTENT_TYPE_PROBLEM)]
     if request_id is not None:
         headers.append((HEADER_REQUEST_ID, request_id))
     if failure.retry_after is not None:
-        # The header takes whole seconds; the body has the exact value.
+        # The header allows whole seconds only; the body has the exact value.
         seconds = max(1, math.ceil(failure.retry_after))
         headers.append((HEADER_RETRY_AFTER, str(seconds)))
     return OutgoingAnswer(
         status=find_status(failure.code).value,
         headers=tuple(headers),
-        body=orjson.dumps(_list_fields(failure, request_id)),
+        body=orjson.dumps(_make_fields(failure, request_id)),
     )
 
 
 def make_error_event(failure: Failure, request_id: RequestId) -> bytes:
-    """Return the event that ends a stream which fails after it began."""
-    fields = orjson.dumps({"error": _list_fields(failure, request_id)})
+    """Return the event that ends a stream if it fails after its start."""
+    fields = orjson.dumps({"error": _make_fields(failure, request_id)})
     return b"event: error\ndata: " + fields + b"\n\n"
 
 
-def _list_fields(failure: Failure, request_id: RequestId | None) -> dict[str, Any]:
+def _make_fields(failure: Failure, request_id: RequestId | None) -> dict[str, Any]:
     status = find_status(failure.code)
     return {
         "type": PROBLEM_TYPE_PREFIX + failure.code.value,
--- a/mangoway/callers/render.py
+++ b/mangoway/callers/render.py
@@ -1,4 +1,4 @@
-"""Answers in the published completions shape, whole and streamed."""
+"""Responses of the public completions API, complete and streamed."""
 
 from collections.abc import AsyncGenerator
 
@@ -24,17 +24,17 @@
 
 @frozen(kw_only=True)
 class CompletionHead:
-    """What all parts of one completion's answer have in common."""
+    """Fields shared by all events of one completion."""
 
     request_id: RequestId
     created: int
-    """Unix seconds."""
+    """Creation time in Unix seconds."""
 
     submission: Submission
 
 
 def render_whole(answer: Answer, head: CompletionHead) -> OutgoingAnswer:
-    """Return a completion that ended whole."""
+    """Return the response of a complete completion."""
     prompt_tokens = len(head.submission.prompt) // CHARACTERS_PER_TOKEN + 1
     choice = {
         "index": 0,
@@ -62,7 +62,7 @@
 
 
 def render_stream(reader: AnswerReader, head: CompletionHead) -> OutgoingAnswer:
-    """Return a completion as server-sent events."""
+    """Return the response of a completion as server-sent events."""
     return OutgoingAnswer(
         status=STATUS_OK,
         headers=_make_headers(CONTENT_TYPE_EVENTS, head.request_id),
@@ -71,7 +71,7 @@
 
 
 def render_plain(answer: Answer, request_id: RequestId) -> OutgoingAnswer:
-    """Return the answer of a service call."""
+    """Return the response of a service call."""
     plain = answer.plain
     assert plain is not None
     return OutgoingAnswer(
@@ -98,14 +98,17 @@
 
 @frozen
 class _Frame:
-    """The bytes around the text of each event; only the text is encoded anew."""
+    """Encoded bytes around the text of each event.
+
+    They are encoded once for the stream, so that each event encodes its text only.
+    """
 
     before: bytes
     between: bytes = b',"logprobs":null,"finish_reason":'
     after: bytes = b"}]}\n\n"
 
     def wrap(self, text: str, finish_reason: str | None) -> bytes:
-        """Return one event."""
+        """Return the bytes of one event."""
         return b"".join(
             (
                 self.before,
--- a/mangoway/callers/server.py
+++ b/mangoway/callers/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers."""
+"""HTTP server for callers."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class CallerServer:
-    """Serves an application on the running loop; signals are the daemon's to handle."""
+    """Server of an application on the running loop; the daemon handles signals."""
 
     def __init__(self, app: Application) -> None:
         config = uvicorn.Config(
@@ -41,10 +41,10 @@
         return len(self._server.server_state.connections)
 
     async def async_start(self, host: str, port: int) -> None:
-        """Listen and serve.
+        """Open the listener and start serving.
 
         Raises:
-            OSError: If the address can't be used.
+            OSError: If the address cannot be bound.
         """
         await self._app.start()  # type: ignore[no-untyped-call]
         listener = open_listener(host, port)
@@ -55,11 +55,11 @@
         while not self._server.started:
             if self._serving.done():
                 self._serving.result()
-                raise RuntimeError("the server for callers ended while starting")
+                raise RuntimeError("the server for callers stopped during startup")
             await asyncio.sleep(START_POLL_S)
 
     async def async_stop(self, force: bool = False) -> None:
-        """Stop listening; wait for open responses unless forced."""
+        """Stop listening; wait for open responses unless `force` is set."""
         if self._serving is None:
             return
         self._server.should_exit = True
@@ -69,7 +69,7 @@
 
 
 class _Server(uvicorn.Server):
-    """Leaves the process's signal handlers alone."""
+    """uvicorn server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
--- a/mangoway/callers/statuses.py
+++ b/mangoway/callers/statuses.py
@@ -1,4 +1,4 @@
-"""The HTTP status of each error code."""
+"""HTTP status of each error code."""
 
 from http import HTTPStatus
 from typing import Final
@@ -48,5 +48,5 @@
 
 
 def find_status(code: ErrorCode) -> HTTPStatus:
-    """Return the HTTP status of a code."""
+    """Return the HTTP status of an error code."""
     return STATUSES[code]
--- a/tests/callers/test_answer.py
+++ b/tests/callers/test_answer.py
@@ -1,4 +1,4 @@
-"""Tests of answers while they grow."""
+"""Tests of answers that are filled over time."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class TestAnswerReader:
-    """What each caller reads."""
+    """Tests of the pieces and the end that each reader receives."""
 
     async def test_every_reader_gets_the_whole_answer(self) -> None:
         answer = Answer()
--- a/tests/callers/test_body.py
+++ b/tests/callers/test_body.py
@@ -1,4 +1,4 @@
-"""Tests of reading a caller's body within its bounds."""
+"""Tests of the limits on reading request bodies."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 
 
 def make_request(*messages: dict[str, object] | None) -> Request:
-    """Return a request that receives messages; None stands for endless silence."""
-    coming = iter(messages)
+    """Return a request that receives messages; None blocks forever."""
+    pending = iter(messages)
 
     async def receive() -> dict[str, object]:
-        message = next(coming)
+        message = next(pending)
         if message is None:
             await asyncio.Event().wait()
         assert message is not None
@@ -36,7 +36,7 @@
 
 
 class TestReadBody:
-    """Bodies that come whole, slowly, too large, or not at all."""
+    """Tests of complete, slow, oversized and aborted bodies."""
 
     async def test_parts_are_joined(self) -> None:
         request = make_request(make_part(b"ab"), make_part(b"cd", more=False))
@@ -50,6 +50,6 @@
         error = await fail(make_request(make_part(b"a"), None), timeout_s=0.05)
         assert error.code is ErrorCode.MALFORMED_REQUEST
 
-    async def test_hang_up(self) -> None:
+    async def test_disconnect(self) -> None:
         error = await fail(make_request(make_part(b"a"), {"type": "http.disconnect"}))
         assert error.code is ErrorCode.CANCELLED
--- a/tests/callers/test_connection.py
+++ b/tests/callers/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of callers that stall their connections."""
+"""Tests of timeouts for stalled callers."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -14,7 +14,7 @@
 LIMIT_S = 0.2
 WAIT_S = 10.0
 PARTS = 1000
-"""Far more than what the buffers of a connection take."""
+"""Number of parts that exceeds the buffers of a connection by far."""
 
 WHOLE = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 LONG = b"GET /long HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -57,22 +57,24 @@
 
 
 class TestCallerConnection:
-    """Connections that are given up, and those that are not."""
+    """Tests of connections that are aborted, and of those that are not."""
 
     @pytest.mark.parametrize("sent", [b"", b"GET / HTTP/1.1\r\nHo", WHOLE + b"\r\n"])
-    async def test_headers_that_do_not_come_end_it(
+    async def test_missing_headers_abort_the_connection(
         self, server: CallerServer, sent: bytes
     ) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         writer.write(sent)
         if sent.startswith(WHOLE):
-            # The answer takes longer than the limit, which is on headers alone.
+            # The response takes longer than the limit, which applies to headers only.
             assert await read_status(reader) == b"200"
             writer.write(b"GET")
         await read_end(reader)
         writer.close()
 
-    async def test_answer_that_is_not_read_ends_it(self, server: CallerServer) -> None:
+    async def test_unread_response_aborts_the_connection(
+        self, server: CallerServer
+    ) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         writer.write(LONG)
         assert await read_status(reader) == b"200"
--- a/tests/callers/test_statuses.py
+++ b/tests/callers/test_statuses.py
@@ -1,4 +1,4 @@
-"""Tests of the table of HTTP statuses."""
+"""Tests of the HTTP statuses of error codes."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class TestStatuses:
-    """The status of each code."""
+    """Tests of the status of each error code."""
 
     @pytest.mark.parametrize("code", list(ErrorCode))
     def test_every_code_has_an_error_status(self, code: ErrorCode) -> None:
