--- a/mangoway/key_value/__init__.py
+++ b/mangoway/key_value/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service."""
+"""Client of the platform's key-value service."""
--- a/mangoway/key_value/backoff.py
+++ b/mangoway/key_value/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between tries, jittered so that clients do not come back together."""
+"""Delays between attempts, with jitter so that clients do not retry at once."""
 
 import random
 
@@ -6,9 +6,9 @@
 
 
 def pick_backoff_s(failures: int, source: random.Random) -> float:
-    """Return the seconds to wait after so many failures in a row."""
+    """Return the delay in seconds after a number of consecutive failures."""
     if failures == 0:
         return 0.0
-    # The exponent is bounded, since a long outage would overflow the power.
+    # The exponent is limited, since the power would overflow in a long outage.
     limit = min(BACKOFF_CAP_S, BACKOFF_BASE_S * 2 ** min(failures, 16))
     return source.uniform(limit / 2, limit)
--- a/mangoway/key_value/const.py
+++ b/mangoway/key_value/const.py
@@ -1,24 +1,24 @@
-"""Constants of the key-value adapters."""
+"""Constants of the adapters for key-value services."""
 
 from typing import Final
 
 from .store import CallRank
 
-READ_TRIES: Final = 3
-WRITE_TRIES: Final = 4
-"""Times that a write is sent until its result is settled."""
+READ_ATTEMPTS: Final = 3
+WRITE_ATTEMPTS: Final = 4
+"""Maximum number of times that a write is sent until its result is settled."""
 
-HISTORY_STEPS: Final = 16
-"""Versions of a key that are looked through for a write whose answer was lost."""
+MAX_HISTORY_VERSIONS: Final = 16
+"""Maximum number of versions of a key searched for a write with a lost response."""
 
 BACKOFF_BASE_S: Final = 0.05
 BACKOFF_CAP_S: Final = 5.0
 
 BUDGET_BURST_S: Final = 2.0
-"""Seconds of the rate that may be spent at once."""
+"""Size of the burst, as seconds of the rate."""
 
 BUDGET_WAIT_S: Final = 0.5
-"""Longest time a call waits for the budget before it is refused."""
+"""Longest time for which a call waits for the budget before it is rejected."""
 
 BUDGET_RESERVES: Final = {
     CallRank.SAFETY: 0.0,
@@ -29,10 +29,10 @@
 """Share of the burst that a rank leaves to the ranks above it."""
 
 WATCH_PROGRESS_S: Final = 2.0
-"""Period in which a quiet watch is asked how far it is."""
+"""Time without events after which a progress report of a watch is requested."""
 
 WATCH_SILENCE_S: Final = 3.0
-"""Time after which a watch that does not answer is replaced."""
+"""Time without any response after which a watch is replaced."""
 
 NONCE_BYTES: Final = 12
 
--- a/mangoway/key_value/endpoints.py
+++ b/mangoway/key_value/endpoints.py
@@ -25,10 +25,10 @@
     H2Error,
     AttributeError,
 )
-"""What the library raises when a connection breaks under a call.
+"""Errors that grpclib raises if a connection breaks during a call.
 
-An AttributeError comes where it uses a connection that its peer has just closed and
-that has no transport any more.
+AttributeError is raised if grpclib uses a connection that was just closed by its peer
+and no longer has a transport.
 """
 
 REJECTED = frozenset(
@@ -43,11 +43,11 @@
         Status.UNIMPLEMENTED,
     }
 )
-"""Statuses with which the service says that it did not carry out a call."""
+"""Statuses which mean that the service did not execute a call."""
 
 
 class CallFailed(Exception):
-    """One try of a call failed; the verdict says whether it may have taken effect."""
+    """An attempt of a call failed; the verdict is whether it may have taken effect."""
 
     def __init__(
         self, reason: str, verdict: Verdict, status: Status | None = None
@@ -59,7 +59,7 @@
 
 @define(eq=False)
 class Connection:
-    """One connection; it closes when it is retired and its last call has ended."""
+    """Connection that is closed once it is retired and its last call has ended."""
 
     address: str
     channel: Channel
@@ -67,12 +67,12 @@
     retired: bool = False
 
     def retire(self) -> None:
-        """Take no further calls."""
+        """Close the connection after its last call."""
         self.retired = True
         self._close_if_idle()
 
     def end_call(self) -> None:
-        """Count a call as ended."""
+        """Update the connection after the end of a call."""
         self.calls -= 1
         self._close_if_idle()
 
@@ -82,26 +82,26 @@
 
 
 class Endpoints:
-    """Sends each call over the connection in use, and replaces one that fails.
+    """Endpoints of the service, with one connection that is replaced if a call fails.
 
-    A connection may go silent for good while new ones work, so a call that runs
-    out of time costs the connection its place; calls under way on it go on.
+    A connection may stop responding for good while new ones work, so it is replaced
+    after a timeout as well; calls in progress on it continue.
     """
 
     def __init__(
         self, addresses: tuple[str, ...], timeout_s: float, source: random.Random
     ) -> None:
-        # Clients start at different endpoints, so that these share the load.
+        # Each client starts at a random endpoint, so that the load is distributed.
         self._addresses = tuple(source.sample(addresses, len(addresses)))
         self._timeout_s = timeout_s
         self._next = 0
         self._connection: Connection | None = None
 
     async def async_call(self, send: Callable[[Channel], Awaitable[ReplyT]]) -> ReplyT:
-        """Try one call once.
+        """Make one attempt of a call.
 
         Raises:
-            CallFailed: If no good answer came in time.
+            CallFailed: If no valid response arrived in time.
         """
         connection = self._find_connection()
         connection.calls += 1
@@ -116,16 +116,16 @@
             connection.end_call()
 
     def open_connection(self) -> Connection:
-        """Make a connection to the next endpoint, for the use of one watch."""
+        """Return a new connection to the next endpoint, which is not yet connected."""
         address = self._addresses[self._next % len(self._addresses)]
         self._next += 1
         return Connection(address, Channel(*split_address(address)))
 
     async def async_connect(self, connection: Connection) -> None:
-        """Connect if that has not been done.
+        """Connect unless the connection is connected already.
 
         Raises:
-            CallFailed: If it fails; nothing was sent.
+            CallFailed: If connecting fails; nothing was sent.
         """
         try:
             async with asyncio.timeout(self._timeout_s):
@@ -135,7 +135,7 @@
             raise CallFailed(reason, Verdict.NOT_RUN) from error
 
     def close(self) -> None:
-        """Close the connection in use."""
+        """Retire the current connection."""
         if self._connection is not None:
             self._connection.retire()
             self._connection = None
@@ -158,7 +158,7 @@
             reason = f"{connection.address}: {error.status.name} {error.message or ''}"
             raise CallFailed(reason, verdict, error.status) from error
         except TimeoutError as error:
-            reason = f"{connection.address}: no answer in {self._timeout_s:g} s"
+            reason = f"{connection.address}: no response within {self._timeout_s:g} s"
             raise CallFailed(reason, Verdict.MAY_HAVE_RUN) from error
         except CONNECTION_ERRORS as error:
             reason = f"{connection.address}: {error!r}"
--- a/mangoway/key_value/envelope.py
+++ b/mangoway/key_value/envelope.py
@@ -1,4 +1,4 @@
-"""The form of stored values: the writer's nonce before the value itself."""
+"""Format of stored values: the nonce of the write, followed by the value."""
 
 from typing import Final
 
@@ -7,23 +7,23 @@
 from .const import NONCE_BYTES
 
 MAGIC: Final = b"\x00mw1"
-"""Starts an enveloped value; a value without it was written by another program."""
+"""Prefix of an enveloped value; a value without it is from another program."""
 
 
 @frozen
 class Envelope:
-    """A value with the nonce of the write that put it there."""
+    """Value with the nonce of the write that stored it."""
 
     nonce: bytes
     value: bytes
 
     def encode(self) -> bytes:
-        """Return the bytes that are stored."""
+        """Return the bytes to store."""
         return MAGIC + self.nonce + self.value
 
     @classmethod
     def decode(cls, data: bytes) -> "Envelope":
-        """Read stored bytes; a value without an envelope has an empty nonce."""
+        """Decode stored bytes; a value without an envelope has an empty nonce."""
         start = len(MAGIC) + NONCE_BYTES
         if not data.startswith(MAGIC) or len(data) < start:
             return cls(b"", data)
--- a/mangoway/key_value/etcd.py
+++ b/mangoway/key_value/etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service through the published etcd v3 interface."""
+"""Adapter for key-value services with the public etcd v3 API."""
 
 from collections.abc import AsyncIterator
 
@@ -15,7 +15,7 @@
 
 
 class EtcdStore:
-    """Implements `KeyValueStore` on the etcd interface."""
+    """Implementation of `KeyValueStore` on the etcd API."""
 
     def __init__(self, client: EtcdClient) -> None:
         self._client = client
@@ -37,28 +37,28 @@
     async def async_commit(
         self, puts: tuple[Put, ...], rank: CallRank
     ) -> TransactionResult:
-        """Write all keys if every one still has its expected revision."""
+        """Write all keys if each of them still has its expected revision."""
         return await self._writer.async_commit(puts, rank)
 
     async def async_acquire_lease(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        """Take or renew a lease key; False while another owner holds it."""
+        """Acquire or renew a lease key; return False while another owner holds it."""
         return await self._leases.async_acquire(key, owner, ttl_s, rank)
 
     async def async_release_lease(self, key: str, owner: str, rank: CallRank) -> None:
-        """Give up a lease key that this owner holds."""
+        """Release a lease key that this owner holds."""
         await self._leases.async_release(key, owner, rank)
 
     def watch(self, prefix: str) -> AsyncIterator[StoredValue]:
-        """Yield changes under a prefix that came after this call, or shortly before.
+        """Yield changes under a prefix from this call on, or from shortly before it.
 
-        It starts behind the newest revision that this store has seen, so a change
-        that came between a read and this call is yielded if no other call was made
+        The watch starts after the newest revision that this store has received, so a
+        change made between a read and this call is yielded if no other call was made
         in between.
 
-        A watch that ends or stalls is resumed where it stood; after a long gap all
-        keys that exist are yielded anew.
+        A watch that ends or stalls is resumed at its position; after a long
+        interruption all existing keys are yielded again.
         """
         return watch_prefix(self._client, prefix, self._client.revision)
 
@@ -75,5 +75,5 @@
 
 @register_key_value("etcd")
 def make_etcd_store(settings: KeyValueSettings, metrics: Metrics) -> EtcdStore:
-    """Make the store; needs the running event loop."""
+    """Return the store; an event loop must be running."""
     return EtcdStore(EtcdClient(settings, metrics))
--- a/mangoway/key_value/etcd_client.py
+++ b/mangoway/key_value/etcd_client.py
@@ -1,4 +1,4 @@
-"""Single calls of the etcd interface: budget, tries, metrics."""
+"""Single calls of the etcd API with budget, retries and metrics."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 from . import rpc_grpc, rpc_pb2
 from .backoff import pick_backoff_s
 from .budget import CallBudget
-from .const import BUDGET_WAIT_S, LEASE_ID_BITS, READ_TRIES
+from .const import BUDGET_WAIT_S, LEASE_ID_BITS, READ_ATTEMPTS
 from .endpoints import CallFailed, Endpoints
 from .store import CallRank
 
@@ -29,7 +29,7 @@
 
 
 class EtcdClient:
-    """Makes calls within the budget, and remembers the newest revision it saw."""
+    """Client that makes calls within the budget and tracks the newest revision."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.source = source or random.SystemRandom()
         self.metrics = metrics
         self.revision = 0
-        """Newest revision of the service that any answer showed."""
+        """Newest revision of the service in any response."""
 
         self.endpoints = Endpoints(
             settings.key_value, settings.key_value_timeout_s, self.source
@@ -49,18 +49,18 @@
         self.budget = CallBudget(settings.key_value_calls_per_second, now)
 
     async def async_read(self, call: str, rank: CallRank, send: Send[ReplyT]) -> ReplyT:
-        """Make a call that may be repeated, and repeat it until it is answered.
+        """Make a call that may be retried, with a limited number of attempts.
 
         Raises:
             MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET, NOT_RUN.
         """
-        for failures in range(READ_TRIES):
+        for failures in range(READ_ATTEMPTS):
             await self.async_back_off(failures)
             try:
-                return await self.async_try(call, rank, send)
+                return await self.async_call_once(call, rank, send)
             except CallFailed as error:
                 last = error
-        raise make_unavailable(call, "", last, Verdict.NOT_RUN) from last
+        raise make_unavailable_error(call, "", last, Verdict.NOT_RUN) from last
 
     async def async_range(
         self, request: rpc_pb2.RangeRequest, rank: CallRank
@@ -78,11 +78,11 @@
         return await self.async_read("range", rank, send)
 
     async def async_grant(self, ttl_s: int, rank: CallRank) -> int:
-        """Grant a lease under a number of this client's choice, and return that.
+        """Request a lease with an id chosen by this client, and return the id.
 
         Raises:
-            MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET. A lease that was
-                granted all the same has no key, and ends by itself.
+            MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET. If the lease was
+                granted nevertheless, it has no key and expires.
         """
         lease = self.source.getrandbits(LEASE_ID_BITS) + 1
         request = rpc_pb2.LeaseGrantRequest(TTL=ttl_s, ID=lease)
@@ -93,9 +93,11 @@
             return reply
 
         try:
-            reply = await self.async_try("lease_grant", rank, send)
+            reply = await self.async_call_once("lease_grant", rank, send)
         except CallFailed as error:
-            raise make_unavailable("lease_grant", "", error, Verdict.NOT_RUN) from error
+            raise make_unavailable_error(
+                "lease_grant", "", error, Verdict.NOT_RUN
+            ) from error
         if reply.TTL < ttl_s:
             raise MangowayError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
@@ -103,14 +105,16 @@
             )
         return lease
 
-    async def async_try(self, call: str, rank: CallRank, send: Send[ReplyT]) -> ReplyT:
-        """Make a call once.
+    async def async_call_once(
+        self, call: str, rank: CallRank, send: Send[ReplyT]
+    ) -> ReplyT:
+        """Make one attempt of a call.
 
         Raises:
-            CallFailed: If no good answer came in time.
+            CallFailed: If no valid response arrived in time.
             MangowayError: PLATFORM_BUDGET; the call was not made.
         """
-        await self.async_take(call, rank)
+        await self.async_consume_budget(call, rank)
         loop = asyncio.get_running_loop()
         started = loop.time()
         result = RESULT_FAILED
@@ -120,19 +124,19 @@
         finally:
             self.metrics.key_value_calls.add(call, rank.name.lower(), result)
             self.metrics.key_value_seconds.observe(call, seconds=loop.time() - started)
-        self.note_revision(reply)
+        self.update_revision(reply)
         return reply
 
-    async def async_take(self, call: str, rank: CallRank) -> None:
-        """Take a call from the budget, waiting a little if it is short.
+    async def async_consume_budget(self, call: str, rank: CallRank) -> None:
+        """Consume a call of the budget, with a short wait if it is exhausted.
 
         Raises:
-            MangowayError: PLATFORM_BUDGET if it stays short.
+            MangowayError: PLATFORM_BUDGET if it remains exhausted.
         """
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + BUDGET_WAIT_S
-        while wait_s := self.budget.take(rank, loop.time()):
-            if loop.time() + wait_s > give_up_at:
+        wait_until = loop.time() + BUDGET_WAIT_S
+        while wait_s := self.budget.consume(rank, loop.time()):
+            if loop.time() + wait_s > wait_until:
                 self._refuse(call, rank, wait_s)
             await asyncio.sleep(wait_s)
 
@@ -141,25 +145,25 @@
         log_event(BudgetExhausted(rank=rank.name.lower()))
         raise MangowayError(
             ErrorCode.PLATFORM_BUDGET,
-            f"the budget of key-value calls is spent for rank {rank.name.lower()}",
+            f"the budget of key-value calls is exhausted for rank {rank.name.lower()}",
             Verdict.NOT_RUN,
             retry_after=wait_s,
         )
 
     async def async_back_off(self, failures: int) -> None:
-        """Wait as long as is due after so many failures in a row."""
+        """Wait for the backoff delay after a number of consecutive failures."""
         if failures:
             await asyncio.sleep(pick_backoff_s(failures, self.source))
 
-    def note_revision(self, reply: Any) -> None:
-        """Remember the revision in the header of an answer."""
+    def update_revision(self, reply: Any) -> None:
+        """Update the newest revision from the header of a response."""
         self.revision = max(self.revision, reply.header.revision)
 
 
-def make_unavailable(
+def make_unavailable_error(
     call: str, key: str, cause: CallFailed, verdict: Verdict
 ) -> MangowayError:
-    """Log and return the error of a call that no try got through."""
+    """Log and return the error of a call of which all attempts failed."""
     log_event(
         KeyValueUnavailable(call=call, key=key, error=str(cause), verdict=verdict.value)
     )
--- a/mangoway/key_value/etcd_expiry.py
+++ b/mangoway/key_value/etcd_expiry.py
@@ -1,4 +1,4 @@
-"""Leases that let keys expire, each shared by many keys."""
+"""Leases for keys that expire; each lease is shared by many keys."""
 
 import asyncio
 import math
@@ -11,18 +11,19 @@
 
 @frozen
 class SharedLease:
-    """A lease that keys may still be bound to."""
+    """Lease that keys can be attached to."""
 
     id: int
     usable_until: float
-    """Loop time up to which it lasts for at least the time that its keys need."""
+    """Loop time until which the remaining time of the lease suffices for a new key."""
 
 
 class ExpiryLeases:
-    """Gives each key with a limited life a lease that lasts long enough.
+    """Provider of leases for keys with a time to live.
 
-    A lease lasts twice the time that its keys need and takes keys for the first half,
-    so it costs one call for each such time, however many keys there are.
+    A lease lasts for twice the time to live of its keys, and new keys are attached to
+    it in the first half. This costs one call per time to live, independent of the
+    number of keys.
     """
 
     def __init__(self, client: EtcdClient) -> None:
@@ -31,21 +32,21 @@
         self._lock = asyncio.Lock()
 
     async def async_find(self, ttl_s: float, rank: CallRank) -> int:
-        """Return a lease that lasts for `ttl_s` from now at least.
+        """Return the id of a lease that lasts for at least `ttl_s` from now.
 
         Raises:
-            MangowayError: If none could be granted; nothing was written.
+            MangowayError: If no lease could be granted; nothing was written.
         """
         seconds = math.ceil(ttl_s)
         async with self._lock:
-            asked_at = asyncio.get_running_loop().time()
+            requested_at = asyncio.get_running_loop().time()
             lease = self._leases.get(seconds)
-            if lease is None or lease.usable_until <= asked_at:
-                number = await self._client.async_grant(2 * seconds, rank)
-                lease = SharedLease(number, asked_at + seconds)
+            if lease is None or lease.usable_until <= requested_at:
+                lease_id = await self._client.async_grant(2 * seconds, rank)
+                lease = SharedLease(lease_id, requested_at + seconds)
                 self._leases[seconds] = lease
             return lease.id
 
-    def forget(self) -> None:
-        """Forget all leases, since the service no longer knows one of them."""
+    def clear(self) -> None:
+        """Remove all leases, for use after the service has lost one of them."""
         self._leases.clear()
--- a/mangoway/key_value/etcd_lease.py
+++ b/mangoway/key_value/etcd_lease.py
@@ -1,4 +1,4 @@
-"""Lease keys on the etcd interface: a key bound to a lease that must be renewed."""
+"""Lease keys on the etcd API: keys attached to a lease that must be renewed."""
 
 import math
 
@@ -17,18 +17,18 @@
 
 @frozen
 class HeldLease:
-    """A lease that this process holds a key with."""
+    """Lease with which an owner holds a key."""
 
     id: int
     owner: str
 
 
 class LeaseKeeper:
-    """Takes, renews and releases lease keys.
+    """Acquisition, renewal and release of lease keys.
 
-    Calls: 1 for a renewal, 1 for a try while another owner holds the key, 3 for
-    taking a free key. The lease's time at the service starts after the call was
-    sent, so for its holder it is safe to count it from before the call.
+    Calls: 1 for a renewal, 1 for an attempt while another owner holds the key, 3 to
+    acquire a free key. The service starts the time of the lease after the call was
+    sent, so its holder can safely measure it from before the call.
     """
 
     def __init__(self, client: EtcdClient, writer: TransactionWriter) -> None:
@@ -39,7 +39,7 @@
     async def async_acquire(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        """Take or renew a key; False while another owner holds it."""
+        """Acquire or renew a key; return False while another owner holds it."""
         held = self._held.get(key)
         if held is None or held.owner != owner:
             held = None
@@ -48,18 +48,18 @@
         self._held.pop(key, None)
         holder = await self._async_find_holder(key, rank)
         if holder is None:
-            return await self._async_take(key, owner, ttl_s, rank)
+            return await self._async_create(key, owner, ttl_s, rank)
         if holder.owner != owner:
             return False
-        # An earlier take got through although its answer was lost.
+        # An earlier acquisition succeeded although its response was lost.
         self._held[key] = holder
         return await self._async_renew(holder, rank)
 
     async def async_release(self, key: str, owner: str, rank: CallRank) -> None:
-        """Give up a key; its lease is revoked, which deletes the key.
+        """Release a key; its lease is revoked, which deletes the key.
 
-        Where this process does not know that it holds the key, the key is read: a
-        take that was cut off may have taken effect.
+        If this process has no record of holding the key, the key is read, since a
+        cancelled acquisition may have taken effect.
         """
         held = self._held.get(key)
         if held is None or held.owner != owner:
@@ -85,13 +85,15 @@
                 await stream.send_message(request, end=True)
                 reply = await stream.recv_message()
             if reply is None:
-                raise CallFailed("no renewal", Verdict.MAY_HAVE_RUN)
+                raise CallFailed(
+                    "no response to the lease renewal", Verdict.MAY_HAVE_RUN
+                )
             return reply
 
         reply = await self._client.async_read("lease_keep_alive", rank, send)
         return reply.TTL > 0
 
-    async def _async_take(
+    async def _async_create(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
         lease = await self._client.async_grant(math.ceil(ttl_s), rank)
@@ -99,7 +101,7 @@
         result = await self._writer.async_commit((put,), rank, lease)
         if result.succeeded:
             self._held[key] = HeldLease(lease, owner)
-        # A lease that lost the race has no key; it ends by itself.
+        # After a failed commit the lease has no key and expires.
         return result.succeeded
 
     async def _async_find_holder(self, key: str, rank: CallRank) -> HeldLease | None:
--- a/mangoway/key_value/etcd_watch.py
+++ b/mangoway/key_value/etcd_watch.py
@@ -1,4 +1,4 @@
-"""Watches on the etcd interface that notice when they stall, and resume."""
+"""Watches on the etcd API that detect stalls and resume."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -26,13 +26,13 @@
 
 
 class WatchCompacted(WatchFailed):
-    """The service no longer has the changes behind the watch's position."""
+    """The service no longer has the changes after the watch's position."""
 
 
 async def watch_prefix(
     client: EtcdClient, prefix: str, position: int
 ) -> AsyncIterator[StoredValue]:
-    """Yield changes under a prefix behind a revision, over many watches if need be."""
+    """Yield changes under a prefix after a revision; failed watches are replaced."""
     failures = 0
     while True:
         session = WatchSession(client, prefix, position)
@@ -62,39 +62,39 @@
 
 
 class WatchSession:
-    """One watch on a connection of its own.
+    """One watch on a separate connection.
 
-    It asks for progress when it is quiet. The service's answer says up to which
-    revision all changes were sent; if that is older than what other calls had seen
-    before the question, the watch has stalled.
+    Progress is requested when no events arrive. The service responds with the revision
+    up to which all changes were sent. If that is older than the newest revision that
+    other calls had received before the request, the watch has stalled.
     """
 
     def __init__(self, client: EtcdClient, prefix: str, position: int) -> None:
         self.position = position
-        """Revision up to which every change was received; 0 if not known."""
+        """Revision up to which every change was received; 0 if unknown."""
 
         self._client = client
         self._prefix = prefix.encode()
         self._connection = client.endpoints.open_connection()
         self._stream: WatchStream | None = None
         self._receiving: asyncio.Task[rpc_pb2.WatchResponse | None] | None = None
-        self._asked_at_revision: int | None = None
-        self._heard_at = 0.0
+        self._expected_revision: int | None = None
+        self._last_received_at = 0.0
 
     async def async_open(self) -> None:
-        """Connect and start the watch; it counts as one call.
+        """Connect and start the watch, which counts as one call.
 
         Raises:
-            CallFailed, MangowayError, WatchFailed: If it cannot be started.
+            CallFailed, MangowayError, WatchFailed: If the watch cannot be started.
         """
-        await self._client.async_take("watch", CallRank.CONFIGURATION)
+        await self._client.async_consume_budget("watch", CallRank.CONFIGURATION)
         await self._client.endpoints.async_connect(self._connection)
         self._count("watch", "ok")
         channel: Channel = self._connection.channel
         stream = rpc_grpc.WatchStub(channel).Watch.open()
         await stream.__aenter__()
         self._stream = stream
-        self._heard_at = asyncio.get_running_loop().time()
+        self._last_received_at = asyncio.get_running_loop().time()
         await self._async_send(
             rpc_pb2.WatchRequest(
                 create_request=rpc_pb2.WatchCreateRequest(
@@ -107,21 +107,21 @@
         )
 
     async def async_receive(self) -> list[StoredValue]:
-        """Wait for changes; the list is empty if only progress was heard.
+        """Wait for changes; the list is empty if only progress was reported.
 
         Raises:
             WatchFailed: If the watch ended or stalled.
         """
         response = await self._async_wait()
-        self._client.note_revision(response)
+        self._client.update_revision(response)
         if response.compact_revision:
             raise WatchCompacted(f"compacted at {response.compact_revision}")
         if response.canceled:
             raise WatchFailed(f"canceled: {response.cancel_reason}")
         if response.events:
-            return self._take_events(response)
+            return self._apply_events(response)
         if not response.created:
-            self._take_progress(response.header.revision)
+            self._apply_progress(response.header.revision)
         elif not self.position:
             self.position = response.header.revision
         return []
@@ -136,43 +136,45 @@
             try:
                 await self._stream.__aexit__(None, None, None)
             except (GRPCError, *CONNECTION_ERRORS):
-                # It is over in any case.
+                # The watch has ended in any case.
                 pass
 
-    def _take_events(self, response: rpc_pb2.WatchResponse) -> list[StoredValue]:
+    def _apply_events(self, response: rpc_pb2.WatchResponse) -> list[StoredValue]:
         last = response.events[-1].kv.mod_revision
         self.position = max(self.position, last)
         return [_make_change(event) for event in response.events]
 
-    def _take_progress(self, revision: int) -> None:
-        asked_at, self._asked_at_revision = self._asked_at_revision, None
+    def _apply_progress(self, revision: int) -> None:
+        expected_revision, self._expected_revision = self._expected_revision, None
         self.position = max(self.position, revision)
-        if asked_at is not None and revision < asked_at:
-            raise WatchFailed(f"stalled at {revision}, others saw {asked_at}")
+        if expected_revision is not None and revision < expected_revision:
+            raise WatchFailed(
+                f"stalled at revision {revision}, newest is {expected_revision}"
+            )
 
     async def _async_wait(self) -> rpc_pb2.WatchResponse:
         loop = asyncio.get_running_loop()
         while True:
             if self._receiving is None:
                 self._receiving = asyncio.ensure_future(self._async_read())
-            # A task that is waited for, not cancelled: a read cut off in the middle
-            # of a message would spoil the stream.
+            # The read continues in a task beyond the timeout, since cancelling it in
+            # the middle of a message would corrupt the stream.
             await asyncio.wait({self._receiving}, timeout=WATCH_PROGRESS_S)
             if self._receiving.done():
                 response = self._receiving.result()
                 self._receiving = None
                 if response is None:
-                    raise WatchFailed("ended by the service")
-                self._heard_at = loop.time()
+                    raise WatchFailed("the service ended the watch")
+                self._last_received_at = loop.time()
                 return response
-            if loop.time() - self._heard_at > WATCH_SILENCE_S:
+            if loop.time() - self._last_received_at > WATCH_SILENCE_S:
                 raise WatchFailed("silent")
-            await self._async_ask_progress()
+            await self._async_request_progress()
 
-    async def _async_ask_progress(self) -> None:
+    async def _async_request_progress(self) -> None:
         self._client.budget.charge(asyncio.get_running_loop().time())
         self._count("watch_progress", "ok")
-        self._asked_at_revision = self._client.revision
+        self._expected_revision = self._client.revision
         await self._async_send(
             rpc_pb2.WatchRequest(progress_request=rpc_pb2.WatchProgressRequest())
         )
--- a/mangoway/key_value/etcd_write.py
+++ b/mangoway/key_value/etcd_write.py
@@ -1,8 +1,8 @@
-"""Transactions of the etcd interface, and how one without an answer is settled.
+"""Transactions of the etcd API, and how those without a response are settled.
 
 A transaction is sent again with the same comparisons and the same nonce. If the
-first one had taken effect, the second fails its comparisons, and the nonce, in the
-value or in the key's past versions, tells whose write it was.
+first one has taken effect, the comparisons of the second fail, and the nonce in the
+value or in previous versions of the key identifies the writer.
 """
 
 from collections.abc import Sequence
@@ -17,25 +17,25 @@
 from ..observability.event_log import log_event
 from ..observability.events import WriteSettled, WriteUnsettled
 from . import rpc_grpc, rpc_pb2
-from .const import HISTORY_STEPS, NONCE_BYTES, WRITE_TRIES
+from .const import MAX_HISTORY_VERSIONS, NONCE_BYTES, WRITE_ATTEMPTS
 from .endpoints import CallFailed
 from .envelope import Envelope
-from .etcd_client import EtcdClient, make_unavailable
+from .etcd_client import EtcdClient, make_unavailable_error
 from .etcd_expiry import ExpiryLeases
 from .store import CallRank, Put, StoredValue, TransactionResult
 
 
 @frozen(kw_only=True)
 class Write:
-    """One transaction with the nonce that marks it."""
+    """Transaction with the nonce that identifies it."""
 
     puts: tuple[Put, ...]
     nonce: bytes
     leases: tuple[int, ...]
-    """Lease of each put; 0 for none."""
+    """Lease id of each put; 0 for none."""
 
     def make_request(self) -> rpc_pb2.TxnRequest:
-        """Return the message: compare all, then put all or read all."""
+        """Return the request: compare all keys, then put all or read all."""
         return rpc_pb2.TxnRequest(
             compare=[_make_compare(put) for put in self.puts],
             success=[
@@ -63,7 +63,7 @@
 
 
 class TransactionWriter:
-    """Commits transactions until their result is settled."""
+    """Writer of transactions that settles their result."""
 
     def __init__(self, client: EtcdClient) -> None:
         self._client = client
@@ -72,14 +72,14 @@
     async def async_commit(
         self, puts: tuple[Put, ...], rank: CallRank, lease: int = 0
     ) -> TransactionResult:
-        """Commit one transaction, its keys bound to a lease if one is given.
+        """Commit one transaction; its keys are attached to a lease if one is given.
 
         Raises:
             MangowayError: See `KeyValueStore`.
         """
         nonce = self._client.source.randbytes(NONCE_BYTES)
         verdict = Verdict.NOT_RUN
-        for failures in range(WRITE_TRIES):
+        for failures in range(WRITE_ATTEMPTS):
             await self._client.async_back_off(failures)
             try:
                 leases = await self._async_find_leases(puts, lease, rank)
@@ -90,13 +90,13 @@
                 last = error
                 continue
             except MangowayError as error:
-                # No lease, or no budget; but an earlier try may have got through.
+                # No lease or no budget, but an earlier attempt may have taken effect.
                 raise _change_verdict(error, verdict) from error
             return await self._async_settle(write, reply, rank, verdict)
         key = puts[0].key
         if verdict is not Verdict.NOT_RUN:
             log_event(WriteUnsettled(key=key))
-        raise make_unavailable("txn", key, last, verdict) from last
+        raise make_unavailable_error("txn", key, last, verdict) from last
 
     async def _async_find_leases(
         self, puts: tuple[Put, ...], lease: int, rank: CallRank
@@ -116,10 +116,10 @@
             return reply
 
         try:
-            return await self._client.async_try("txn", rank, send)
+            return await self._client.async_call_once("txn", rank, send)
         except CallFailed as error:
             if error.status is Status.NOT_FOUND:
-                self._expiry.forget()
+                self._expiry.clear()
             raise
 
     async def _async_settle(
@@ -135,7 +135,7 @@
         reads = [response.response_range for response in reply.responses]
         kvs = [read.kvs[0] if read.kvs else None for read in reads]
         if verdict is not Verdict.NOT_RUN:
-            revision = await self._async_find_own(write, kvs, rank)
+            revision = await self._async_find_own_revision(write, kvs, rank)
             log_event(WriteSettled(key=key, succeeded=revision is not None))
             if revision is not None:
                 return _succeed(revision)
@@ -145,38 +145,38 @@
         )
         return TransactionResult(succeeded=False, revision=Revision(0), current=current)
 
-    async def _async_find_own(
+    async def _async_find_own_revision(
         self, write: Write, kvs: Sequence[rpc_pb2.KeyValue | None], rank: CallRank
     ) -> int | None:
-        """Return the revision at which a write took effect; None if it never did."""
+        """Return the revision at which a write took effect, or None if it did not."""
         pairs = list(zip(write.puts, kvs, strict=True))
-        valued = [pair for pair in pairs if pair[0].value is not None]
-        if not valued:
-            # A delete leaves no nonce; the keys' absence is what was asked for.
-            gone = all(kv is None for kv in kvs)
-            return self._client.revision if gone else None
-        for put, kv in valued:
+        written = [pair for pair in pairs if pair[0].value is not None]
+        if not written:
+            # Deletions store no nonce; they count as done if all keys are absent.
+            all_absent = all(kv is None for kv in kvs)
+            return self._client.revision if all_absent else None
+        for put, kv in written:
             if (kv.mod_revision if kv else 0) == put.expected:
                 return None
-        for put, kv in valued:
+        for put, kv in written:
             if kv is not None:
-                return await self._async_search(put, kv, write.nonce, rank)
-        raise self._make_unsettled(write.puts[0].key)
+                return await self._async_search_history(put, kv, write.nonce, rank)
+        raise self._make_unsettled_error(write.puts[0].key)
 
-    async def _async_search(
+    async def _async_search_history(
         self, put: Put, latest: rpc_pb2.KeyValue, nonce: bytes, rank: CallRank
     ) -> int | None:
-        """Look for a nonce in a key's versions, from the latest to the expected."""
+        """Search a key's versions for a nonce, from the latest to the expected one."""
         kv: rpc_pb2.KeyValue | None = latest
-        for _ in range(HISTORY_STEPS):
+        for _ in range(MAX_HISTORY_VERSIONS):
             if kv is None or kv.mod_revision <= put.expected:
                 return None
             if Envelope.decode(kv.value).nonce == nonce:
                 return kv.mod_revision
-            kv = await self._async_read_before(kv, rank)
-        raise self._make_unsettled(put.key)
+            kv = await self._async_read_previous(kv, rank)
+        raise self._make_unsettled_error(put.key)
 
-    async def _async_read_before(
+    async def _async_read_previous(
         self, kv: rpc_pb2.KeyValue, rank: CallRank
     ) -> rpc_pb2.KeyValue | None:
         request = rpc_pb2.RangeRequest(key=kv.key, revision=kv.mod_revision - 1)
@@ -187,17 +187,17 @@
             raise _change_verdict(error, Verdict.MAY_HAVE_RUN) from error
         return reply.kvs[0] if reply.kvs else None
 
-    def _make_unsettled(self, key: str) -> MangowayError:
+    def _make_unsettled_error(self, key: str) -> MangowayError:
         log_event(WriteUnsettled(key=key))
         return MangowayError(
             ErrorCode.PLATFORM_UNAVAILABLE,
-            f"{key}: the write's answer was lost and the key has changed since",
+            f"{key}: the response to the write was lost and the key has changed since",
             Verdict.MAY_HAVE_RUN,
         )
 
 
 def make_stored_value(key: str, kv: rpc_pb2.KeyValue | None) -> StoredValue:
-    """Turn a key of the interface, or its absence, into the typed value."""
+    """Convert a key of the API, or None for an absent key, to the typed value."""
     if kv is None:
         return StoredValue(key=key, value=None, revision=Revision(0))
     value = Envelope.decode(kv.value).value
--- a/mangoway/key_value/registry.py
+++ b/mangoway/key_value/registry.py
@@ -1,4 +1,4 @@
-"""Adapters of key-value services, by the name that the settings choose."""
+"""Registry of the adapters for key-value services by name."""
 
 from collections.abc import Callable
 from importlib import import_module
@@ -29,7 +29,7 @@
 
 
 def make_key_value_store(settings: KeyValueSettings, metrics: Metrics) -> KeyValueStore:
-    """Make the store that the settings name; needs the running event loop.
+    """Return the store chosen in the settings; an event loop must be running.
 
     Raises:
         SettingError: If no adapter has that name.
--- a/mangoway/key_value/store.py
+++ b/mangoway/key_value/store.py
@@ -1,4 +1,4 @@
-"""The typed interface of the key-value service."""
+"""Typed interface of the key-value service."""
 
 from collections.abc import AsyncIterator
 from enum import IntEnum
@@ -10,7 +10,7 @@
 
 
 class CallRank(IntEnum):
-    """Importance of a call when the rate budget is short; lower goes first."""
+    """Importance of a call for the rate budget; lower values take precedence."""
 
     SAFETY = 0
     CONFIGURATION = 1
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class StoredValue:
-    """A value with the revision of its key; revision 0 and None if absent."""
+    """Value and revision of a key; None and revision 0 if the key is absent."""
 
     key: str
     value: bytes | None
@@ -29,37 +29,37 @@
 
 @frozen(kw_only=True)
 class Put:
-    """Write of one key; None deletes it."""
+    """Write of one key; a value of None deletes the key."""
 
     key: str
     value: bytes | None
     expected: Revision
-    """Revision that the key must have (0: absent)."""
+    """Revision that the key must have; 0 if it must be absent."""
 
     ttl_s: float | None = None
-    """Shortest time after which the key may be deleted by itself; None: never. It
-    lives for twice that time at most."""
+    """Minimum time after which the key may expire; None to never expire. The key
+    expires after at most twice this time."""
 
 
 @frozen(kw_only=True)
 class TransactionResult:
-    """Settled result of a transaction."""
+    """Definite result of a transaction."""
 
     succeeded: bool
     revision: Revision
     """Revision after success; 0 otherwise."""
 
     current: tuple[StoredValue, ...] = ()
-    """On failure, the keys as they are now, in the order of the puts."""
+    """On failure, the current values of the keys in the order of the puts."""
 
 
 class KeyValueStore(Protocol):
-    """Compare-and-swap, leases and watches.
+    """Interface with compare-and-swap, leases and watches.
 
     Every method raises `MangowayError` with code PLATFORM_UNAVAILABLE or
-    PLATFORM_BUDGET; its verdict says whether a write may have taken effect.
-    An ambiguous write is settled by reading back before the call returns; only
-    if that fails too is the verdict MAY_HAVE_RUN.
+    PLATFORM_BUDGET; its verdict is whether a write may have taken effect. An ambiguous
+    write is settled by reading the key before the call returns; the verdict is
+    MAY_HAVE_RUN only if that fails too.
     """
 
     async def async_get(self, key: str, rank: CallRank) -> StoredValue:
@@ -73,21 +73,21 @@
     async def async_commit(
         self, puts: tuple[Put, ...], rank: CallRank
     ) -> TransactionResult:
-        """Write all keys if every one still has its expected revision."""
+        """Write all keys if each of them still has its expected revision."""
         ...
 
     async def async_acquire_lease(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        """Take or renew a lease key; False while another owner holds it.
+        """Acquire or renew a lease key; return False while another owner holds it.
 
-        The holder may count on it for `ttl_s` from before the call was made, not
-        from its answer. An owner's name must never be used by two processes.
+        The lease is valid for `ttl_s` from the time before the call was made, not
+        from its response. An owner's name must never be used by two processes.
         """
         ...
 
     async def async_release_lease(self, key: str, owner: str, rank: CallRank) -> None:
-        """Give up a lease key that this owner holds."""
+        """Release a lease key that this owner holds."""
         ...
 
     def watch(self, prefix: str) -> AsyncIterator[StoredValue]:
@@ -95,5 +95,5 @@
         ...
 
     def close(self) -> None:
-        """Close the connections; calls under way may end without an answer."""
+        """Close the connections; calls in progress may end without a response."""
         ...
--- a/tests/key_value/conftest.py
+++ b/tests/key_value/conftest.py
@@ -1,4 +1,4 @@
-"""A stand-in of the key-value service and clients of it."""
+"""Fixtures of a stand-in of the key-value service and its clients."""
 
 from collections.abc import AsyncIterator, Callable, Iterator
 
@@ -11,7 +11,7 @@
 from tests.stand_ins.key_value import KeyValueStandIn
 
 TIMEOUT_S = 1.0
-"""Long enough for a busy machine: only what is made silent may run into it."""
+"""Long enough for a busy host: only calls on silenced connections may time out."""
 
 MakeStore = Callable[..., EtcdStore]
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def make_store(stand_in: KeyValueStandIn) -> Iterator[MakeStore]:
-    """Make clients; by default they know only the stand-in."""
+    """Return a factory of clients; by default they use the stand-in only."""
     stores: list[EtcdStore] = []
 
     def make(*addresses: str, calls_per_second: float = 1000.0) -> EtcdStore:
--- a/tests/key_value/test_counting.py
+++ b/tests/key_value/test_counting.py
@@ -1,4 +1,8 @@
-"""Test that each write that is reported as done took effect once, under faults."""
+"""Tests that each write reported as done took effect once, despite faults.
+
+They guard against a write that is sent again after its response was lost and takes
+effect twice, or is reported as done without effect.
+"""
 
 import asyncio
 from random import Random
@@ -20,7 +24,7 @@
 
 
 class Writer:
-    """Adds one to a shared number, and counts what it was told."""
+    """Client that increments a shared number and counts the reported results."""
 
     def __init__(
         self, stand_in: KeyValueStandIn, store: EtcdStore, source: Random
@@ -46,7 +50,7 @@
         self.done += (await self._store.async_commit((put,), RANK)).succeeded
 
     def _disturb(self) -> None:
-        """Bring about a fault of a coming write, anybody's, or none."""
+        """Cause a random fault of the next write of any client, or none."""
         fault = self._source.choice(FAULTS)
         if fault == "silence":
             self._stand_in.silence()
@@ -55,7 +59,7 @@
 
 
 class TestCounting:
-    """Racing writers whose answers are lost."""
+    """Tests of concurrent writers with lost responses."""
 
     @pytest.mark.parametrize("seed", range(3))
     async def test_every_reported_write_counts_once(
--- a/tests/key_value/test_etcd.py
+++ b/tests/key_value/test_etcd.py
@@ -1,4 +1,4 @@
-"""Tests of reads and transactions through the etcd interface."""
+"""Tests of reads and transactions through the etcd API."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,14 +23,14 @@
 
 
 async def async_wait_for(condition: Callable[[], bool]) -> None:
-    """Let the loop run until a condition holds."""
+    """Wait until a condition is met."""
     async with asyncio.timeout(LIMIT_S):
         while not condition():  # noqa: ASYNC110  # The switch is a plain number.
             await asyncio.sleep(0.005)
 
 
 class TestReadsAndWrites:
-    """Compare-and-swap without failures."""
+    """Tests of compare-and-swap without failures."""
 
     async def test_absent_key(self, store: EtcdStore) -> None:
         found = await store.async_get("/a", RANK)
@@ -42,20 +42,22 @@
         assert result.succeeded
         assert (found.value, found.revision) == (b"1", result.revision)
 
-    async def test_stale_write_gets_the_current_value(self, store: EtcdStore) -> None:
+    async def test_stale_write_returns_the_current_value(
+        self, store: EtcdStore
+    ) -> None:
         first = await store.async_commit(put("/a", b"1"), RANK)
         second = await store.async_commit(put("/a", b"2"), RANK)
         assert not second.succeeded
         assert second.current[0].value == b"1"
         assert second.current[0].revision == first.revision
 
-    async def test_one_stale_key_stops_the_whole_write(self, store: EtcdStore) -> None:
+    async def test_one_stale_key_fails_the_whole_write(self, store: EtcdStore) -> None:
         await store.async_commit(put("/a", b"1"), RANK)
         both = (*put("/b", b"2"), *put("/a", b"2"))
         assert not (await store.async_commit(both, RANK)).succeeded
         assert (await store.async_get("/b", RANK)).value is None
 
-    async def test_list_is_ordered_and_bounded_by_the_prefix(
+    async def test_list_is_ordered_and_limited_to_the_prefix(
         self, store: EtcdStore
     ) -> None:
         for key in ("/p/b", "/p/a", "/q", "/o"):
@@ -70,10 +72,10 @@
 
 
 class TestAmbiguousWrites:
-    """Writes whose answer is lost."""
+    """Tests of writes with a lost response."""
 
     @pytest.mark.parametrize("switch", ["lose_answers", "lose_writes"])
-    async def test_lost_answer_is_settled_as_success(
+    async def test_lost_response_is_settled_as_success(
         self, stand_in: KeyValueStandIn, store: EtcdStore, switch: str
     ) -> None:
         setattr(stand_in.switches, switch, 1)
@@ -82,7 +84,7 @@
         assert result.succeeded
         assert (found.value, found.revision) == (b"1", result.revision)
 
-    async def test_equal_value_of_another_writer_is_not_taken_for_ours(
+    async def test_equal_value_of_another_writer_is_not_own_write(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         ours, other = make_store(), make_store()
@@ -94,7 +96,7 @@
         assert theirs.succeeded
         assert not result.succeeded
 
-    async def test_own_write_that_others_wrote_over_is_found(
+    async def test_overwritten_own_write_is_found(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         ours, other = make_store(), make_store()
@@ -109,7 +111,7 @@
         result = await waiting
         assert (result.succeeded, result.revision) == (True, own.revision)
 
-    async def test_lost_answer_of_a_delete(
+    async def test_lost_response_of_a_delete(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         first = await store.async_commit(put("/a", b"1"), RANK)
@@ -117,7 +119,7 @@
         result = await store.async_commit(put("/a", None, first.revision), RANK)
         assert result.succeeded
 
-    async def test_write_that_cannot_be_settled_may_have_run(
+    async def test_unsettled_write_may_have_run(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         stand_in.switches.lose_writes = 99
@@ -126,7 +128,7 @@
         assert caught.value.code is ErrorCode.PLATFORM_UNAVAILABLE
         assert caught.value.failure.verdict is Verdict.MAY_HAVE_RUN
 
-    async def test_budget_that_ends_after_a_lost_answer_leaves_it_unsettled(
+    async def test_exhausted_budget_after_a_lost_response_leaves_the_write_unsettled(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         store = make_store(calls_per_second=0.1)
@@ -140,7 +142,7 @@
 
 
 class TestConnections:
-    """Silent connections, several endpoints, outages."""
+    """Tests of silent connections, several endpoints and outages."""
 
     async def test_silent_connection_is_replaced(
         self, stand_in: KeyValueStandIn, store: EtcdStore
@@ -149,7 +151,7 @@
         stand_in.silence()
         assert (await store.async_commit(put("/a", b"1"), RANK)).succeeded
 
-    async def test_other_endpoint_takes_over(
+    async def test_other_endpoint_is_used(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         store = make_store("127.0.0.1:1", stand_in.address)
@@ -157,7 +159,7 @@
             found = await store.async_get(f"/{number}", RANK)
             assert found.value is None
 
-    async def test_unreachable_service_certainly_did_not_write(
+    async def test_write_to_an_unreachable_service_has_not_run(
         self, make_store: MakeStore
     ) -> None:
         store = make_store("127.0.0.1:1")
@@ -165,7 +167,7 @@
             await store.async_commit(put("/a", b"1"), RANK)
         assert caught.value.failure.verdict is Verdict.NOT_RUN
 
-    async def test_outage_ends(
+    async def test_calls_succeed_after_an_outage(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         stand_in.switches.down = True
@@ -174,7 +176,7 @@
         stand_in.switches.down = False
         assert (await store.async_get("/a", RANK)).revision == 0
 
-    async def test_server_that_dies_and_comes_back(
+    async def test_calls_succeed_after_a_server_restart(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         await store.async_commit(put("/a", b"1"), RANK)
--- a/tests/key_value/test_etcd_expiry.py
+++ b/tests/key_value/test_etcd_expiry.py
@@ -22,9 +22,9 @@
 
 
 class TestExpiry:
-    """Keys with a limited life."""
+    """Tests of keys with a time to live."""
 
-    async def test_key_lives_long_enough_and_then_goes(
+    async def test_key_expires_after_its_time_to_live(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         now = [0.0]
@@ -50,7 +50,7 @@
         assert await async_claim(store, "/b")
         assert (await store.async_get("/b", RANK)).value == b"1"
 
-    async def test_key_without_a_limit_stays(
+    async def test_key_without_time_to_live_does_not_expire(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         put = Put(key="/a", value=b"1", expected=Revision(0))
@@ -61,7 +61,7 @@
 
 @define
 class Granter:
-    """Grants numbered leases, and remembers their times."""
+    """Fake client that grants numbered leases and records their times."""
 
     granted_s: list[int] = field(factory=list)
 
@@ -71,10 +71,10 @@
 
 
 class TestExpiryLeases:
-    """When a shared lease is replaced."""
+    """Tests of the replacement of shared leases."""
 
     @pytest.mark.looptime
-    async def test_lease_takes_keys_for_half_its_time(self) -> None:
+    async def test_lease_is_used_for_new_keys_in_its_first_half(self) -> None:
         granter = Granter()
         leases = ExpiryLeases(cast(Any, granter))
         assert await leases.async_find(TTL_S, RANK) == 1
@@ -84,7 +84,7 @@
         assert await leases.async_find(TTL_S, RANK) == 2
         assert granter.granted_s == [2 * TTL_S, 2 * TTL_S]
 
-    async def test_keys_at_once_share_one_grant(self) -> None:
+    async def test_concurrent_keys_share_one_grant(self) -> None:
         granter = Granter()
         leases = ExpiryLeases(cast(Any, granter))
         finds = (leases.async_find(TTL_S, RANK) for _ in range(5))
--- a/tests/key_value/test_etcd_lease.py
+++ b/tests/key_value/test_etcd_lease.py
@@ -21,7 +21,7 @@
 
 
 class TestLease:
-    """Taking, renewing, losing and releasing."""
+    """Tests of acquiring, renewing, losing and releasing leases."""
 
     async def test_one_owner_at_a_time(self, make_store: MakeStore) -> None:
         first, second = make_store(), make_store()
@@ -29,7 +29,7 @@
         assert not await async_acquire(second, "b")
         assert await async_acquire(first, "a")
 
-    async def test_lapsed_lease_passes_to_another(
+    async def test_expired_lease_can_be_acquired_by_another_owner(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         first, second = make_store(), make_store()
@@ -38,7 +38,7 @@
         assert await async_acquire(second, "b")
         assert not await async_acquire(first, "a")
 
-    async def test_lease_ends_by_time_without_renewal(
+    async def test_lease_expires_without_renewal(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         now = [0.0]
@@ -58,35 +58,37 @@
         await first.async_release_lease("/lease", "a", RANK)
         assert await async_acquire(second, "b")
 
-    async def test_release_by_another_does_nothing(self, make_store: MakeStore) -> None:
+    async def test_release_by_another_owner_has_no_effect(
+        self, make_store: MakeStore
+    ) -> None:
         first, second = make_store(), make_store()
         await async_acquire(first, "a")
         await second.async_release_lease("/lease", "b", RANK)
         await first.async_release_lease("/lease", "b", RANK)
         assert not await async_acquire(second, "b")
 
-    async def test_release_after_a_take_that_was_cut_off(
+    async def test_release_after_a_cancelled_acquisition(
         self, stand_in: KeyValueStandIn, make_store: MakeStore
     ) -> None:
         first, second = make_store(), make_store()
         stand_in.switches.lose_answers = 1
-        take = asyncio.create_task(async_acquire(first, "a"))
+        acquisition = asyncio.create_task(async_acquire(first, "a"))
         async with asyncio.timeout(LIMIT_S):
             while stand_in.switches.lose_answers:  # noqa: ASYNC110  # A plain number.
                 await asyncio.sleep(0.005)
-        take.cancel()
-        await asyncio.wait({take})
+        acquisition.cancel()
+        await asyncio.wait({acquisition})
         await first.async_release_lease("/lease", "a", RANK)
         assert await async_acquire(second, "b")
 
-    async def test_lost_answer_of_the_take_is_settled(
+    async def test_lost_response_of_an_acquisition_is_settled(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         stand_in.switches.lose_answers = 1
         assert await async_acquire(store, "a")
         assert await async_acquire(store, "a")
 
-    async def test_take_that_was_never_settled_is_found_later(
+    async def test_unsettled_acquisition_is_found_later(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         stand_in.switches.lose_answers = 1
@@ -96,7 +98,7 @@
         assert await async_acquire(store, "a")
         assert await async_acquire(store, "a")
 
-    async def test_outage_is_an_error_not_a_loss(
+    async def test_outage_is_an_error_and_not_a_loss(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         await async_acquire(store, "a")
--- a/tests/key_value/test_etcd_watch.py
+++ b/tests/key_value/test_etcd_watch.py
@@ -31,7 +31,7 @@
 
 
 async def async_fail(stand_in: KeyValueStandIn, failure: str) -> None:
-    """Bring about a failure of the open watch; new ones work afterwards."""
+    """Cause a failure of the open watch; new watches work afterwards."""
     if failure == "silent":
         stand_in.silence()
     elif failure == "blind":
@@ -45,7 +45,7 @@
 
 
 async def async_wait_calls(stand_in: KeyValueStandIn, kind: str, count: int) -> None:
-    """Wait until the stand-in has counted so many calls of a kind."""
+    """Wait until the stand-in has received a number of calls of a kind."""
     async with asyncio.timeout(LIMIT_S):
         while stand_in.calls[kind] < count:  # noqa: ASYNC110 - no event to wait for
             await asyncio.sleep(0.01)
@@ -53,7 +53,7 @@
 
 @pytest.mark.usefixtures("quick_watch")
 class TestWatch:
-    """Changes arrive once and in order, whatever happens to the watch."""
+    """Tests that changes arrive once and in order despite failures of the watch."""
 
     async def test_changes_under_the_prefix(self, store: EtcdStore) -> None:
         await async_write(store, "/w/a", b"0")
@@ -85,23 +85,23 @@
         watch = store.watch("/w/")
         await async_write(store, "/w/a", b"1")
         assert await async_next(watch) == ("/w/a", b"1")
-        coming = asyncio.create_task(async_next(watch))
+        next_change = asyncio.create_task(async_next(watch))
         await async_fail(stand_in, failure)
         await async_write(store, "/w/a", b"2")
-        assert await coming == ("/w/a", b"2")
+        assert await next_change == ("/w/a", b"2")
         await async_write(store, "/w/a", b"3")
         assert await async_next(watch) == ("/w/a", b"3")
         assert stand_in.calls["watch"] > 1
         await async_end(watch)
 
-    async def test_quiet_watch_is_one_call_and_stays(
+    async def test_watch_without_changes_is_one_call_and_stays_open(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         await async_write(store, "/w/a", b"0")
         watch = store.watch("/w/")
-        coming = asyncio.create_task(async_next(watch))
+        next_change = asyncio.create_task(async_next(watch))
         await async_wait_calls(stand_in, "watch_progress", 2)
         await async_write(store, "/w/a", b"1")
-        assert await coming == ("/w/a", b"1")
+        assert await next_change == ("/w/a", b"1")
         assert stand_in.calls["watch"] == 1
         await async_end(watch)
--- a/tests/key_value/test_registry.py
+++ b/tests/key_value/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of an adapter."""
+"""Tests of the registry of adapters."""
 
 import pytest
 
@@ -10,13 +10,13 @@
 
 
 class TestMakeKeyValueStore:
-    """The adapter that the settings name."""
+    """Tests of the adapter chosen in the settings."""
 
     async def test_known_kind(self) -> None:
         settings = KeyValueSettings(key_value=("127.0.0.1:1",))
         assert isinstance(make_key_value_store(settings, Metrics()), EtcdStore)
 
-    async def test_unknown_kind_is_named(self) -> None:
+    async def test_error_contains_the_unknown_kind(self) -> None:
         settings = KeyValueSettings(key_value=("127.0.0.1:1",), key_value_kind="zoo")
         with pytest.raises(SettingError, match="expected one of etcd, not 'zoo'"):
             make_key_value_store(settings, Metrics())
--- a/tests/key_value/test_store.py
+++ b/tests/key_value/test_store.py
@@ -1,4 +1,4 @@
-"""Tests that the etcd adapter and the in-memory fake keep the same promises."""
+"""Tests that the etcd adapter and the in-memory fake behave alike."""
 
 import asyncio
 
@@ -23,9 +23,11 @@
 
 
 class TestKeyValueStore:
-    """What every store does alike."""
+    """Tests of the behaviour shared by all stores."""
 
-    async def test_revisions_decide_who_writes(self, any_store: KeyValueStore) -> None:
+    async def test_write_requires_the_expected_revision(
+        self, any_store: KeyValueStore
+    ) -> None:
         first = await any_store.async_commit((make_put("/a", b"1"),), RANK)
         stale = await any_store.async_commit((make_put("/a", b"2"),), RANK)
         put = make_put("/a", b"3", first.revision)
@@ -35,7 +37,7 @@
         found = await any_store.async_get("/a", RANK)
         assert (found.value, found.revision) == (b"3", second.revision)
 
-    async def test_key_can_be_made_anew_after_its_deletion(
+    async def test_key_can_be_created_again_after_its_deletion(
         self, any_store: KeyValueStore
     ) -> None:
         first = await any_store.async_commit((make_put("/a", b"1"),), RANK)
@@ -45,7 +47,7 @@
         again = await any_store.async_commit((make_put("/a", b"2"),), RANK)
         assert again.revision > first.revision
 
-    async def test_list_shows_the_prefix_in_order(
+    async def test_list_returns_keys_with_the_prefix_in_order(
         self, any_store: KeyValueStore
     ) -> None:
         puts = tuple(make_put(key, b"1") for key in ("/p/b", "/p/a", "/q"))
@@ -63,15 +65,15 @@
         await any_store.async_release_lease("/l", "a", RANK)
         assert await async_take("b")
 
-    async def test_watch_shows_writes_and_deletions(
+    async def test_watch_yields_writes_and_deletions(
         self, any_store: KeyValueStore
     ) -> None:
         watch = any_store.watch("/w/")
-        coming = asyncio.ensure_future(anext(watch))
+        next_change = asyncio.ensure_future(anext(watch))
         await asyncio.sleep(0.1)
         first = await any_store.async_commit((make_put("/w/a", b"1"),), RANK)
         await any_store.async_commit((make_put("/w/a", None, first.revision),), RANK)
-        written = await asyncio.wait_for(coming, LIMIT_S)
+        written = await asyncio.wait_for(next_change, LIMIT_S)
         deleted = await asyncio.wait_for(anext(watch), LIMIT_S)
         assert (written.value, written.revision) == (b"1", first.revision)
         assert (deleted.value, deleted.revision) == (None, 0)
