--- a/mangoway/engines/__init__.py
+++ b/mangoway/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of model engines."""
+"""Clients of model engines."""
--- a/mangoway/engines/client.py
+++ b/mangoway/engines/client.py
@@ -1,4 +1,4 @@
-"""Client of the model engines."""
+"""Client of model engines for requests of callers."""
 
 from collections.abc import AsyncGenerator, Callable
 
@@ -14,7 +14,7 @@
     decode_report,
     encode_attempt,
     encode_order,
-    fail_malformed,
+    make_malformed_error,
 )
 from .const import (
     CONTENT_TYPE_JSON,
@@ -31,10 +31,10 @@
 
 
 class EngineClient:
-    """Talks to engines by address (`a.b.c.d:port`).
+    """Client of engines, which are given by address (`a.b.c.d:port`).
 
-    Every method raises `MangowayError`; the verdict is NOT_RUN only if the engine
-    certainly did not act.
+    Every method raises `MangowayError`; its verdict is NOT_RUN only if it is certain
+    that the engine did not act.
     """
 
     def __init__(self, session: UpstreamSession, clock: Callable[[], float]) -> None:
@@ -42,29 +42,31 @@
         self._clock = clock
 
     async def async_describe(self, address: str) -> EngineDescription:
-        """Read what an engine says of itself."""
+        """Read the description of an engine."""
         return decode_description(await self._async_get(address, PATH_DESCRIPTION))
 
     async def async_read_report(self, address: str) -> EngineReport:
-        """Read an engine's load, memory and cache report."""
+        """Read an engine's report on its load, memory and cache."""
         body = await self._async_get(address, PATH_REPORT)
         return decode_report(body, self._clock())
 
     async def async_send_order(
         self, address: str, order: Order, timeout_s: float = ORDER_TIMEOUT_S
     ) -> OrderAnswer:
-        """Send an order on a connection of its own and return the answer.
+        """Send an order on a new connection and return the answer.
 
         Raises:
-            MangowayError: NOT_RUN if it never reached the engine; otherwise it
-                may still take effect. The connection is closed by then.
+            MangowayError: NOT_RUN if the order never reached the engine; otherwise
+                it may still take effect. The connection is closed in both cases.
         """
         body = encode_order(order)
         answer = decode_order_answer(
             await self._async_post(address, PATH_ORDERS, body, timeout_s, fresh=True)
         )
         if answer.order_id != order.id:
-            raise fail_malformed(f"answer of order {answer.order_id} to {order.id}")
+            raise make_malformed_error(
+                f"received the answer to order {answer.order_id} for order {order.id}"
+            )
         return answer
 
     async def async_cancel(self, address: str, attempt_id: AttemptId) -> None:
@@ -77,7 +79,7 @@
     ) -> AsyncGenerator[list[CompletionChunk], None]:
         """Stream a completion, yielding the chunks of each read as one list.
 
-        It ends only after the engine ended the stream itself.
+        The iterator ends only after the engine has sent the end mark of the stream.
         """
         call = UpstreamCall(
             method="POST",
@@ -98,7 +100,7 @@
                 if chunks:
                     yield chunks
             if not decoder.done:
-                raise fail_malformed("the stream ended before its end mark")
+                raise make_malformed_error("the stream ended before its end mark")
 
     async def _async_get(self, address: str, path: str) -> bytes:
         return await self._session.async_fetch(
--- a/mangoway/engines/codec.py
+++ b/mangoway/engines/codec.py
@@ -1,4 +1,4 @@
-"""JSON of the engines' protocol to typed messages and back."""
+"""JSON encoding and decoding of the messages of the engine protocol."""
 
 from typing import Any, TypeVar
 
@@ -25,7 +25,7 @@
 
 
 def decode_report(body: bytes, received_at: float) -> EngineReport:
-    """Decode a report that was received at a time of the receiver's clock."""
+    """Decode a report; `received_at` is a time of the receiver's clock."""
     fields = _parse(body)
     age_s = float(fields.pop("age_s", 0.0))
     return _structure({**fields, "reported_at": received_at - age_s}, EngineReport)
@@ -52,7 +52,7 @@
 
 
 def encode_attempt(attempt: CompletionAttempt) -> bytes:
-    """Encode a completion attempt; it is always streamed from the engine."""
+    """Encode a completion attempt; the engine always streams the answer."""
     return orjson.dumps(
         {
             **attempt.parameters,
@@ -69,8 +69,8 @@
     )
 
 
-def fail_malformed(detail: str) -> MangowayError:
-    """Return the error of an answer that breaks the protocol."""
+def make_malformed_error(detail: str) -> MangowayError:
+    """Return the error for an answer that violates the protocol."""
     return MangowayError(ErrorCode.UPSTREAM_FAILED, detail, Verdict.MAY_HAVE_RUN)
 
 
@@ -78,9 +78,9 @@
     try:
         fields = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise fail_malformed(f"the answer is not JSON: {error}") from error
+        raise make_malformed_error(f"the answer is not JSON: {error}") from error
     if not isinstance(fields, dict):
-        raise fail_malformed("the answer is not a JSON object")
+        raise make_malformed_error("the answer is not a JSON object")
     return fields
 
 
@@ -95,4 +95,6 @@
         TypeError,
         ValueError,
     ) as error:
-        raise fail_malformed(f"not a {kind.__name__}: {error!r}") from error
+        raise make_malformed_error(
+            f"cannot decode {kind.__name__}: {error!r}"
+        ) from error
--- a/mangoway/engines/const.py
+++ b/mangoway/engines/const.py
@@ -1,4 +1,4 @@
-"""Constants of the engines' protocol."""
+"""Constants of the engine protocol."""
 
 from typing import Final
 
@@ -11,13 +11,13 @@
 CONTENT_TYPE_JSON: Final = {"Content-Type": "application/json"}
 
 CONTROL_TIMEOUT_S: Final = 2.0
-"""Longest time of a description, a report or a cancel."""
+"""Timeout for reading a description or report, and for a cancellation."""
 
 ORDER_TIMEOUT_S: Final = 10.0
-"""Longest wait for the answer to an order."""
+"""Timeout for the answer to an order."""
 
 EVENT_PREFIX: Final = b"data:"
 EVENT_END: Final = b"\n\n"
 EVENT_DONE: Final = b"[DONE]"
 EVENT_LIMIT_BYTES: Final = 1 << 20
-"""Largest single event of a stream."""
+"""Maximum size of a single event of a stream."""
--- a/mangoway/engines/control.py
+++ b/mangoway/engines/control.py
@@ -1,7 +1,7 @@
-"""Descriptions, reports and orders of engines, for a controller.
+"""Client of a controller for descriptions, reports and orders of engines.
 
-`client.py` serves callers' requests; this one is apart since a controller must not
-pay for the imports of the streaming client.
+It is separate from `client.py`, which sends requests of callers, so that a controller
+does not import the streaming client.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
     decode_order_answer,
     decode_report,
     encode_order,
-    fail_malformed,
+    make_malformed_error,
 )
 from .const import (
     CONTENT_TYPE_JSON,
@@ -32,27 +32,27 @@
 
 @define(eq=False)
 class EngineControl:
-    """Talks to engines by address (`a.b.c.d:port`), each time on a new connection.
+    """Client of engines by address (`a.b.c.d:port`), with a new connection per call.
 
-    Every method raises `MangowayError`; the verdict is NOT_RUN only if the engine
-    certainly did not act.
+    Every method raises `MangowayError`; its verdict is NOT_RUN only if it is certain
+    that the engine did not act.
     """
 
     clock: Callable[[], float]
 
     async def async_describe(self, address: str) -> EngineDescription:
-        """Read what an engine says of itself."""
+        """Read the description of an engine."""
         return decode_description(await self._async_get(address, PATH_DESCRIPTION))
 
     async def async_read_report(self, address: str) -> EngineReport:
         """Read an engine's report.
 
-        It is dated from before it was asked for: a process that was paused while
-        the answer waited must not take it for newer than it is.
+        The report's time is based on the time before the request, so that a process
+        that is paused before it reads the answer does not date the report too late.
         """
-        asked_at = self.clock()
+        requested_at = self.clock()
         body = await self._async_get(address, PATH_REPORT)
-        return decode_report(body, asked_at)
+        return decode_report(body, requested_at)
 
     async def async_send_order(
         self, address: str, order: Order, send_before: float = inf
@@ -60,8 +60,8 @@
         """Send an order, unless the loop time is past `send_before`.
 
         Raises:
-            MangowayError: NOT_RUN if it never reached the engine; otherwise it may
-                still take effect. The connection is closed by then.
+            MangowayError: NOT_RUN if the order never reached the engine; otherwise
+                it may still take effect. The connection is closed in both cases.
         """
         request = ExchangeRequest(
             method="POST",
@@ -74,7 +74,9 @@
         )
         answer = decode_order_answer(await async_exchange(request))
         if answer.order_id != order.id:
-            raise fail_malformed(f"answer of order {answer.order_id} to {order.id}")
+            raise make_malformed_error(
+                f"received the answer to order {answer.order_id} for order {order.id}"
+            )
         return answer
 
     async def _async_get(self, address: str, path: str) -> bytes:
--- a/mangoway/engines/messages.py
+++ b/mangoway/engines/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the engines' protocol."""
+"""Messages of the engine protocol."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -12,26 +12,26 @@
 
 @frozen(kw_only=True)
 class CompletionAttempt:
-    """One try of a completion at one engine."""
+    """Attempt to run a completion at one engine."""
 
     id: AttemptId
     artifact: Artifact
     prompt: str
     max_tokens: int
     priority: int = 0
-    """Higher goes first."""
+    """Priority in the engine's queue; a higher value runs first."""
 
     resume_from: int = 0
-    """Tokens that were delivered before; the engine continues behind them."""
+    """Number of tokens that were delivered before; the engine continues after them."""
 
     resume_text: str = ""
-    """Text of those tokens."""
+    """Text of the tokens that were delivered before."""
 
     prefix_hashes: tuple[int, ...] = ()
-    """Hashes of the prompt's leading blocks, as the engine's cache events name them."""
+    """Hashes of the prompt's leading blocks, as used in the engine's cache changes."""
 
     parameters: Mapping[str, Any] = field(factory=dict)
-    """Further fields of the caller's body, passed on as they are."""
+    """Other fields of the caller's body, passed on unchanged."""
 
     timeout_s: float
     silence_s: float
@@ -39,20 +39,20 @@
 
 @frozen
 class CompletionChunk:
-    """A piece of a completion."""
+    """Piece of a completion."""
 
     text: str
     offset: int
-    """Tokens of the whole answer up to the end of this piece."""
+    """Number of tokens of the whole answer up to the end of this piece."""
 
     finish_reason: str | None = None
 
 
 @frozen(kw_only=True)
 class OrderAnswer:
-    """An engine's answer to an order."""
+    """Answer of an engine to an order."""
 
     order_id: OrderId
     outcome: OrderOutcome
     fence: FenceNumber
-    """Highest fence that the engine has seen; 0 if it does not check."""
+    """Highest fence that the engine has received; 0 if it does not check fences."""
--- a/mangoway/engines/stream.py
+++ b/mangoway/engines/stream.py
@@ -5,36 +5,38 @@
 import orjson
 
 from ..models.identifiers import AttemptId
-from .codec import fail_malformed
+from .codec import make_malformed_error
 from .const import EVENT_DONE, EVENT_END, EVENT_LIMIT_BYTES, EVENT_PREFIX
 from .messages import CompletionChunk
 
 
 class StreamDecoder:
-    """Turns bytes of one attempt's stream into chunks.
+    """Decoder of the stream of one attempt.
 
-    An event that carries another attempt's id is an error: the connection mixed
-    up answers, and nothing on it can be believed. An event whose tokens were
-    delivered before is a duplicate and is dropped.
+    An event with another attempt's id is an error, since the connection has mixed up
+    answers and no data on it can be trusted. An event whose tokens were delivered
+    before is a duplicate and is dropped.
     """
 
     def __init__(self, attempt_id: AttemptId, resume_from: int) -> None:
         self._attempt_id = attempt_id
         self._offset = resume_from
-        self._rest = b""
+        self._incomplete = b""
         self.done = False
 
     def feed(self, data: bytes) -> list[CompletionChunk]:
-        """Take bytes and return the chunks that they complete.
+        """Add bytes and return the chunks that they complete.
 
         Raises:
-            MangowayError: UPSTREAM_FAILED if the stream breaks the protocol.
+            MangowayError: UPSTREAM_FAILED if the stream violates the protocol.
         """
         if b"\r" in data:
             data = data.replace(b"\r", b"")
-        *events, self._rest = (self._rest + data).split(EVENT_END)
-        if len(self._rest) > EVENT_LIMIT_BYTES:
-            raise fail_malformed(f"an event is larger than {EVENT_LIMIT_BYTES} bytes")
+        *events, self._incomplete = (self._incomplete + data).split(EVENT_END)
+        if len(self._incomplete) > EVENT_LIMIT_BYTES:
+            raise make_malformed_error(
+                f"an event is larger than {EVENT_LIMIT_BYTES} bytes"
+            )
         chunks: list[CompletionChunk] = []
         for event in events:
             chunk = self._decode(event)
@@ -52,14 +54,14 @@
         try:
             chunk = self._read_chunk(orjson.loads(payload))
         except (ValueError, LookupError, TypeError, AttributeError) as error:
-            raise fail_malformed(f"malformed event: {error!r}") from error
+            raise make_malformed_error(f"malformed event: {error!r}") from error
         return self._drop_duplicate(chunk)
 
     def _read_chunk(self, fields: dict[str, Any]) -> CompletionChunk:
         if fields["request_id"] != self._attempt_id:
-            raise fail_malformed(
-                f"answer of attempt {fields['request_id']} on the connection of "
-                f"{self._attempt_id}"
+            raise make_malformed_error(
+                f"received an event of attempt {fields['request_id']} on the "
+                f"connection of {self._attempt_id}"
             )
         choice = fields["choices"][0]
         return CompletionChunk(
--- a/tests/engines/test_client.py
+++ b/tests/engines/test_client.py
@@ -56,7 +56,7 @@
 
 
 async def complete(script: Script, silence_s: float = 5.0) -> tuple[str, bytes]:
-    """Return the streamed text and the request that the engine got."""
+    """Return the streamed text and the request that the engine received."""
     async with RawServer(script) as server, UpstreamSession() as session:
         client = EngineClient(session, lambda: NOW)
         stream = client.async_complete(server.address, make_attempt(silence_s))
@@ -71,9 +71,9 @@
 
 
 class TestComplete:
-    """The stream of one completion attempt."""
+    """Tests of the stream of one completion attempt."""
 
-    async def test_streams_text_and_sends_what_the_engine_needs(self) -> None:
+    async def test_text_is_streamed_and_the_request_is_complete(self) -> None:
         events = make_event("b", 2) + make_event("c", 3) + DONE
         text, request = await complete(cut(STREAM_HEAD, events))
         assert text == "bc"
@@ -101,7 +101,7 @@
             await complete(answer(STREAM_HEAD, make_event("b", 2)), silence_s=0.1)
         assert caught.value.code is ErrorCode.UPSTREAM_SILENT
 
-    async def test_foreign_answer_fails(self) -> None:
+    async def test_answer_of_another_attempt_fails(self) -> None:
         event = make_event("b", 2, attempt="a-2")
         with pytest.raises(MangowayError) as caught:
             await complete(cut(STREAM_HEAD, event, DONE))
@@ -109,9 +109,9 @@
 
 
 class TestControl:
-    """Descriptions and reports."""
+    """Tests of descriptions and reports."""
 
-    async def test_description_without_fence_word_does_not_check(self) -> None:
+    async def test_missing_checks_fences_means_false(self) -> None:
         body = b'{"upstream": "r1", "incarnation": "i1", "memory_mb": 80}'
         async with (
             RawServer(answer(frame(200, body))) as server,
@@ -122,7 +122,7 @@
         assert description.memory_mb == 80
         assert description.checks_fences is False
 
-    async def test_report_is_dated_by_its_age(self) -> None:
+    async def test_report_time_is_computed_from_its_age(self) -> None:
         body = orjson.dumps(
             {
                 "upstream": "r1",
@@ -158,15 +158,15 @@
 
 
 class TestOrder:
-    """Orders and their answers."""
+    """Tests of orders and their answers."""
 
-    async def test_answer_is_read(self) -> None:
+    async def test_answer_is_decoded(self) -> None:
         body = b'{"order_id": "o-1", "outcome": "refused_stale_fence", "fence": 9}'
         result = await send_order(answer(frame(200, body)))
         assert result.outcome is OrderOutcome.REFUSED_STALE_FENCE
         assert result.fence == 9
 
-    async def test_answer_to_another_order_is_refused(self) -> None:
+    async def test_answer_to_another_order_fails(self) -> None:
         body = b'{"order_id": "o-0", "outcome": "accepted", "fence": 9}'
         with pytest.raises(MangowayError) as caught:
             await send_order(answer(frame(200, body)))
--- a/tests/engines/test_stream.py
+++ b/tests/engines/test_stream.py
@@ -1,4 +1,4 @@
-"""Tests of the decoder of engines' streams."""
+"""Tests of the decoder of completion streams."""
 
 import orjson
 import pytest
@@ -25,7 +25,7 @@
 
 
 class TestStreamDecoder:
-    """Bytes to chunks."""
+    """Tests of decoding bytes into chunks."""
 
     def test_any_split_gives_the_same_chunks(self) -> None:
         stream = make_event("å", 1) + make_event("b", 2, finish="stop") + DONE
@@ -36,7 +36,7 @@
             assert chunks == expected
             assert decoder.done
 
-    def test_carriage_returns_and_comments_are_read_over(self) -> None:
+    def test_carriage_returns_and_comments_are_ignored(self) -> None:
         decoder = StreamDecoder(ATTEMPT, 0)
         event = b": ping\r\n\r\nevent: x\r\n" + make_event("a", 1)
         assert decoder.feed(event) == [CompletionChunk("a", 1)]
@@ -47,17 +47,17 @@
             decoder.feed(make_event("a", 1, attempt="a-0"))
         assert caught.value.failure.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_doubled_event_is_dropped(self) -> None:
+    def test_duplicate_event_is_dropped(self) -> None:
         decoder = StreamDecoder(ATTEMPT, 0)
         chunks = decoder.feed(make_event("a", 1) * 2 + make_event("b", 2))
         assert [chunk.text for chunk in chunks] == ["a", "b"]
 
-    def test_resumed_stream_drops_what_was_delivered(self) -> None:
+    def test_resumed_stream_drops_delivered_tokens(self) -> None:
         decoder = StreamDecoder(ATTEMPT, 2)
         chunks = decoder.feed(make_event("b", 2) + make_event("c", 3))
         assert [chunk.text for chunk in chunks] == ["c"]
 
-    def test_nothing_counts_after_the_end_mark(self) -> None:
+    def test_events_after_the_end_mark_are_ignored(self) -> None:
         decoder = StreamDecoder(ATTEMPT, 0)
         assert decoder.feed(DONE + make_event("a", 1)) == []
 
