--- a/mangoway/http1/__init__.py
+++ b/mangoway/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections that forward messages faithfully, on h11."""
+"""HTTP/1.1 connections based on h11, which keep messages unchanged."""
--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: one request at a time, answers read as they come."""
+"""Connections to upstreams with one request at a time and streamed responses."""
 
 import asyncio
 import re
@@ -13,12 +13,12 @@
 from .const import (
     CONNECT_TIMEOUT_S,
     DEFAULT_KEEP_ALIVE_S,
-    DISTRUST_IDLE_S,
+    IDLE_LIMIT_RECOVERY,
+    IDLE_SHARE_AFTER_BREAK,
+    KEEP_ALIVE_MARGIN_S,
     MAX_RESPONSE_HEADER_BYTES,
     MAX_REUSE_IDLE_S,
     READ_BYTES,
-    TRUST_AFTER_BREAK,
-    TRUST_HEALS,
 )
 from .messages import Request, ResponseHead
 
@@ -30,24 +30,24 @@
 
 
 class ConnectFailedError(Exception):
-    """No connection was made, so nothing was sent."""
+    """No connection was opened, so nothing was sent."""
 
     def __init__(self, detail: str, *, refused: bool = False) -> None:
         super().__init__(detail)
         self.refused = refused
-        """Whether the host answered that nobody listens there."""
+        """Whether the host refused the connection since no process listens there."""
 
 
 class ExchangeFailedError(Exception):
-    """The connection failed after bytes were sent; the request may have run."""
+    """The exchange failed after bytes were sent; the request may have run."""
 
 
 class ConnectionLostError(ExchangeFailedError):
-    """The other end closed or reset the connection before its answer was complete."""
+    """The upstream closed or reset the connection before the end of its response."""
 
 
 class Connection:
-    """One connection to an upstream."""
+    """Connection to an upstream."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, now: float
@@ -60,16 +60,16 @@
         self.usable_until = now + DEFAULT_KEEP_ALIVE_S
         self.idle_since = now
         self.idle_s: float | None = None
-        """Time that it stood idle before its present request; None if it is new."""
+        """Idle time before the current request; None for a new connection."""
 
         self.silence_s: float | None = None
-        """Silence after which `on_silence` is asked, once; None: never."""
+        """Silence after which `on_silence` is called once; None to disable it."""
 
         self.on_silence: SilenceHandler | None = None
-        """Says whether the exchange is given up because of a silence."""
+        """Returns whether the exchange is aborted because of a silence."""
 
         self._ended = False
-        """Whether the other end sends nothing any more."""
+        """Whether the upstream has closed its side of the connection."""
 
     async def async_send(self, request: Request) -> None:
         """Send a whole request.
@@ -88,13 +88,13 @@
         try:
             self._writer.write(b"".join(parts))
         except (OSError, RuntimeError) as error:
-            raise ConnectionLostError(f"could not send: {error}") from error
+            raise ConnectionLostError(f"cannot send the request: {error}") from error
 
     async def async_read_head(self) -> ResponseHead:
-        """Read the head of the next response; interim ones are passed over.
+        """Read the head of the next response; interim responses are skipped.
 
         Raises:
-            ExchangeFailedError: If the connection fails or what comes is no response.
+            ExchangeFailedError: If the connection fails or the response is malformed.
         """
         while True:
             event = await self._async_next()
@@ -106,12 +106,12 @@
                     reason=bytes(event.reason),
                     headers=tuple(event.headers.raw_items()),
                 )
-                self._note_keep_alive(head)
+                self._update_keep_alive(head)
                 return head
-            raise ConnectionLostError("connection ended before the response")
+            raise ConnectionLostError("connection closed before the response")
 
     async def async_iterate_body(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body as they come, until it is complete.
+        """Yield the parts of the body as they arrive, until it is complete.
 
         Raises:
             ExchangeFailedError: If the body ends early.
@@ -123,25 +123,27 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             else:
-                raise ConnectionLostError("connection ended within the body")
+                raise ConnectionLostError("connection closed within the body")
 
     async def async_skip_response(self, request: Request) -> None:
-        """Read a response that belongs to another request to its end.
+        """Read a response that belongs to another request to its end and drop it.
 
-        What follows is read as the response to `request`, which was sent before.
+        The next response is read as that to `request`, which was sent before.
 
         Raises:
-            ExchangeFailedError: If nothing can follow on this connection.
+            ExchangeFailedError: If the connection cannot carry another response.
         """
         async for _ in self.async_iterate_body():
             pass
         if self._closes_after:
-            raise ExchangeFailedError("another request's response closed the channel")
+            raise ExchangeFailedError(
+                "another request's response closed the connection"
+            )
         rest, _ = self._http.trailing_data
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEADER_BYTES
         )
-        # Brings the parser into the state after the request; its bytes were sent.
+        # Sets the parser to the state after the request, which was sent before.
         self._http.send(
             h11.Request(
                 method=request.method,
@@ -156,7 +158,7 @@
             self._http.receive_data(rest)
 
     def prepare_reuse(self, now: float) -> bool:
-        """Return whether another request may go out on this connection."""
+        """Return whether another request may be sent on this connection."""
         rest, closed = self._http.trailing_data
         clean = not rest and not closed and not self._reader.at_eof()
         if not clean or self._closes_after or self._writer.is_closing():
@@ -169,14 +171,14 @@
         self.idle_since = now
         return self._idle_s > 0
 
-    def is_fresh_enough(self, now: float) -> bool:
-        """Return whether the upstream should still have the connection open."""
+    def is_likely_open(self, now: float) -> bool:
+        """Return whether the upstream probably still keeps the connection open."""
         buffered: Any = getattr(self._reader, "_buffer", b"")
         silent = not buffered and not self._reader.at_eof()
         return silent and not self._writer.is_closing() and now < self.usable_until
 
     def close(self) -> None:
-        """Close the connection at once, which also ends what runs upstream."""
+        """Close the connection at once, which also ends the request at the upstream."""
         transport = self._writer.transport
         transport.abort()
 
@@ -186,7 +188,7 @@
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 kind = ConnectionLostError if self._ended else ExchangeFailedError
-                raise kind(f"not a response: {error}") from error
+                raise kind(f"malformed response: {error}") from error
             if event is not h11.NEED_DATA:
                 return event
             try:
@@ -205,15 +207,17 @@
         except TimeoutError:
             silent_s, self.silence_s = self.silence_s, None
             if await self.on_silence():
-                raise ExchangeFailedError(f"silent for {silent_s} s") from None
+                raise ExchangeFailedError(
+                    f"no data from the upstream for {silent_s} s"
+                ) from None
             return await self._reader.read(READ_BYTES)
 
-    def _note_keep_alive(self, head: ResponseHead) -> None:
+    def _update_keep_alive(self, head: ResponseHead) -> None:
         connection = (head.find(b"connection") or "").lower()
         self._closes_after = "close" in connection
         match = KEEP_ALIVE_TIMEOUT.search(head.find(b"keep-alive") or "")
         announced = float(match.group(1)) if match else DEFAULT_KEEP_ALIVE_S
-        self._idle_s = announced - DISTRUST_IDLE_S
+        self._idle_s = announced - KEEP_ALIVE_MARGIN_S
 
     _closes_after = True
     _idle_s = DEFAULT_KEEP_ALIVE_S
@@ -225,7 +229,7 @@
     """Open a connection.
 
     Raises:
-        ConnectFailedError: If none is made in time.
+        ConnectFailedError: If the connection fails or times out.
     """
     host, port = split_address(address)
     try:
@@ -233,44 +237,50 @@
             reader, writer = await asyncio.open_connection(host, port)
     except (OSError, TimeoutError) as error:
         raise ConnectFailedError(
-            f"no connection to {address}: {error!r}",
+            f"cannot connect to {address}: {error!r}",
             refused=isinstance(error, ConnectionRefusedError),
         ) from error
-    raw = writer.get_extra_info("socket")
-    if raw is not None:
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, NAGLE_OFF)
+    sock = writer.get_extra_info("socket")
+    if sock is not None:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, NAGLE_OFF)
     return Connection(reader, writer, now)
 
 
 @define(eq=False)
 class IdleReuseLimit:
-    """How long a connection may stand idle and still be trusted to work.
+    """Limit on the idle time of connections reused for requests without retry.
 
-    A request that may not be repeated is lost to its caller if a kept connection turns
-    out to be broken: nothing proves that it did not run. So such a request uses one
-    only just after an answer came on it, and less long after any was seen to break.
+    A request that must not be retried fails if its reused connection turns out to be
+    broken, since nothing proves that it did not run. Such a request therefore reuses
+    a connection only shortly after a response on it, and the limit falls after an idle
+    connection is found broken.
     """
 
     _limit_s: float = MAX_REUSE_IDLE_S
-    _broken_at: float = -1e9
+    _last_break_at: float = -1e9
 
     def compute_s(self, now: float) -> float:
-        """Return the longest idle time in seconds."""
-        healed_s = TRUST_HEALS * max(0.0, now - self._broken_at)
-        return min(MAX_REUSE_IDLE_S, self._limit_s + healed_s)
+        """Return the current limit in seconds."""
+        recovered_s = IDLE_LIMIT_RECOVERY * max(0.0, now - self._last_break_at)
+        return min(MAX_REUSE_IDLE_S, self._limit_s + recovered_s)
 
     def record_break(self, idle_s: float, now: float) -> None:
-        """Note that a connection that stood idle for so long broke unanswered."""
-        self._limit_s = min(self.compute_s(now), TRUST_AFTER_BREAK * idle_s)
-        self._broken_at = now
+        """Lower the limit after a connection broke without a response.
+
+        Args:
+            idle_s: Idle time of the connection before its request.
+            now: Time in seconds.
+        """
+        self._limit_s = min(self.compute_s(now), IDLE_SHARE_AFTER_BREAK * idle_s)
+        self._last_break_at = now
 
 
 @define(eq=False)
 class ConnectionPool:
-    """Idle connections by address, the last used first."""
+    """Idle connections by address; the last used one is reused first."""
 
     max_idle: int
-    """Idle connections that are kept for one address."""
+    """Maximum number of idle connections per address."""
 
     idle_limit: IdleReuseLimit = field(factory=IdleReuseLimit)
 
@@ -279,49 +289,49 @@
     def acquire(
         self, address: str, now: float, *, retryable: bool = True
     ) -> Connection | None:
-        """Return an idle connection that should still be open; None without one.
+        """Return an idle connection that is probably still open, or None.
 
         Args:
-            address: Where the connection goes to.
+            address: Address of the upstream.
             now: Time in seconds.
-            repeatable: Whether the request may go out again if the connection breaks
-                without an answer; if not, it has to have been used just before.
+            retryable: Whether the request may be sent again if the connection breaks
+                without a response. If not, the idle time is limited.
         """
-        kept = self._idle.get(address)
-        while kept:
-            if not retryable and now - kept[-1].idle_since > self.idle_limit.compute_s(
+        idle = self._idle.get(address)
+        while idle:
+            if not retryable and now - idle[-1].idle_since > self.idle_limit.compute_s(
                 now
             ):
                 return None
-            connection = kept.pop()
-            if connection.is_fresh_enough(now):
+            connection = idle.pop()
+            if connection.is_likely_open(now):
                 connection.idle_s = now - connection.idle_since
                 return connection
             connection.close()
         return None
 
     def release(self, address: str, connection: Connection, now: float) -> None:
-        """Keep a connection whose exchange is complete, if it can be used again."""
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= self.max_idle or not connection.prepare_reuse(now):
+        """Return a connection after a complete exchange; close it if not reusable."""
+        idle = self._idle.setdefault(address, [])
+        if len(idle) >= self.max_idle or not connection.prepare_reuse(now):
             connection.close()
             return
-        kept.append(connection)
+        idle.append(connection)
 
     def drop(self, address: str) -> None:
-        """Close the idle connections of an address that is no longer used."""
+        """Close the idle connections of an address that is no longer in use."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
     def sweep(self, now: float) -> None:
-        """Close the idle connections that the upstream is about to close."""
-        for address, kept in list(self._idle.items()):
-            fresh = [each for each in kept if each.is_fresh_enough(now)]
-            for each in kept:
-                if each not in fresh:
+        """Close the idle connections that have reached their keep-alive timeout."""
+        for address, idle in list(self._idle.items()):
+            open_connections = [each for each in idle if each.is_likely_open(now)]
+            for each in idle:
+                if each not in open_connections:
                     each.close()
-            if fresh:
-                self._idle[address] = fresh
+            if open_connections:
+                self._idle[address] = open_connections
             else:
                 del self._idle[address]
 
--- a/mangoway/http1/const.py
+++ b/mangoway/http1/const.py
@@ -3,36 +3,36 @@
 from typing import Final
 
 READ_BYTES: Final = 65_536
-"""Bytes taken from a socket at once."""
+"""Maximum number of bytes read from a socket at once."""
 
 MAX_RESPONSE_HEADER_BYTES: Final = 65_536
-"""Bytes of status line and fields that an upstream may send; four times what callers
-may send by default."""
+"""Maximum size of the status line and fields of an upstream's response; four times the
+default limit for callers."""
 
 MAX_PIPELINED_BYTES: Final = 65_536
-"""Bytes of later requests that are taken while an answer is under way."""
+"""Bytes of pipelined requests above which reading is paused during a response."""
 
 MAX_WRITE_BUFFER_BYTES: Final = 262_144
-"""Unsent bytes of an answer from which its writer waits for the caller."""
+"""Unsent bytes of a response above which its writer waits for the caller."""
 
 CONNECT_TIMEOUT_S: Final = 0.6
-"""Time for a new connection. A reachable host answers in some 3 ms, one that is cut
-off never does; callers allow one second for theirs."""
+"""Timeout for a new connection. A reachable host accepts one in about 3 ms, a
+disconnected one never does; callers allow one second for their own connections."""
 
-DISTRUST_IDLE_S: Final = 1.0
-"""Time kept back from the idle timeout that an upstream announces, which is given in
-whole seconds and counted at the other end."""
+KEEP_ALIVE_MARGIN_S: Final = 1.0
+"""Margin subtracted from the keep-alive timeout that an upstream announces, since that
+is given in whole seconds and measured by the upstream."""
 
 DEFAULT_KEEP_ALIVE_S: Final = 4.0
-"""Idle time for which a connection is kept if the upstream announces none."""
+"""Idle time for which a connection is kept if the upstream announces no timeout."""
 
 MAX_REUSE_IDLE_S: Final = 1.0
-"""Longest idle time after which a connection still takes a request that may not be
-repeated. Upstreams keep idle ones for whole seconds. A fresh connection for each such
-request was three of five new connections, and each is priced."""
+"""Longest idle time after which a connection is reused for a request that must not be
+retried. Upstreams keep idle connections for whole seconds. Opening a new connection
+for each such request caused three of five new connections, and each has a cost."""
 
-TRUST_AFTER_BREAK: Final = 0.5
-"""Part of the idle time of a connection that broke which is trusted from then on."""
+IDLE_SHARE_AFTER_BREAK: Final = 0.5
+"""Share of the idle time of a broken connection that becomes the new limit."""
 
-TRUST_HEALS: Final = 0.02
-"""Idle time by which the trust grows again in each second without a further break."""
+IDLE_LIMIT_RECOVERY: Final = 0.02
+"""Seconds by which the idle limit rises for each second without another break."""
--- a/mangoway/http1/json_client.py
+++ b/mangoway/http1/json_client.py
@@ -1,4 +1,4 @@
-"""Calls with JSON bodies to one address, on connections that are kept."""
+"""Calls with JSON bodies on kept-alive connections."""
 
 import asyncio
 from collections.abc import Mapping
@@ -18,13 +18,13 @@
 from .messages import Headers, Request, ResponseHead
 
 IDLE_CONNECTIONS: Final = 2
-"""Connections kept to one address; calls of one process seldom overlap."""
+"""Idle connections kept per address; calls of one process rarely overlap."""
 
 
 class CallFailedError(Exception):
-    """A call got no answer in time, or none that can be read.
+    """A call received no response in time, or a malformed one.
 
-    `sent` says whether it may have been carried out.
+    `sent` is whether the call may have been executed.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
@@ -34,7 +34,7 @@
 
 @frozen(kw_only=True)
 class JsonReply:
-    """Status, fields and decoded body of an answer."""
+    """Status, fields and decoded body of a response."""
 
     status: int
     headers: Headers
@@ -43,7 +43,7 @@
 
 @define(eq=False)
 class JsonClient:
-    """Makes calls to any address."""
+    """Client for calls to any address."""
 
     pool: ConnectionPool = field(factory=lambda: ConnectionPool(IDLE_CONNECTIONS))
 
@@ -65,14 +65,14 @@
             address: `ip:port` of the server.
             method: Method of the request.
             path: Path, without the query.
-            timeout_s: Seconds for connection, call and answer together.
+            timeout_s: Timeout for connection, call and response together.
             query: Fields of the query.
-            body: What is sent as JSON; nothing if None.
-            headers: Further fields of the request.
-            fresh: Whether the call needs a connection of its own.
+            body: Value that is sent as JSON; None for no body.
+            headers: Additional fields of the request.
+            fresh: Whether a new connection is used.
 
         Raises:
-            CallFailedError: If there is no answer.
+            CallFailedError: If no valid response is received.
         """
         request = _make_request(address, method, path, query, body, headers)
         connection: Connection | None = None
@@ -87,7 +87,7 @@
             raise CallFailedError(str(error), sent=True) from error
         except TimeoutError as error:
             _close(connection)
-            reason = f"no answer from {address} in {timeout_s} s"
+            reason = f"no response from {address} within {timeout_s} s"
             raise CallFailedError(reason, sent=connection is not None) from error
         except asyncio.CancelledError:
             _close(connection)
@@ -138,7 +138,9 @@
         try:
             body = orjson.loads(payload)
         except orjson.JSONDecodeError as error:
-            raise CallFailedError(f"not JSON: {error}", sent=True) from error
+            raise CallFailedError(
+                f"response is not JSON: {error}", sent=True
+            ) from error
     return JsonReply(status=head.status, headers=head.headers, body=body)
 
 
--- a/mangoway/http1/messages.py
+++ b/mangoway/http1/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as they are forwarded: names, order and case kept."""
+"""HTTP messages; order and case of field names are kept when forwarded."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -6,7 +6,7 @@
 from attrs import frozen
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""Header fields in their order, names as they were sent."""
+"""Header fields in the order and with the names in which they were received."""
 
 HOP_BY_HOP: Final = frozenset(
     {
@@ -21,12 +21,12 @@
         b"upgrade",
     }
 )
-"""Fields that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Fields that apply to a single connection only (RFC 9110, section 7.6.1)."""
 
 
 @frozen(kw_only=True)
 class Request:
-    """A whole request."""
+    """Complete request."""
 
     method: bytes
     target: bytes
@@ -39,7 +39,7 @@
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
     def find(self, name: bytes) -> str | None:
-        """Return the value of a field, given in lower case; None without it."""
+        """Return the value of a field, given in lower case, or None."""
         return find_header(self.headers, name)
 
 
@@ -52,12 +52,17 @@
     headers: Headers
 
     def find(self, name: bytes) -> str | None:
-        """Return the value of a field, given in lower case; None without it."""
+        """Return the value of a field, given in lower case, or None."""
         return find_header(self.headers, name)
 
 
 def find_header(headers: Headers, name: bytes) -> str | None:
-    """Return the first value of a field, given in lower case; None without it."""
+    """Return the first value of a field, or None.
+
+    Args:
+        headers: Fields to search.
+        name: Field name in lower case.
+    """
     for key, value in headers:
         if key.lower() == name:
             return value.decode("latin-1")
@@ -65,13 +70,13 @@
 
 
 def drop_headers(headers: Headers, dropped: Iterable[bytes]) -> Headers:
-    """Return the fields without those named in lower case."""
+    """Return the fields without the dropped ones, which are given in lower case."""
     names = frozenset(dropped)
     return tuple(each for each in headers if each[0].lower() not in names)
 
 
 def list_end_to_end(headers: Headers) -> Headers:
-    """Return the fields that are forwarded: all but those of the connection."""
+    """Return the fields that are forwarded: all but hop-by-hop fields."""
     named = {
         token.strip().lower()
         for key, value in headers
--- a/mangoway/http1/server.py
+++ b/mangoway/http1/server.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests are read whole, answers written as they come."""
+"""Connections of callers: complete requests are read, responses are streamed."""
 
 import asyncio
 import socket
@@ -15,21 +15,21 @@
 from .messages import Headers, Request
 
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
-"""Linger for no time: closing drops what is unsent and resets the connection."""
+"""Zero linger time: closing drops unsent data and resets the connection."""
 
-LINE_BYTES: Final = 4
-"""Bytes of a header line beside name and value: colon, space and line end."""
+LINE_OVERHEAD_BYTES: Final = 4
+"""Bytes of a header line besides name and value: colon, space and line end."""
 
 CLOSE: Final = (b"Connection", b"close")
 
 
 class CallerGoneError(Exception):
-    """The caller closed the connection before the answer was complete."""
+    """The caller closed the connection before the response was complete."""
 
 
 @frozen(kw_only=True)
-class Framing:
-    """Why a request can't be read, as a status and a reason."""
+class RequestProblem:
+    """Status and reason for rejecting a request before reading its body."""
 
     status: int
     reason: str
@@ -37,20 +37,20 @@
 
 @define(eq=False)
 class ServerOptions:
-    """What all connections of a listener share."""
+    """Options and state shared by all connections of a listener."""
 
     handle: "Callable[[Request, Exchange], Awaitable[None]]"
-    """Answers a request; it is cancelled when the caller leaves."""
+    """Handles a request; it is cancelled when the caller disconnects."""
 
     limits: Callable[[], CallerLimits]
     refuse: Callable[[int, str], tuple[Headers, bytes]]
-    """Makes the fields and body of an answer to what is no proper request."""
+    """Returns the fields and body of the response to a malformed request."""
 
     on_error: Callable[[BaseException], None]
-    """Told of a handler that failed unexpectedly."""
+    """Called with the error of a handler that failed unexpectedly."""
 
     closing: bool = False
-    """Whether answers ask the callers to connect anew."""
+    """Whether responses close the connection, so that callers open a new one."""
 
     connections: "set[CallerConnection]" = field(factory=set, init=False)
 
@@ -60,7 +60,7 @@
         return sum(each.busy for each in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections without a request in progress."""
         for each in tuple(self.connections):
             each.close_if_idle()
 
@@ -71,22 +71,22 @@
 
 
 class Exchange:
-    """The answer to one request."""
+    """Response to one request."""
 
     def __init__(self, connection: "CallerConnection") -> None:
         self._connection = connection
         self.started = False
-        """Whether the head of the answer was written."""
+        """Whether the head of the response was written."""
 
     def start(
         self, status: int, reason: bytes, headers: Headers, *, close: bool = False
     ) -> None:
-        """Write the head of the answer."""
+        """Write the head of the response."""
         self.started = True
         self._connection.write_head(status, reason, headers, close=close)
 
     async def async_write(self, data: bytes) -> None:
-        """Write a part of the body; waits while the caller does not read.
+        """Write a part of the body; wait while the caller does not read.
 
         Raises:
             CallerGoneError: If the connection is lost.
@@ -94,25 +94,25 @@
         await self._connection.async_write_body(data)
 
     def finish(self) -> None:
-        """Mark the answer as complete."""
-        self._connection.finish_answer()
+        """Write the end of the response."""
+        self._connection.finish_response()
 
     def answer(
         self, status: int, headers: Headers, body: bytes, *, close: bool = False
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         sized = (*headers, (b"Content-Length", b"%d" % len(body)))
         self.start(status, b"", sized, close=close)
         self._connection.write_part(body)
         self.finish()
 
     def abort(self) -> None:
-        """Close the connection so that the answer can't look complete."""
+        """Reset the connection so that the response cannot look complete."""
         self._connection.abort()
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller; requests are answered one after the other."""
+    """Connection of a caller; pipelined requests are handled one at a time."""
 
     def __init__(self, options: ServerOptions) -> None:
         self._options = options
@@ -138,15 +138,15 @@
         return self._task is not None or self._head is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Register the connection and start the idle timeout."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=MAX_WRITE_BUFFER_BYTES)
         self._options.connections.add(self)
-        self._arm(self._limits.idle_timeout_s, self._expire_idle)
+        self._start_timer(self._limits.idle_timeout_s, self._handle_idle_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the caller."""
+        """Parse bytes of the caller; buffer them while a request is handled."""
         self._http.receive_data(data)
         if self._task is not None:
             self._pending_bytes += len(data)
@@ -154,37 +154,37 @@
                 self._transport.pause_reading()
             return
         if self._head is None:
-            self._arm(self._limits.header_timeout_s, self._expire_head)
+            self._start_timer(self._limits.header_timeout_s, self._handle_head_timeout)
         self._read_events()
 
     def eof_received(self) -> bool:
-        """Take the caller's end of sending as its leaving."""
+        """Treat the end of the caller's stream as a disconnect."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel what runs for a caller that left."""
+        """Cancel the handler of a caller that disconnected."""
         self._lost = True
         self._options.connections.discard(self)
         self._writable.set()
-        self._disarm()
+        self._stop_timer()
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Hold the writer until the caller reads."""
+        """Block the writer until the caller reads."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let the writer go on."""
+        """Unblock the writer."""
         self._writable.set()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is under way."""
+        """Close the connection unless a request is in progress."""
         if not self.busy:
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection, so that what was sent can't look complete."""
+        """Reset the connection so that a sent response cannot look complete."""
         raw = self._transport.get_extra_info("socket")
         if raw is not None and not self._lost:
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -193,7 +193,7 @@
     def write_head(
         self, status: int, reason: bytes, headers: Headers, *, close: bool
     ) -> None:
-        """Write the status line and fields of an answer."""
+        """Write the status line and fields of a response."""
         if self._options.closing or close:
             self._close_after = True
         fields = [*headers, CLOSE] if self._close_after else list(headers)
@@ -206,15 +206,15 @@
             self._write(self._http.send(h11.Data(data=data)))
 
     async def async_write_body(self, data: bytes) -> None:
-        """Write a part of the body and wait while the caller's buffer is full."""
+        """Write a part of the body and wait while the write buffer is full."""
         self.write_part(data)
         if not self._writable.is_set():
             await self._writable.wait()
         if self._lost:
             raise CallerGoneError
 
-    def finish_answer(self) -> None:
-        """Write the end of the answer."""
+    def finish_response(self) -> None:
+        """Write the end of the response."""
         self._write(self._http.send(h11.EndOfMessage()))
 
     def _write(self, data: bytes | None) -> None:
@@ -229,13 +229,13 @@
                 self._refuse(error.error_status_hint, str(error))
                 return
             if event is h11.NEED_DATA:
-                self._ask_for_body()
+                self._send_continue()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         if isinstance(event, h11.Request):
             problem = find_problem(event, self._limits.max_header_bytes)
             if problem is not None:
@@ -250,7 +250,7 @@
         elif isinstance(event, h11.EndOfMessage):
             self._start_handler()
 
-    def _ask_for_body(self) -> None:
+    def _send_continue(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
             interim = h11.InformationalResponse(status_code=100, headers=[])
             self._write(self._http.send(interim))
@@ -258,7 +258,7 @@
     def _start_handler(self) -> None:
         head = self._head
         assert head is not None
-        self._disarm()
+        self._stop_timer()
         request = Request(
             method=bytes(head.method),
             target=bytes(head.target),
@@ -291,7 +291,7 @@
         if self._lost:
             return
         if self._http.our_state is not h11.DONE or self._close_after:
-            # An answer that is not complete must not look so; abort() was called.
+            # An incomplete response must not look complete; abort() was called for it.
             self._transport.close()
             return
         self._limits = self._options.limits()
@@ -301,12 +301,12 @@
             self._transport.close()
             return
         self._transport.resume_reading()
-        self._arm(self._limits.idle_timeout_s, self._expire_idle)
+        self._start_timer(self._limits.idle_timeout_s, self._handle_idle_timeout)
         self._read_events()
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer what is no proper request, and close: framing can't be trusted."""
-        self._disarm()
+        """Reject a malformed request and close, since the framing is not reliable."""
+        self._stop_timer()
         self._head = None
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers, body = self._options.refuse(status, reason)
@@ -314,43 +314,45 @@
             Exchange(self).answer(status, headers, body)
         self._transport.close()
 
-    def _expire_head(self) -> None:
-        self._refuse(408, "the request did not come in time")
+    def _handle_head_timeout(self) -> None:
+        self._refuse(408, "timeout while receiving the request")
 
-    def _expire_idle(self) -> None:
+    def _handle_idle_timeout(self) -> None:
         self._transport.close()
 
-    def _arm(self, seconds: float, call: Callable[[], None]) -> None:
-        self._disarm()
+    def _start_timer(self, seconds: float, call: Callable[[], None]) -> None:
+        self._stop_timer()
         self._timer = self._loop.call_later(seconds, call)
 
-    def _disarm(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
 
-def find_problem(head: h11.Request, max_bytes: int) -> Framing | None:
-    """Return why a request must not be read further; None if it may.
+def find_problem(head: h11.Request, max_bytes: int) -> RequestProblem | None:
+    """Return the reason to reject a request by its head, or None.
 
-    h11 lets a chunked body take precedence over a length; a request with both is
-    refused, since another reader may see two requests in it.
+    In h11 a chunked body takes precedence over a length. A request with both is
+    rejected, since another parser may read it as two requests.
     """
     size = len(head.target) + sum(
-        len(name) + len(value) + LINE_BYTES for name, value in head.headers
+        len(name) + len(value) + LINE_OVERHEAD_BYTES for name, value in head.headers
     )
     if size > max_bytes:
-        # h11 bounds only heads that come in parts.
-        return Framing(status=431, reason="the header fields are too large")
+        # h11 limits only heads that arrive in several parts.
+        return RequestProblem(status=431, reason="the header fields are too large")
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        return Framing(status=400, reason="both a length and a transfer coding")
+        return RequestProblem(
+            status=400, reason="both Content-Length and Transfer-Encoding are given"
+        )
     if b"transfer-encoding" in names and head.http_version != b"1.1":
-        return Framing(status=400, reason="a transfer coding before HTTP/1.1")
+        return RequestProblem(status=400, reason="Transfer-Encoding requires HTTP/1.1")
     if names.count(b"host") > 1:
-        return Framing(status=400, reason="more than one host")
+        return RequestProblem(status=400, reason="more than one Host header")
     if b"upgrade" in names or head.method == b"CONNECT":
-        return Framing(status=501, reason="protocols are not changed here")
+        return RequestProblem(status=501, reason="protocol upgrades are not supported")
     return None
 
 
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of connections to upstreams, against scripts of raw bytes."""
+"""Tests of connections to upstreams that send scripted raw bytes."""
 
 import asyncio
 import socket
@@ -27,7 +27,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that the other end sees a reset."""
+    """Close a connection with a TCP reset."""
     raw = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -59,7 +59,7 @@
 
 
 class TestResponses:
-    """Responses of all framings."""
+    """Tests of responses with all framings."""
 
     async def test_length(self) -> None:
         async with RawServer(script(frame(200, b"body"))) as server:
@@ -93,12 +93,12 @@
             b"",
         ],
     )
-    async def test_what_ends_early_or_is_none_fails(self, data: bytes) -> None:
+    async def test_truncated_or_malformed_response_fails(self, data: bytes) -> None:
         async with RawServer(script(data, close=True)) as server:
             with pytest.raises(ExchangeFailedError):
                 await read_whole(await connect(server))
 
-    async def test_interim_response_is_passed_over(self) -> None:
+    async def test_interim_response_is_skipped(self) -> None:
         data = b"HTTP/1.1 100 Continue\r\n\r\n" + frame(200, b"x")
         async with RawServer(script(data)) as server:
             assert await read_whole(await connect(server)) == (200, b"x")
@@ -116,7 +116,7 @@
 
 
 class TestReuse:
-    """Connections that are kept."""
+    """Tests of the reuse of connections."""
 
     async def test_clean_connection_is_kept(self) -> None:
         async with RawServer(script(frame(200)), script(frame(200))) as server:
@@ -126,7 +126,7 @@
             pool.release(server.address, connection, now())
             assert pool.acquire(server.address, now()) is connection
 
-    async def test_bytes_after_a_response_spoil_it(self) -> None:
+    async def test_connection_with_extra_bytes_is_not_reused(self) -> None:
         async with RawServer(script(frame(200) + b"more")) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
@@ -134,7 +134,7 @@
             pool.release(server.address, connection, now())
             assert pool.acquire(server.address, now()) is None
 
-    async def test_bytes_that_come_later_spoil_it(self) -> None:
+    async def test_connection_with_late_bytes_is_not_reused(self) -> None:
         async with RawServer(script(frame(200), b"late")) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
@@ -143,14 +143,14 @@
             await asyncio.sleep(0.1)
             assert pool.acquire(server.address, now()) is None
 
-    async def test_announced_end_is_believed(self) -> None:
+    async def test_connection_with_announced_close_is_not_reused(self) -> None:
         answer = frame(200, headers="Connection: close\r\n")
         async with RawServer(script(answer)) as server:
             connection = await connect(server)
             await read_whole(connection)
             assert not connection.prepare_reuse(now())
 
-    async def test_idle_time_is_kept_below_the_announced(self) -> None:
+    async def test_idle_time_is_limited_below_the_announced_timeout(self) -> None:
         answer = frame(200, headers="Keep-Alive: timeout=3\r\n")
         async with RawServer(script(answer)) as server:
             pool = ConnectionPool(max_idle=2)
@@ -159,7 +159,7 @@
             pool.release(server.address, connection, now())
             assert pool.acquire(server.address, now() + 2.5) is None
 
-    async def test_one_for_what_may_not_be_repeated_was_used_just_before(self) -> None:
+    async def test_request_without_retry_reuses_recent_connections_only(self) -> None:
         async with RawServer(script(frame(200))) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
@@ -169,7 +169,7 @@
             assert pool.acquire(server.address, late, retryable=False) is None
             assert pool.acquire(server.address, now(), retryable=False) is connection
 
-    async def test_no_more_than_so_many_are_kept(self) -> None:
+    async def test_number_of_idle_connections_is_limited(self) -> None:
         async with RawServer(*[script(frame(200))] * 3) as server:
             pool = ConnectionPool(max_idle=1)
             kept = [await connect(server) for _ in range(3)]
@@ -181,30 +181,30 @@
 
 
 class TestConnect:
-    """Connections that are not made."""
+    """Tests of connections that cannot be opened."""
 
-    async def test_closed_port_is_told_apart(self) -> None:
+    async def test_closed_port_fails(self) -> None:
         with pytest.raises(ConnectFailedError):
             await async_connect("127.0.0.1:1", now())
 
 
-class TestTrust:
-    """Idle connections for requests that may not be repeated."""
+class TestIdleReuseLimit:
+    """Tests of the idle limit for requests that must not be retried."""
 
-    def test_break_shortens_it(self) -> None:
+    def test_break_lowers_the_limit(self) -> None:
         idle_limit = IdleReuseLimit()
         idle_limit.record_break(0.4, now=10.0)
         assert idle_limit.compute_s(10.0) == 0.2
         idle_limit.record_break(0.1, now=11.0)
         assert idle_limit.compute_s(11.0) == 0.05
 
-    def test_later_break_does_not_lengthen_it(self) -> None:
+    def test_later_break_does_not_raise_the_limit(self) -> None:
         idle_limit = IdleReuseLimit()
         idle_limit.record_break(0.1, now=10.0)
         idle_limit.record_break(2.0, now=10.0)
         assert idle_limit.compute_s(10.0) == 0.05
 
-    def test_it_grows_again(self) -> None:
+    def test_limit_rises_again(self) -> None:
         idle_limit = IdleReuseLimit()
         idle_limit.record_break(0.4, now=10.0)
         assert 0.2 < idle_limit.compute_s(20.0) < MAX_REUSE_IDLE_S
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of callers' connections, over loopback."""
+"""Tests of connections of callers, over loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,7 +14,7 @@
 
 
 class Server:
-    """A listener whose handler records requests and answers with `ok`."""
+    """Listener whose handler records requests and responds with `ok`."""
 
     def __init__(self, limits: CallerLimits = CallerLimits()) -> None:
         self.requests: list[Request] = []
@@ -72,7 +72,7 @@
 
 
 class TestRequests:
-    """What is read reaches the handler unchanged."""
+    """Tests that requests reach the handler unchanged."""
 
     async def test_headers_keep_name_and_order(self) -> None:
         async with serve() as (server, reader, writer):
@@ -82,7 +82,7 @@
         assert request.target == b"/a?b=1"
         assert request.headers == ((b"Host", b"h"), (b"X-B", b"2"), (b"x-A", b"1"))
 
-    async def test_chunked_body_is_put_together(self) -> None:
+    async def test_chunked_body_is_joined(self) -> None:
         async with serve() as (server, reader, writer):
             data = (
                 b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -91,7 +91,7 @@
             assert b"200" in await exchange(reader, writer, data)
         assert server.requests[0].body == b"abcde"
 
-    async def test_smuggled_request_stays_body(self) -> None:
+    async def test_smuggled_request_is_read_as_body(self) -> None:
         inner = b"GET /inner HTTP/1.1\r\nHost: h\r\n\r\n"
         async with serve() as (server, reader, writer):
             head = b"POST /outer HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
@@ -99,7 +99,7 @@
         assert [each.path for each in server.requests] == ["/outer"]
         assert server.requests[0].body == inner
 
-    async def test_requests_sent_together_are_answered_in_turn(self) -> None:
+    async def test_pipelined_requests_are_answered_in_order(self) -> None:
         async with serve() as (server, reader, writer):
             server.release.clear()
             one = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -113,7 +113,7 @@
 
 
 class TestFraming:
-    """What could be read in two ways is refused, and nothing of it runs."""
+    """Tests that requests with errors or two possible readings are never handled."""
 
     @pytest.mark.parametrize(
         "head",
@@ -129,20 +129,20 @@
             b"nonsense\r\n\r\n",
         ],
     )
-    async def test_malformed_request_is_refused(self, head: bytes) -> None:
+    async def test_malformed_request_is_rejected(self, head: bytes) -> None:
         async with serve() as (server, reader, writer):
             answer = await exchange(reader, writer, head + b"abc")
             assert answer.startswith(b"HTTP/1.1 400")
             assert await reader.read() == b"" or True
         assert server.requests == []
 
-    async def test_unknown_coding_is_not_implemented(self) -> None:
+    async def test_unknown_transfer_coding_is_not_implemented(self) -> None:
         async with serve() as (server, reader, writer):
             head = b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip\r\n\r\n"
             assert (await exchange(reader, writer, head)).startswith(b"HTTP/1.1 501")
         assert server.requests == []
 
-    async def test_large_head_is_refused(self) -> None:
+    async def test_large_head_is_rejected(self) -> None:
         async with serve(CallerLimits(max_header_bytes=1000)) as (
             server,
             reader,
@@ -152,7 +152,7 @@
             assert (await exchange(reader, writer, head)).startswith(b"HTTP/1.1 431")
         assert server.requests == []
 
-    async def test_large_body_is_refused(self) -> None:
+    async def test_large_body_is_rejected(self) -> None:
         async with serve(CallerLimits(max_body_bytes=10)) as (server, reader, writer):
             head = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n"
             answer = await exchange(reader, writer, head + b"x" * 20)
@@ -161,7 +161,7 @@
 
 
 class TestTime:
-    """Callers that are slow or idle."""
+    """Tests of slow and idle callers."""
 
     async def test_slow_request_times_out(self) -> None:
         limits = CallerLimits(header_timeout_s=0.1)
@@ -184,9 +184,9 @@
 
 
 class TestEnds:
-    """Callers that leave, handlers that fail, processes that stop."""
+    """Tests of disconnects, failing handlers and stopping servers."""
 
-    async def test_caller_that_leaves_ends_the_handler(self) -> None:
+    async def test_disconnect_cancels_the_handler(self) -> None:
         async with serve() as (server, _, writer):
             server.release.clear()
             writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -195,7 +195,7 @@
             async with asyncio.timeout(0.5):
                 await server.cancelled.wait()
 
-    async def test_answer_that_is_broken_off_does_not_look_whole(self) -> None:
+    async def test_aborted_response_does_not_look_complete(self) -> None:
         async with serve() as (_, reader, writer):
             writer.write(b"GET /cut HTTP/1.1\r\nHost: h\r\n\r\n")
             received = b""
@@ -208,14 +208,14 @@
                 raise ConnectionResetError
             assert b"0\r\n\r\n" not in received
 
-    async def test_fault_of_the_handler_is_reported(self) -> None:
+    async def test_error_of_the_handler_is_reported(self) -> None:
         async with serve() as (server, reader, writer):
             writer.write(b"GET /fail HTTP/1.1\r\nHost: h\r\n\r\n")
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await reader.readexactly(1)
             assert [str(each) for each in server.errors] == ["a fault of the handler"]
 
-    async def test_closing_server_asks_to_connect_anew(self) -> None:
+    async def test_closing_server_closes_the_connection(self) -> None:
         async with serve() as (server, reader, writer):
             server.options.closing = True
             answer = await exchange(
