--- a/mangoway/daemons/gateway.py
+++ b/mangoway/daemons/gateway.py
@@ -21,7 +21,7 @@
 from ..policy.membership.core import MembershipCore
 from ..policy.membership.events import ListedHost
 from ..settings.process import GatewaySettings
-from ..util.collector import exempt_start
+from ..util.collector import freeze_startup_objects
 from ..util.signals import StopSignals
 from .const import EXIT_CUT_OFF, EXIT_IDLE
 from .gateway_node import GatewayNode, NodeSettings
@@ -60,7 +60,7 @@
     outcome = StopOutcome.FORCED
     try:
         await process.async_start()
-        exempt_start()
+        freeze_startup_objects()
         outcome = await process.async_leave(await signals.async_wait())
     finally:
         await process.async_stop(force=outcome is not StopOutcome.IDLE)
@@ -163,7 +163,7 @@
             store=self.store,
             clients=node.clients,
             directory=node.directory,
-            book=node.book,
+            report_tracker=node.report_tracker,
             journal=node.journal,
             tasks=node.tasks,
             rng=rng,
@@ -185,7 +185,7 @@
 
     def _apply_host_list(self, listing: HostListing) -> None:
         self.node.set_upstreams(listing.upstreams)
-        self.network.async_list_hosts(
+        self.network.async_update_hosts(
             ListedHost(peer_address=each.peer_address, leaving=each.leaving)
             for each in listing.processes
         )
