--- a/measure/scheduling/__main__.py
+++ b/measure/scheduling/__main__.py
@@ -25,8 +25,8 @@
     print("| runners, models | nothing waits | much waits | that wait, granted |")
     print("|---|---|---|---|")
     for size in SIZES:
-        calm = Fleet(size, CALM_USE).play(seconds)
-        pressed = Fleet(size, PRESSED_USE).play(seconds)
+        calm = Fleet(size, CALM_USE).simulate(seconds)
+        pressed = Fleet(size, PRESSED_USE).simulate(seconds)
         print(
             f"| {size.runners}, {size.models} | {calm.ms_per_request:.3f} ms "
             f"({calm.mean_waiting:.1f} wait) | {pressed.ms_per_request:.3f} ms | "
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -140,7 +140,7 @@
             at = REPORT_S * number / len(self._engines)
             self._at(at, self._make_reporter(runner_id))
 
-    def play(self, seconds: float, warm_up_s: float = WARM_UP_S) -> Spent:
+    def simulate(self, seconds: float, warm_up_s: float = WARM_UP_S) -> Spent:
         """Let requests come, and say what they took after the time to warm up."""
         self._at(BEGIN_S, self._arrive)
         self._run(warm_up_s)
--- a/tests/policy/scheduling/test_work.py
+++ b/tests/policy/scheduling/test_work.py
@@ -37,7 +37,7 @@
 
     sys.setprofile(count)
     try:
-        spent = fleet.play(PLAY_S, warm_up_s=WARM_UP_S)
+        spent = fleet.simulate(PLAY_S, warm_up_s=WARM_UP_S)
     finally:
         sys.setprofile(None)
     return calls / spent.requests_in_all
