--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -78,7 +78,7 @@
     """What a play took."""
 
     requests: int
-    requests_in_all: int
+    total_requests: int
     """The requests with those of the time to warm up."""
 
     seconds: float
@@ -148,7 +148,7 @@
         self._spent_s, self._requests, self._waiting_sum, self._granted = 0.0, 0, 0, 0
         self._run(warm_up_s + seconds)
         return Spent(
-            requests_in_all=warm_up_requests + self._requests,
+            total_requests=warm_up_requests + self._requests,
             requests=self._requests,
             seconds=self._spent_s,
             mean_waiting=self._waiting_sum / max(1, self._requests),
--- a/tests/policy/scheduling/test_work.py
+++ b/tests/policy/scheduling/test_work.py
@@ -40,7 +40,7 @@
         spent = fleet.simulate(PLAY_S, warm_up_s=WARM_UP_S)
     finally:
         sys.setprofile(None)
-    return calls / spent.requests_in_all
+    return calls / spent.total_requests
 
 
 class TestWork:
