--- a/measure/baselines/__init__.py
+++ b/measure/baselines/__init__.py
@@ -1,4 +1,4 @@
-"""Simple policies that the project's own is compared with."""
+"""Simple policies for comparison with the policy of this project."""
 
 from .dispatch import SimpleDispatch
 from .placement import SimplePlacement
--- a/measure/baselines/dispatch.py
+++ b/measure/baselines/dispatch.py
@@ -1,7 +1,8 @@
-"""Dispatch as a simple balancer does it: no windows, no admission, no classes.
+"""Dispatch of a simple load balancer, without windows, admission or classes.
 
-A request goes at once to a ready upstream; the engines queue. An upstream that
-failed is left alone for some seconds. Urgent work has the higher engine priority.
+A request is sent immediately to a ready upstream, and the engines queue requests. An
+upstream gets a cooldown of some seconds after a failure. Urgent requests have the
+higher engine priority.
 """
 
 from collections.abc import Iterable
@@ -40,30 +41,30 @@
     UpstreamListChanged,
 )
 
-_DIGEST_PERIOD_S = 2.0
+_REPORT_PERIOD_S = 2.0
 _SILENCE_S = 10.0
-_AVOID_S = 5.0
-_MAX_TRIES = 3
+_COOLDOWN_S = 5.0
+_MAX_ATTEMPTS = 3
 
 
 class Choice(Enum):
-    """How an upstream is chosen among the ready ones."""
+    """Rule for the choice among the ready upstreams."""
 
     ROUND_ROBIN = "round robin"
     LEAST_OUTSTANDING = "least outstanding requests"
 
 
 @define
-class _Open:
-    """A request without an answer."""
+class _OpenRequest:
+    """A request that has not ended, and the number of its attempts."""
 
     request: Request
-    tries: int = 0
+    attempts: int = 0
 
 
 @define
-class _Tally:
-    """Demand for one artifact since the last digest."""
+class _DemandCount:
+    """Demand for one artifact since the last demand report."""
 
     arrived: int = 0
     tokens: int = 0
@@ -72,58 +73,60 @@
 
 @define
 class SimpleDispatch:
-    """A dispatch core for comparison."""
+    """Dispatch core of a simple load balancer."""
 
     incarnation: IncarnationId
     choice: Choice
-    _open: dict[RequestId, _Open] = field(factory=dict)
+    _open_requests: dict[RequestId, _OpenRequest] = field(factory=dict)
     _waiting: list[RequestId] = field(factory=list)
     _attempts: dict[AttemptId, tuple[RequestId, UpstreamId]] = field(factory=dict)
     _outstanding: dict[UpstreamId, int] = field(factory=dict)
     _ready: dict[UpstreamId, frozenset[Artifact]] = field(factory=dict)
     _listed: set[UpstreamId] = field(factory=set)
     _services: dict[ServiceName, list[UpstreamId]] = field(factory=dict)
-    _avoid_until: dict[UpstreamId, float] = field(factory=dict)
-    _tallies: dict[Artifact, _Tally] = field(factory=dict)
-    _turn: int = 0
-    _number: int = 0
-    _digest_at: float = 0.0
+    _cooldown_until: dict[UpstreamId, float] = field(factory=dict)
+    _demand_counts: dict[Artifact, _DemandCount] = field(factory=dict)
+    _choice_count: int = 0
+    _attempt_count: int = 0
+    _next_report_at: float = 0.0
 
     def handle(self, event: DispatchEvent, now: float) -> list[DispatchAction]:
-        """Take one event; return what to do."""
+        """Handle one event; return the actions to execute."""
         match event:
             case RequestArrived(request=request):
-                return self._arrive(request, now)
+                return self._add_request(request, now)
             case AttemptSucceeded(attempt_id=attempt_id):
-                return self._succeed(attempt_id)
+                return self._handle_success(attempt_id)
             case AttemptFailed():
-                return self._fail(event, now)
+                return self._handle_failure(event, now)
             case EngineReported(report=report):
-                return self._learn(report, now)
+                return self._apply_report(report, now)
             case UpstreamListChanged():
-                self._list(event)
+                self._update_upstreams(event)
             case Ticked():
                 return self._tick(now)
         return []
 
-    def _arrive(self, request: Request, now: float) -> list[DispatchAction]:
-        self._open[request.id] = _Open(request)
+    def _add_request(self, request: Request, now: float) -> list[DispatchAction]:
+        self._open_requests[request.id] = _OpenRequest(request)
         if isinstance(request.target, Artifact):
-            tally = self._tallies.setdefault(request.target, _Tally())
-            tally.arrived += 1
-            tally.tokens += request.max_tokens
+            demand_count = self._demand_counts.setdefault(
+                request.target, _DemandCount()
+            )
+            demand_count.arrived += 1
+            demand_count.tokens += request.max_tokens
         return self._send(request.id, now)
 
     def _send(self, request_id: RequestId, now: float) -> list[DispatchAction]:
-        opened = self._open[request_id]
-        request = opened.request
-        upstream = self._choose(request, now)
+        open_request = self._open_requests[request_id]
+        request = open_request.request
+        upstream = self._choose_upstream(request, now)
         if upstream is None:
             self._waiting.append(request_id)
             return []
-        opened.tries += 1
-        self._number += 1
-        attempt_id = AttemptId(f"{self.incarnation}-a{self._number}")
+        open_request.attempts += 1
+        self._attempt_count += 1
+        attempt_id = AttemptId(f"{self.incarnation}-a{self._attempt_count}")
         self._attempts[attempt_id] = (request_id, upstream)
         self._outstanding[upstream] = self._outstanding.get(upstream, 0) + 1
         return [
@@ -137,20 +140,20 @@
             )
         ]
 
-    def _choose(self, request: Request, now: float) -> UpstreamId | None:
+    def _choose_upstream(self, request: Request, now: float) -> UpstreamId | None:
         usable = [
             upstream
             for upstream in self._find_candidates(request)
-            if self._avoid_until.get(upstream, 0.0) <= now
+            if self._cooldown_until.get(upstream, 0.0) <= now
         ]
         if not usable:
             return None
-        self._turn += 1
+        self._choice_count += 1
         if self.choice is Choice.ROUND_ROBIN:
-            return usable[self._turn % len(usable)]
+            return usable[self._choice_count % len(usable)]
         least = min(self._outstanding.get(upstream, 0) for upstream in usable)
         tied = [u for u in usable if self._outstanding.get(u, 0) == least]
-        return tied[self._turn % len(tied)]
+        return tied[self._choice_count % len(tied)]
 
     def _find_candidates(self, request: Request) -> Iterable[UpstreamId]:
         target = request.target
@@ -159,43 +162,47 @@
         needed = {target, target.base}
         return [u for u, ready in self._ready.items() if needed <= ready]
 
-    def _succeed(self, attempt_id: AttemptId) -> list[DispatchAction]:
-        request_id = self._end(attempt_id)
+    def _handle_success(self, attempt_id: AttemptId) -> list[DispatchAction]:
+        request_id = self._end_attempt(attempt_id)
         if request_id is None:
             return []
-        del self._open[request_id]
+        del self._open_requests[request_id]
         return [FinishRequest(request_id=request_id)]
 
-    def _end(self, attempt_id: AttemptId) -> RequestId | None:
+    def _end_attempt(self, attempt_id: AttemptId) -> RequestId | None:
         found = self._attempts.pop(attempt_id, None)
         if found is None:
             return None
         request_id, upstream = found
         self._outstanding[upstream] -= 1
-        return request_id if request_id in self._open else None
+        return request_id if request_id in self._open_requests else None
 
-    def _fail(self, event: AttemptFailed, now: float) -> list[DispatchAction]:
+    def _handle_failure(self, event: AttemptFailed, now: float) -> list[DispatchAction]:
         found = self._attempts.get(event.attempt_id)
-        request_id = self._end(event.attempt_id)
+        request_id = self._end_attempt(event.attempt_id)
         if found is None or request_id is None:
             return []
-        opened = self._open[request_id]
-        self._avoid_until[found[1]] = now + _AVOID_S
-        may_retry = opened.request.idempotent or event.verdict is Verdict.NOT_RUN
-        if may_retry and opened.tries < _MAX_TRIES and now < opened.request.deadline:
+        open_request = self._open_requests[request_id]
+        self._cooldown_until[found[1]] = now + _COOLDOWN_S
+        may_retry = open_request.request.idempotent or event.verdict is Verdict.NOT_RUN
+        if (
+            may_retry
+            and open_request.attempts < _MAX_ATTEMPTS
+            and now < open_request.request.deadline
+        ):
             return self._send(request_id, now)
         return self._refuse(request_id, event.failure.code, event.verdict)
 
     def _refuse(
         self, request_id: RequestId, code: ErrorCode, verdict: Verdict
     ) -> list[DispatchAction]:
-        request = self._open.pop(request_id).request
+        request = self._open_requests.pop(request_id).request
         if isinstance(request.target, Artifact):
-            self._tallies.setdefault(request.target, _Tally()).refused += 1
+            self._demand_counts.setdefault(request.target, _DemandCount()).refused += 1
         failure = Failure(code=code, verdict=verdict, detail="")
         return [Refuse(request_id=request_id, failure=failure)]
 
-    def _learn(self, report: EngineReport, now: float) -> list[DispatchAction]:
+    def _apply_report(self, report: EngineReport, now: float) -> list[DispatchAction]:
         ready = frozenset(
             resident.artifact
             for resident in report.residents
@@ -211,16 +218,16 @@
         waiting, self._waiting = self._waiting, []
         actions: list[DispatchAction] = []
         for request_id in waiting:
-            if request_id not in self._open:
+            if request_id not in self._open_requests:
                 continue
-            if self._open[request_id].request.deadline <= now:
+            if self._open_requests[request_id].request.deadline <= now:
                 code = ErrorCode.DEADLINE_EXCEEDED
                 actions.extend(self._refuse(request_id, code, Verdict.NOT_RUN))
             else:
                 actions.extend(self._send(request_id, now))
         return actions
 
-    def _list(self, event: UpstreamListChanged) -> None:
+    def _update_upstreams(self, event: UpstreamListChanged) -> None:
         self._listed = {upstream.id for upstream in event.upstreams}
         for upstream_id in list(self._ready):
             if upstream_id not in self._listed:
@@ -232,27 +239,27 @@
 
     def _tick(self, now: float) -> list[DispatchAction]:
         actions = self._send_waiting(now)
-        if now >= self._digest_at:
-            self._digest_at = now + _DIGEST_PERIOD_S
-            actions.append(self._build_digest())
-        actions.append(WakeAt(time=now + _DIGEST_PERIOD_S / 2))
+        if now >= self._next_report_at:
+            self._next_report_at = now + _REPORT_PERIOD_S
+            actions.append(self._build_report())
+        actions.append(WakeAt(time=now + _REPORT_PERIOD_S / 2))
         return actions
 
-    def _build_digest(self) -> ReportDemand:
+    def _build_report(self) -> ReportDemand:
         queued: dict[Artifact, int] = {}
         for request_id in self._waiting:
-            target = self._open[request_id].request.target
+            target = self._open_requests[request_id].request.target
             if isinstance(target, Artifact):
                 queued[target] = queued.get(target, 0) + 1
         demands = tuple(
             ArtifactDemand(
                 artifact=artifact,
-                arrived=tally.arrived,
+                arrived=demand_count.arrived,
                 queued=queued.get(artifact, 0),
-                tokens=tally.tokens,
-                refused=tally.refused,
+                tokens=demand_count.tokens,
+                refused=demand_count.refused,
             )
-            for artifact, tally in self._tallies.items()
+            for artifact, demand_count in self._demand_counts.items()
         )
-        self._tallies = {}
-        return ReportDemand(period_s=_DIGEST_PERIOD_S, demands=demands)
+        self._demand_counts = {}
+        return ReportDemand(period_s=_REPORT_PERIOD_S, demands=demands)
--- a/measure/bound.py
+++ b/measure/bound.py
@@ -1,9 +1,9 @@
-"""An upper mark: every token of capacity used perfectly.
+"""An upper bound of attainment, from an ideal schedule of the token capacity.
 
-All engines are one pool that serves any model at once, needs no prompt reading,
-no loads and no latency, knows each answer's length, and preempts freely. It works
-by earliest deadline and, when a deadline cannot be met, gives up the longest
-answer that is due by then. Plain service calls always meet their targets in it.
+All engines form one pool that serves any model immediately, without prefill, model
+loads or latency. The length of each response is known in advance, and preemption is
+free. Jobs run by earliest deadline first; when a deadline cannot be met, the longest
+response due by then is dropped. Plain service calls always meet their targets.
 """
 
 from bisect import insort
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class Loss:
-    """Capacity that is missing for some time."""
+    """Capacity that is unavailable for some time."""
 
     start: float
     end: float
@@ -24,13 +24,13 @@
 
 @frozen
 class Capacity:
-    """Tokens that all engines together can make."""
+    """Token rate of all engines together."""
 
     tokens_per_second: float
     losses: tuple[Loss, ...] = ()
 
     def count_tokens(self, start: float, end: float) -> float:
-        """Return the tokens that can be made between two times."""
+        """Return the number of tokens that can be generated between two times."""
         tokens = (end - start) * self.tokens_per_second
         for loss in self.losses:
             overlap = min(end, loss.end) - max(start, loss.start)
@@ -40,53 +40,55 @@
 
 @define(order=True)
 class _Job:
-    """Tokens that one answer still needs, by deadline."""
+    """Tokens still to generate for one response; sorted by deadline."""
 
     deadline: float
     number: int
-    left: float
+    remaining_tokens: float
 
 
 def find_bound(arrivals: tuple[Arrival, ...], capacity: Capacity) -> float:
-    """Return the share of requests that a perfect pool serves by their deadlines."""
+    """Return the share of requests that the ideal pool serves by their deadlines."""
     jobs: list[_Job] = []
-    given_up = 0
+    dropped = 0
     now = 0.0
     for arrival in arrivals:
         if arrival.output_tokens == 0:
             continue
-        _work(jobs, capacity.count_tokens(now, arrival.time))
+        _spend_tokens(jobs, capacity.count_tokens(now, arrival.time))
         now = arrival.time
         insort(jobs, _Job(arrival.deadline, arrival.number, arrival.output_tokens))
-        given_up += _give_up(jobs, now, capacity)
-    return 1.0 - given_up / max(1, len(arrivals))
+        dropped += _drop_jobs(jobs, now, capacity)
+    return 1.0 - dropped / max(1, len(arrivals))
 
 
-def _work(jobs: list[_Job], tokens: float) -> None:
-    """Spend tokens on the jobs that are due first."""
-    ended = 0
+def _spend_tokens(jobs: list[_Job], tokens: float) -> None:
+    """Spend tokens on the jobs with the earliest deadlines."""
+    completed = 0
     for job in jobs:
-        spent = min(job.left, tokens)
-        job.left -= spent
+        spent = min(job.remaining_tokens, tokens)
+        job.remaining_tokens -= spent
         tokens -= spent
-        if job.left > 0:
+        if job.remaining_tokens > 0:
             break
-        ended += 1
-    del jobs[:ended]
-
-
-def _give_up(jobs: list[_Job], now: float, capacity: Capacity) -> int:
-    """Drop the longest jobs until all the others can end in time."""
-    given_up = 0
-    needed = 0.0
-    place = 0
-    while place < len(jobs):
-        needed += jobs[place].left
-        if needed <= capacity.count_tokens(now, jobs[place].deadline) + 1e-6:
-            place += 1
+        completed += 1
+    del jobs[:completed]
+
+
+def _drop_jobs(jobs: list[_Job], now: float, capacity: Capacity) -> int:
+    """Drop the longest jobs until all others can meet their deadlines."""
+    dropped = 0
+    needed_tokens = 0.0
+    position = 0
+    while position < len(jobs):
+        needed_tokens += jobs[position].remaining_tokens
+        if needed_tokens <= capacity.count_tokens(now, jobs[position].deadline) + 1e-6:
+            position += 1
             continue
-        longest = max(range(place + 1), key=lambda index: jobs[index].left)
-        needed -= jobs[longest].left
+        longest = max(
+            range(position + 1), key=lambda index: jobs[index].remaining_tokens
+        )
+        needed_tokens -= jobs[longest].remaining_tokens
         del jobs[longest]
-        given_up += 1
-    return given_up
+        dropped += 1
+    return dropped
--- a/measure/callers.py
+++ b/measure/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they choose a gateway, come back when told to, and keep the score."""
+"""Callers that choose a gateway, retry, and record the outcome."""
 
 from collections.abc import Callable
 from random import Random
@@ -7,7 +7,7 @@
 from mangoway.models.verdict import Verdict
 
 from .clock import Clock
-from .const import CALLER_TRIES, CONNECT_TIMEOUT_S
+from .const import CALLER_RETRIES, CONNECT_TIMEOUT_S
 from .demand import Arrival
 from .gateways import GatewayShell
 from .outcomes import Outcome
@@ -16,11 +16,11 @@
 
 
 class Caller:
-    """One request of a caller until its end.
+    """One request of a caller, with its retries.
 
-    The caller knows gateways from an address answer that may be some seconds old.
-    It comes back after a refusal that certainly did not run, when it was told to,
-    and resends a repeatable request whose gateway died.
+    The caller's list of gateways may be some seconds old. The caller retries a refused
+    request after the returned delay if the request is idempotent or was not run, and
+    resends an idempotent request after its gateway has failed.
     """
 
     def __init__(
@@ -28,18 +28,18 @@
         clock: Clock,
         arrival: Arrival,
         random: Random,
-        list_addresses: Callable[[], list[GatewayShell]],
+        list_gateways: Callable[[], list[GatewayShell]],
     ) -> None:
         self.arrival = arrival
         self.outcome = Outcome(arrival=arrival)
         self._clock = clock
         self._random = random
-        self._list_addresses = list_addresses
+        self._list_gateways = list_gateways
 
     def start(self) -> None:
-        """Send the request to one of the gateways that the caller knows."""
-        self.outcome.tries += 1
-        gateways = self._list_addresses()
+        """Send the request to one of the listed gateways."""
+        self.outcome.attempts += 1
+        gateways = self._list_gateways()
         if gateways:
             self._connect(self._random.sample(gateways, len(gateways)))
 
@@ -57,26 +57,26 @@
             self._connect(others)
 
     def receive_first_token(self) -> None:
-        """Note the time of the first token, also that of a later try."""
+        """Record the time of the first token, unless an earlier attempt had one."""
         if self.outcome.first_token_at is None:
             self.outcome.first_token_at = self._clock.now + _CALLER_LATENCY_S
 
     def receive_end(self) -> None:
-        """Note the end of the answer."""
+        """Record the end of the response."""
         self.outcome.finished_at = self._clock.now + _CALLER_LATENCY_S
 
     def receive_failure(self, failure: Failure) -> None:
-        """Note the refusal and come back if that makes sense."""
+        """Record the refusal, and schedule a retry if one is allowed."""
         self.outcome.refusals.append(failure.code)
-        may_run_again = self.arrival.idempotent or failure.verdict is Verdict.NOT_RUN
-        if failure.retry_after is None or not may_run_again:
+        may_retry = self.arrival.idempotent or failure.verdict is Verdict.NOT_RUN
+        if failure.retry_after is None or not may_retry:
             return
-        again_at = self._clock.now + failure.retry_after
-        if self.outcome.tries <= CALLER_TRIES and again_at < self.arrival.deadline:
-            self._clock.call_at(again_at, self.start)
+        retry_at = self._clock.now + failure.retry_after
+        if self.outcome.attempts <= CALLER_RETRIES and retry_at < self.arrival.deadline:
+            self._clock.call_at(retry_at, self.start)
 
     def receive_disconnect(self) -> None:
-        """Resend a repeatable request whose gateway died."""
+        """Resend an idempotent request whose gateway has failed."""
         self.outcome.refusals.append(ErrorCode.INTERNAL)
         if self.arrival.idempotent and self._clock.now < self.arrival.deadline:
             self._clock.call_later(_CALLER_LATENCY_S, self.start)
--- a/measure/campaign.py
+++ b/measure/campaign.py
@@ -1,4 +1,4 @@
-"""All runs of the policy measurement, spread over a few processes."""
+"""All runs of the policy measurement, distributed over worker processes."""
 
 import gc
 from collections.abc import Iterable, Iterator
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from .bound import find_bound
-from .const import FAULT_TRAFFIC_S, FEWER_SEEDS, SEEDS, TRAFFIC_S
+from .const import FAULT_TRAFFIC_S, REDUCED_SEEDS, SEEDS, TRAFFIC_S
 from .demand import Demand, build_demand
 from .faults import Fault
 from .policies import (
@@ -38,13 +38,13 @@
 
 _BY_NAME = {policy.name: policy for found in POLICIES.values() for policy in found}
 
-_COLLECT_AFTER = 200_000
-"""New objects after which the collector looks for cycles."""
+_COLLECTION_THRESHOLD = 200_000
+"""Number of new objects that triggers a garbage collection."""
 
 
 @frozen(kw_only=True)
 class Case:
-    """One policy on one site under one fault."""
+    """Combination of a site, a policy and a fault."""
 
     site: str
     policy: str
@@ -53,7 +53,7 @@
 
 @frozen(kw_only=True)
 class Job:
-    """One run."""
+    """One run of a case with a seed."""
 
     case: Case
     seed: int
@@ -61,12 +61,12 @@
 
 @lru_cache
 def find_site(name: str) -> Site:
-    """Return a site by its name."""
+    """Return the site with a name."""
     return {"khangai": build_khangai, "cascadia": build_cascadia}[name]()
 
 
 def list_cases(sites: Iterable[str], with_faults: bool) -> list[Case]:
-    """Return all cases, the longest runs first."""
+    """Return all cases, those with the longest runs first."""
     return [
         Case(site=site, policy=policy.name, fault=fault)
         for fault, policies in POLICIES.items()
@@ -77,21 +77,23 @@
 
 
 def list_seeds(case: Case) -> tuple[int, ...]:
-    """Return the seeds that a case is run with."""
+    """Return the seeds of the runs of a case."""
     is_main = case.policy in {policy.name for policy in MAIN_POLICIES}
-    return SEEDS if is_main and case.fault is Fault.NONE else FEWER_SEEDS
+    return SEEDS if is_main and case.fault is Fault.NONE else REDUCED_SEEDS
 
 
-def list_jobs(cases: list[Case], most: int = len(SEEDS)) -> list[Job]:
-    """Return all runs of some cases, with at most so many seeds each."""
+def list_jobs(cases: list[Case], max_seeds: int = len(SEEDS)) -> list[Job]:
+    """Return all runs of the cases, with at most `max_seeds` seeds each."""
     return [
-        Job(case=case, seed=seed) for case in cases for seed in list_seeds(case)[:most]
+        Job(case=case, seed=seed)
+        for case in cases
+        for seed in list_seeds(case)[:max_seeds]
     ]
 
 
 def run_jobs(jobs: list[Job], processes: int) -> Iterator[tuple[Job, RunScore]]:
-    """Run all jobs in a few processes; yield each run as it ends."""
-    with get_context("fork").Pool(processes, _relax_collector) as pool:
+    """Run all jobs in worker processes; yield the score of each run as it ends."""
+    with get_context("fork").Pool(processes, _raise_collection_threshold) as pool:
         yield from pool.imap_unordered(_run_job, jobs)
 
 
@@ -112,9 +114,9 @@
     return build_demand(find_site(site), seed, length_s, fault is Fault.FLOOD)
 
 
-def _relax_collector() -> None:
-    """Look for garbage cycles less often: a run keeps most of what it makes."""
-    gc.set_threshold(_COLLECT_AFTER)
+def _raise_collection_threshold() -> None:
+    """Collect garbage less often, as a run keeps most of its objects."""
+    gc.set_threshold(_COLLECTION_THRESHOLD)
 
 
 def _run_job(job: Job) -> tuple[Job, RunScore]:
--- a/measure/const.py
+++ b/measure/const.py
@@ -1,58 +1,58 @@
-"""Constants of the measurements; times in seconds of virtual time."""
+"""Constants of the policy measurement; times are in seconds of virtual time."""
 
 from typing import Final
 
 WARM_UP_S: Final = 150.0
-"""Time for the first placement, before traffic; its moves are not counted."""
+"""Duration of the first placement, before traffic; its moves are not counted."""
 
 TRAFFIC_S: Final = 500.0
-"""Length of the traffic: a working day and its night in compressed time."""
+"""Duration of the traffic: a working day and a night in compressed time."""
 
 FAULT_TRAFFIC_S: Final = 240.0
-"""Length of the traffic of runs with a fault: the day until its first surge is over."""
+"""Duration of the traffic of runs with a fault; it ends after the first surge."""
 
-FLOOD_CALLER: Final = 5
-"""Place of the caller that floods, in the order of names."""
+FLOOD_CALLER_INDEX: Final = 5
+"""Index of the flooding caller in the sorted caller names."""
 
 CALLER_LIMIT_RPS: Final = 1.5
-"""Limit of each caller at each gateway, where limits are measured."""
+"""Rate limit of each caller at each gateway, for the policy with caller limits."""
 
 FLOOD_START_S: Final = 100.0
-FLOOD_HOLD_S: Final = 60.0
+FLOOD_DURATION_S: Final = 60.0
 FLOOD_LOAD: Final = 1.2
-"""What the flooding caller alone asks for, in shares of all capacity."""
+"""Load of the flooding caller as a share of the total capacity."""
 
-BROWN_OUT_ERRORS: Final = 0.5
-BROWN_OUT_SLOW: Final = 0.25
-"""Shares of the requests to an engine in a brown-out that fail or hang at first."""
+BROWN_OUT_ERROR_SHARE: Final = 0.5
+BROWN_OUT_HANG_SHARE: Final = 0.25
+"""Shares of the requests to a browned-out engine that fail, or hang before they run."""
 
 BROWN_OUT_HANG_S: Final = 3.0
 
 COOL_DOWN_S: Final = 20.0
 
 SEEDS: Final = (1, 2, 3, 4, 5)
-FEWER_SEEDS: Final = SEEDS[:3]
-"""Seeds for faults and for the policy with one mechanism changed."""
+REDUCED_SEEDS: Final = SEEDS[:3]
+"""Seeds of runs with faults and of policies with one mechanism changed."""
 
 FIRST_TOKEN_S: Final = 0.54
 TOKEN_INTERVAL_S: Final = 0.059
-"""Targets of urgent answers: the first token, and the time between tokens."""
+"""Targets of urgent requests: time to first token, and time between tokens."""
 
 REPORT_PERIOD_S: Final = 1.0
-REPORT_LAG_S: Final = 0.25
-HOST_LIST_LAG_S: Final = 10.0
-PEER_SILENCE_S: Final = 3.0
-"""Time after which the others notice that a gateway or an engine is gone."""
+REPORT_DELAY_S: Final = 0.25
+HOST_LIST_DELAY_S: Final = 10.0
+FAILURE_DETECTION_S: Final = 3.0
+"""Delay until the failure or restart of a gateway or an engine is detected."""
 
 CONNECT_TIMEOUT_S: Final = 1.0
 KEY_VALUE_LATENCY_S: Final = 0.004
 KEY_VALUE_TIMEOUT_S: Final = 1.0
 LEASE_TTL_S: Final = 6.0
 PROGRESS_PERIOD_S: Final = 1.0
-"""Time between progress events of one stream after its first token."""
+"""Minimum time between two progress events of a stream."""
 
-LATENCY_INSIDE_S: Final = 0.0002
-LATENCY_BETWEEN_S: Final = 0.0011
+INTRA_DATA_CENTRE_LATENCY_S: Final = 0.0002
+INTER_DATA_CENTRE_LATENCY_S: Final = 0.0011
 
-CALLER_TRIES: Final = 3
-"""Times that a caller comes back after a refusal that certainly did not run."""
+CALLER_RETRIES: Final = 3
+"""Maximum retries of a caller after refusals with a retry delay."""
--- a/measure/controllers.py
+++ b/measure/controllers.py
@@ -1,4 +1,4 @@
-"""A controller without I/O: it carries the placement core's actions out."""
+"""A controller without I/O that executes the actions of the placement core."""
 
 from collections.abc import Callable
 from typing import Any
@@ -48,14 +48,14 @@
 
 @frozen(kw_only=True)
 class ControllerIdentity:
-    """Who a controller is."""
+    """Host and incarnation of a controller."""
 
     host: HostId
     incarnation: IncarnationId
 
 
 class ControllerShell:
-    """Translate between the placement core and the fakes."""
+    """Adapter between the placement core and the fakes."""
 
     def __init__(
         self,
@@ -76,40 +76,40 @@
         self._link = link
         self._milestones = milestones
         self._is_frozen = False
-        self._held_back: list[PlacementEvent] = []
+        self._delayed_events: list[PlacementEvent] = []
         self._renewed_at = 0.0
-        self._answered: set[str] = set()
-        self._wake_at: float | None = None
-        self._carry: dict[type, Callable[[Any], None]] = {
+        self._settled_orders: set[str] = set()
+        self._wakeup_at: float | None = None
+        self._executors: dict[type, Callable[[Any], None]] = {
             ReadLedger: self._read,
             WriteLedger: self._write,
             SendOrder: self._send,
-            WakeAt: self._set_wake,
+            WakeAt: self._schedule_wakeup,
             Explain: lambda _: None,
         }
 
     def handle(self, event: PlacementEvent) -> None:
-        """Give the core an event and carry out what it decides."""
+        """Pass an event to the core and execute the returned actions."""
         if self._is_frozen:
-            self._held_back.append(event)
+            self._delayed_events.append(event)
             return
         for action in self._core.handle(event, self._clock.now):
-            self._carry[type(action)](action)
+            self._executors[type(action)](action)
 
     def freeze(self) -> None:
-        """Pause the process; events pile up before it."""
+        """Pause the process; events are queued until it resumes."""
         self._is_frozen = True
 
-    def thaw(self) -> None:
-        """Go on as if no time had passed, still believing in the lease."""
+    def resume(self) -> None:
+        """Resume the process with the lease state from before the pause."""
         self._is_frozen = False
-        held_back, self._held_back = self._held_back, []
-        for event in held_back:
+        delayed_events, self._delayed_events = self._delayed_events, []
+        for event in delayed_events:
             self.handle(event)
 
-    def keep_lease(self) -> None:
-        """Try to take or renew the lease, again and again."""
-        self._clock.call_later(_LEASE_PERIOD_S, self.keep_lease)
+    def maintain_lease(self) -> None:
+        """Acquire or renew the lease periodically."""
+        self._clock.call_later(_LEASE_PERIOD_S, self.maintain_lease)
         if self._is_frozen:
             return
         now = self._clock.now
@@ -146,7 +146,7 @@
             self._fail_store_call(upstream_id)
             return
         for entry in action.ledger.reserved:
-            self._milestones.note(Step.LEDGER_WRITTEN, entry.artifact)
+            self._milestones.record(Step.LEDGER_WRITTEN, entry.artifact)
         stored = self._store.write(action.ledger, action.expected)
         event: PlacementEvent
         if stored is not None:
@@ -156,11 +156,11 @@
                 revision=stored.revision,
             )
         else:
-            present = self._store.read(upstream_id)
+            current = self._store.read(upstream_id)
             event = LedgerConflicted(
                 upstream_id=upstream_id,
-                ledger=present.ledger,
-                revision=present.revision,
+                ledger=current.ledger,
+                revision=current.revision,
             )
         self._clock.call_later(KEY_VALUE_LATENCY_S, self.handle, event)
 
@@ -174,7 +174,7 @@
             self._fail_order(order, Verdict.NOT_RUN)
             return
         if order.kind is OrderKind.LOAD:
-            self._milestones.note(Step.ORDER_SENT, order.artifact)
+            self._milestones.record(Step.ORDER_SENT, order.artifact)
         for delivery in self._link.send(self._clock.now, order):
             self._clock.call_at(delivery.time, self._deliver, delivery)
         self._clock.call_later(
@@ -186,15 +186,15 @@
         host = self._engines[order.upstream]
         host.advance()
         outcome = host.model.order(self._clock.now, order)
-        host.touch()
+        host.advance_and_reschedule()
         if outcome is None:
             if not host.is_silent:
                 self._fail_order(order, Verdict.NOT_RUN)
             return
         if order.kind is OrderKind.LOAD and host.model.holds(order.artifact):
-            self._milestones.note(Step.ORDER_ACCEPTED, order.artifact)
-        if delivery.answers and order.id not in self._answered:
-            self._answered.add(order.id)
+            self._milestones.record(Step.ORDER_ACCEPTED, order.artifact)
+        if delivery.answers and order.id not in self._settled_orders:
+            self._settled_orders.add(order.id)
             event = OrderAnswered(
                 order_id=order.id,
                 upstream_id=order.upstream,
@@ -204,18 +204,18 @@
             self._clock.call_later(self._link.latency_s, self.handle, event)
 
     def _fail_order(self, order: Order, verdict: Verdict) -> None:
-        if order.id in self._answered:
+        if order.id in self._settled_orders:
             return
-        self._answered.add(order.id)
+        self._settled_orders.add(order.id)
         self.handle(
             OrderFailed(order_id=order.id, upstream_id=order.upstream, verdict=verdict)
         )
 
-    def _set_wake(self, action: WakeAt) -> None:
-        self._wake_at = action.time
-        self._clock.call_at(action.time, self._wake, action.time)
+    def _schedule_wakeup(self, action: WakeAt) -> None:
+        self._wakeup_at = action.time
+        self._clock.call_at(action.time, self._wake_up, action.time)
 
-    def _wake(self, time: float) -> None:
-        if self._wake_at == time:
-            self._wake_at = None
+    def _wake_up(self, time: float) -> None:
+        if self._wakeup_at == time:
+            self._wakeup_at = None
             self.handle(Ticked())
--- a/measure/demand.py
+++ b/measure/demand.py
@@ -1,7 +1,7 @@
-"""Demand like a newsroom's, in compressed time.
+"""Generated demand of a newsroom in compressed time.
 
-An hour of the deployments is some two minutes here. The base is a trickle for
-every artifact, a few of them more popular; on top come surges.
+An hour of the deployments takes about two minutes. The base demand is a low rate for
+each artifact, and a few artifacts are more popular; surges are added to it.
 """
 
 import math
@@ -16,8 +16,8 @@
 
 from .const import (
     FIRST_TOKEN_S,
-    FLOOD_CALLER,
-    FLOOD_HOLD_S,
+    FLOOD_CALLER_INDEX,
+    FLOOD_DURATION_S,
     FLOOD_LOAD,
     FLOOD_START_S,
     TOKEN_INTERVAL_S,
@@ -28,27 +28,30 @@
 
 _POPULARITY_EXPONENT = 0.8
 _BLOCK_TOKENS = 64
-_PROMPT_END_TOKENS = 20
-"""Tokens behind the last whole block of a prompt."""
+_PARTIAL_BLOCK_TOKENS = 20
+"""Tokens after the last whole block of a prompt."""
 
 _PREFIXES_PER_ARTIFACT = 3
 _SHARED_PREFIX_SHARE = 0.75
 _URGENT_MAX_TOKENS = (60, 300)
 _PATIENT_MAX_TOKENS = (300, 800)
-_LEAST_OUTPUT = 0.3
-"""Least share of its `max_tokens` that an answer has."""
+_MIN_OUTPUT_SHARE = 0.3
+"""Minimum length of a response as a share of its `max_tokens`."""
 
 _DEADLINE_MARGIN_S = 0.5
-_PATIENT_TIME = 0.8
-"""Share of the traffic in which patient work arrives; all is due at the end."""
+_PATIENT_ARRIVAL_SHARE = 0.8
+"""Share of the traffic time during which patient requests arrive.
 
-_CALM_DURING_NEWS = 0.5
-"""Share of its usual rate that other urgent traffic keeps while news is on."""
+All of them are due at the end of the traffic.
+"""
+
+_NEWS_OTHER_URGENT_SHARE = 0.5
+"""Rate of other urgent traffic during the news surge, as a share of the usual rate."""
 
 
 @frozen(kw_only=True)
 class Surge:
-    """A rise in the demand for a few artifacts, as a share of all capacity."""
+    """Increase in demand for a few artifacts, as a share of the total capacity."""
 
     name: str
     artifacts: tuple[Artifact, ...]
@@ -56,11 +59,11 @@
     ramp_s: float
     hold_s: float
     peak_load: float
-    calms_others: bool = False
+    reduces_other_traffic: bool = False
 
     @property
     def end_s(self) -> float:
-        """Return the end of the way down."""
+        """Return the end of the ramp down."""
         return self.start_s + 2 * self.ramp_s + self.hold_s
 
     def find_load(self, time_s: float) -> float:
@@ -74,7 +77,7 @@
 
 @frozen(kw_only=True)
 class Arrival:
-    """One request that a caller has, as the replay sends it."""
+    """One request of a caller in the simulation."""
 
     number: int
     time: float
@@ -87,26 +90,26 @@
     prompt_tokens: int = 0
     max_tokens: int = 0
     output_tokens: int = 0
-    """Tokens that the answer really has; the system only knows `max_tokens`."""
+    """Actual tokens of the response; the policy receives only `max_tokens`."""
 
     prefix_hashes: tuple[int, ...] = ()
 
 
 @frozen(kw_only=True)
 class Demand:
-    """All arrivals of one run, by time, and the surges in them."""
+    """All arrivals of a run in the order of time, and the surges among them."""
 
     arrivals: tuple[Arrival, ...]
     surges: tuple[Surge, ...]
     length_s: float = TRAFFIC_S
     flooder: CallerId | None = None
-    """The caller that alone asks for more than all capacity; None if none does."""
+    """Caller whose requests alone exceed the total capacity; None if there is none."""
 
 
 def build_demand(
     site: Site, seed: int, length_s: float = TRAFFIC_S, has_flood: bool = False
 ) -> Demand:
-    """Build the demand of a site, or only the first part of its day."""
+    """Build the demand of a site for the first `length_s` seconds of its day."""
     return _DemandBuilder(site, seed, length_s, has_flood).build()
 
 
@@ -122,10 +125,10 @@
         self._caller_weights = _list_popularity(len(self._callers))
         self._prefixes: dict[tuple[Artifact, int], tuple[int, ...]] = {}
         self._surges = self._build_surges()
-        self._flooder = self._callers[FLOOD_CALLER] if has_flood else None
+        self._flooder = self._callers[FLOOD_CALLER_INDEX] if has_flood else None
 
     def build(self) -> Demand:
-        """Draw all arrivals."""
+        """Draw all arrivals at random."""
         drafts: list[tuple[float, Callable[[float], Arrival]]] = []
         for second in range(int(self._length_s)):
             drafts.extend(self._draw_second(float(second)))
@@ -144,7 +147,7 @@
         )
 
     def _build_surges(self) -> tuple[Surge, ...]:
-        """Choose artifacts that are not popular before."""
+        """Return the surges, for artifacts with low base popularity."""
         models = [a for a in self._artifacts[30:] if a.adapter is None]
         adapters = [a for a in self._artifacts[30:] if a.adapter is not None]
         news = Surge(
@@ -154,7 +157,7 @@
             ramp_s=20.0,
             hold_s=100.0,
             peak_load=0.45,
-            calms_others=True,
+            reduces_other_traffic=True,
         )
         tenfold = Surge(
             name="tenfold",
@@ -181,20 +184,26 @@
         capacity = self._site.tokens_per_second
         urgent_rate = capacity / _find_mean_tokens(_URGENT_MAX_TOKENS)
         patient_rate = capacity / _find_mean_tokens(_PATIENT_MAX_TOKENS)
-        calm = 1.0
+        other_urgent_share = 1.0
         drafts: list[tuple[float, Callable[[float], Arrival]]] = []
         for surge in self._surges:
             load = surge.find_load(second)
-            if surge.calms_others and load > 0:
-                calm = _CALM_DURING_NEWS
+            if surge.reduces_other_traffic and load > 0:
+                other_urgent_share = _NEWS_OTHER_URGENT_SHARE
             for _ in range(self._draw_count(load * urgent_rate)):
                 artifact = self._random.choice(surge.artifacts)
-                drafts.append((self._draw_time(second), self._urgent_for(artifact)))
-        for _ in range(self._draw_count(mix.urgent_load * calm * urgent_rate)):
+                drafts.append(
+                    (self._draw_time(second), self._make_urgent_builder(artifact))
+                )
+        for _ in range(
+            self._draw_count(mix.urgent_load * other_urgent_share * urgent_rate)
+        ):
             artifact = self._draw_artifact()
-            drafts.append((self._draw_time(second), self._urgent_for(artifact)))
-        if second < _PATIENT_TIME * self._length_s:
-            rate = mix.patient_load * patient_rate / _PATIENT_TIME
+            drafts.append(
+                (self._draw_time(second), self._make_urgent_builder(artifact))
+            )
+        if second < _PATIENT_ARRIVAL_SHARE * self._length_s:
+            rate = mix.patient_load * patient_rate / _PATIENT_ARRIVAL_SHARE
             for _ in range(self._draw_count(rate)):
                 drafts.append((self._draw_time(second), self._build_patient))
         for _ in range(self._draw_count(mix.calls_per_second)):
@@ -206,18 +215,18 @@
     def _draw_flood(
         self, second: float, urgent_rate: float
     ) -> list[tuple[float, Callable[[float], Arrival]]]:
-        """Return urgent requests of one caller for artifacts by their popularity."""
-        if not FLOOD_START_S <= second < FLOOD_START_S + FLOOD_HOLD_S:
+        """Return urgent requests of the flooding caller, weighted by popularity."""
+        if not FLOOD_START_S <= second < FLOOD_START_S + FLOOD_DURATION_S:
             return []
         return [
-            (self._draw_time(second), self._flood_for(self._draw_artifact()))
+            (self._draw_time(second), self._make_flood_builder(self._draw_artifact()))
             for _ in range(self._draw_count(FLOOD_LOAD * urgent_rate))
         ]
 
-    def _flood_for(self, artifact: Artifact) -> Callable[[float], Arrival]:
+    def _make_flood_builder(self, artifact: Artifact) -> Callable[[float], Arrival]:
         return lambda time: evolve(
             self._build_urgent(time, artifact),
-            caller=self._flooder or self._callers[FLOOD_CALLER],
+            caller=self._flooder or self._callers[FLOOD_CALLER_INDEX],
         )
 
     def _draw_time(self, second: float) -> float:
@@ -239,7 +248,7 @@
     def _draw_caller(self) -> CallerId:
         return self._random.choices(self._callers, self._caller_weights)[0]
 
-    def _urgent_for(self, artifact: Artifact) -> Callable[[float], Arrival]:
+    def _make_urgent_builder(self, artifact: Artifact) -> Callable[[float], Arrival]:
         return lambda time: self._build_urgent(time, artifact)
 
     def _build_urgent(self, time: float, artifact: Artifact) -> Arrival:
@@ -256,7 +265,7 @@
             first_token_deadline=time + FIRST_TOKEN_S,
             max_tokens=max_tokens,
             output_tokens=self._draw_output(max_tokens),
-            prompt_tokens=len(hashes) * _BLOCK_TOKENS + _PROMPT_END_TOKENS,
+            prompt_tokens=len(hashes) * _BLOCK_TOKENS + _PARTIAL_BLOCK_TOKENS,
             prefix_hashes=hashes,
         )
 
@@ -273,12 +282,12 @@
             deadline=WARM_UP_S + self._length_s,
             max_tokens=max_tokens,
             output_tokens=self._draw_output(max_tokens),
-            prompt_tokens=len(hashes) * _BLOCK_TOKENS + _PROMPT_END_TOKENS,
+            prompt_tokens=len(hashes) * _BLOCK_TOKENS + _PARTIAL_BLOCK_TOKENS,
             prefix_hashes=hashes,
         )
 
     def _build_call(self, time: float) -> Arrival:
-        is_write = self._random.random() < self._site.mix.unrepeatable_share
+        is_write = self._random.random() < self._site.mix.non_idempotent_share
         return Arrival(
             number=0,
             time=time,
@@ -290,7 +299,7 @@
         )
 
     def _draw_output(self, max_tokens: int) -> int:
-        share = self._random.uniform(_LEAST_OUTPUT, 1.0)
+        share = self._random.uniform(_MIN_OUTPUT_SHARE, 1.0)
         return max(1, round(max_tokens * share))
 
     def _draw_prompt(self, artifact: Artifact) -> tuple[int, ...]:
@@ -318,7 +327,7 @@
 
 
 def _find_mean_tokens(max_tokens: tuple[int, int]) -> float:
-    return sum(max_tokens) / 2 * (1.0 + _LEAST_OUTPUT) / 2
+    return sum(max_tokens) / 2 * (1.0 + _MIN_OUTPUT_SHARE) / 2
 
 
 def _number_arrival(number: int, arrival: Arrival) -> Arrival:
--- a/measure/faults.py
+++ b/measure/faults.py
@@ -1,4 +1,4 @@
-"""Faults that are brought about in the middle of a run."""
+"""Faults that are injected during a run."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Fault(Enum):
-    """What goes wrong, always while the news surge is on."""
+    """Kind of fault; each is active during the news surge."""
 
     NONE = "none"
     RUNNER_LOST = "runner lost"
@@ -17,12 +17,12 @@
     REPORTS_STOPPED = "load reports stopped"
     BROWN_OUT = "two engines browned out"
     FLOOD = "overload by one caller"
-    """More than all capacity for a minute; it is part of the demand."""
+    """More than the total capacity for a minute; generated as part of the demand."""
 
 
 @frozen(kw_only=True)
 class FaultTimes:
-    """When a fault begins and ends, in seconds since the start of the traffic."""
+    """Start and end of a fault, in seconds since the start of the traffic."""
 
     start_s: float
     end_s: float
--- a/measure/gateways.py
+++ b/measure/gateways.py
@@ -1,4 +1,4 @@
-"""A gateway without I/O: it carries the dispatch core's actions out."""
+"""A gateway without I/O that executes the actions of the dispatch core."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -50,30 +50,30 @@
 
 
 class GatewayCaller(Protocol):
-    """The caller's end of a request."""
+    """Receiver of the results of a request, implemented by the caller."""
 
     arrival: Arrival
 
     def receive_first_token(self) -> None:
-        """Take the beginning of the answer."""
+        """Handle the first token of the response."""
         ...
 
     def receive_end(self) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the response."""
         ...
 
     def receive_failure(self, failure: Failure) -> None:
-        """Take a failure."""
+        """Handle a failure."""
         ...
 
     def receive_disconnect(self) -> None:
-        """Take the loss of the gateway."""
+        """Handle the loss of the connection to the gateway."""
         ...
 
 
 @frozen(kw_only=True)
 class GatewayIdentity:
-    """Who a gateway is."""
+    """Host, incarnation and data centre of a gateway."""
 
     host: HostId
     incarnation: IncarnationId
@@ -81,16 +81,16 @@
 
 
 @define
-class _Open:
-    """One request that the gateway has not answered yet."""
+class _OpenRequest:
+    """A request that the gateway has not finished yet."""
 
     caller: GatewayCaller
     has_token: bool = False
 
 
 @define
-class _Try:
-    """One attempt in progress."""
+class _RunningAttempt:
+    """An attempt in progress."""
 
     request_id: RequestId
     upstream_id: UpstreamId
@@ -102,7 +102,7 @@
 
 
 class GatewayShell:
-    """Translate between the dispatch core and the fakes."""
+    """Adapter between the dispatch core and the fakes."""
 
     def __init__(
         self,
@@ -119,37 +119,37 @@
         self._core = core
         self._upstreams = upstreams
         self._report_demand = report_demand
-        self._open: dict[RequestId, _Open] = {}
-        self._tries: dict[AttemptId, _Try] = {}
-        self._wake_at: float | None = None
-        self._requests = 0
-        self._carry: dict[type, Callable[[Any], None]] = {
-            StartAttempt: self._start,
-            CancelAttempt: self._cancel,
-            Refuse: self._refuse,
-            FinishRequest: self._finish,
+        self._open_requests: dict[RequestId, _OpenRequest] = {}
+        self._attempts: dict[AttemptId, _RunningAttempt] = {}
+        self._wakeup_at: float | None = None
+        self._request_count = 0
+        self._executors: dict[type, Callable[[Any], None]] = {
+            StartAttempt: self._start_attempt,
+            CancelAttempt: self._cancel_attempt,
+            Refuse: self._refuse_request,
+            FinishRequest: self._finish_request,
             ReportDemand: self._send_demand,
-            WakeAt: self._set_wake,
+            WakeAt: self._schedule_wakeup,
             Explain: lambda _: None,
             DeleteAnswer: lambda _: None,
             LogBreakerChange: lambda _: None,
         }
 
     def handle(self, event: DispatchEvent) -> None:
-        """Give the core an event and carry out what it decides."""
+        """Pass an event to the core and execute the returned actions."""
         if self.is_down:
             return
         for action in self._core.handle(event, self.clock.now):
-            self._carry[type(action)](action)
+            self._executors[type(action)](action)
 
     def accept(self, caller: GatewayCaller) -> None:
-        """Take a request that has just arrived."""
-        self._requests += 1
+        """Accept a request of a caller."""
+        self._request_count += 1
         incarnation = self.identity.incarnation
-        request_id = RequestId(f"{incarnation}-{self._requests}")
+        request_id = RequestId(f"{incarnation}-{self._request_count}")
         arrival = caller.arrival
-        self._open[request_id] = _Open(caller)
-        keyed = not arrival.idempotent
+        self._open_requests[request_id] = _OpenRequest(caller)
+        needs_key = not arrival.idempotent
         request = Request(
             id=request_id,
             caller=arrival.caller,
@@ -159,8 +159,8 @@
             deadline=arrival.deadline,
             first_token_deadline=arrival.first_token_deadline,
             idempotent=arrival.idempotent,
-            key=self._make_key(arrival) if keyed else None,
-            key_home=incarnation if keyed else None,
+            key=self._make_key(arrival) if needs_key else None,
+            key_home=incarnation if needs_key else None,
             fingerprint=arrival.number,
             prompt_tokens=arrival.prompt_tokens,
             max_tokens=arrival.max_tokens,
@@ -177,52 +177,54 @@
         ).format()
 
     def crash(self) -> list[GatewayCaller]:
-        """Stop at once; return the callers whose requests were cut off."""
+        """Stop immediately; return the callers of the interrupted requests."""
         self.is_down = True
-        callers = [request.caller for request in self._open.values()]
-        self._open.clear()
-        self._tries.clear()
+        callers = [request.caller for request in self._open_requests.values()]
+        self._open_requests.clear()
+        self._attempts.clear()
         return callers
 
     def receive_progress(self, attempt_id: AttemptId, tokens: int) -> None:
-        """Pass progress on to the core and the caller."""
-        attempt = self._tries.get(attempt_id)
+        """Report progress to the core, and the first token to the caller."""
+        attempt = self._attempts.get(attempt_id)
         if attempt is None:
             return
         attempt.progress_at = self.clock.now
         attempt.tokens = tokens
-        self._tell_first_token(attempt.request_id)
+        self._send_first_token(attempt.request_id)
         self.handle(AttemptProgressed(attempt_id=attempt_id, tokens=tokens))
 
     def receive_success(self, attempt_id: AttemptId) -> None:
-        """Pass the end of an answer on."""
-        attempt = self._tries.pop(attempt_id, None)
+        """Report the end of a response to the core."""
+        attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return
-        self._tell_first_token(attempt.request_id)
+        self._send_first_token(attempt.request_id)
         self.handle(AttemptSucceeded(attempt_id=attempt_id))
 
     def receive_refusal(self, attempt_id: AttemptId) -> None:
-        """Pass on that an upstream certainly did not run an attempt."""
-        self._fail(attempt_id, ErrorCode.UPSTREAM_BUSY, Verdict.NOT_RUN)
+        """Report to the core that an upstream did not run an attempt."""
+        self._fail_attempt(attempt_id, ErrorCode.UPSTREAM_BUSY, Verdict.NOT_RUN)
 
-    def receive_break(self, attempt_id: AttemptId) -> None:
-        """Pass on that a connection broke."""
-        self._fail(attempt_id, ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN)
+    def receive_connection_loss(self, attempt_id: AttemptId) -> None:
+        """Report to the core that the connection of an attempt was lost."""
+        self._fail_attempt(attempt_id, ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN)
 
     def receive_cancelled(self, attempt_id: AttemptId, tokens: int) -> None:
-        """Pass on that a cancelled attempt has ended."""
-        if self._tries.pop(attempt_id, None) is not None:
+        """Report to the core that a cancelled attempt has ended."""
+        if self._attempts.pop(attempt_id, None) is not None:
             self.handle(AttemptCancelled(attempt_id=attempt_id, tokens=tokens))
 
-    def _tell_first_token(self, request_id: RequestId) -> None:
-        request = self._open.get(request_id)
+    def _send_first_token(self, request_id: RequestId) -> None:
+        request = self._open_requests.get(request_id)
         if request is not None and not request.has_token:
             request.has_token = True
             request.caller.receive_first_token()
 
-    def _fail(self, attempt_id: AttemptId, code: ErrorCode, verdict: Verdict) -> None:
-        attempt = self._tries.pop(attempt_id, None)
+    def _fail_attempt(
+        self, attempt_id: AttemptId, code: ErrorCode, verdict: Verdict
+    ) -> None:
+        attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return
         failure = Failure(code=code, verdict=verdict, detail="")
@@ -235,10 +237,10 @@
             )
         )
 
-    def _start(self, action: StartAttempt) -> None:
+    def _start_attempt(self, action: StartAttempt) -> None:
         host = self._upstreams[action.upstream_id]
-        arrival = self._open[action.request_id].caller.arrival
-        self._tries[action.attempt_id] = _Try(
+        arrival = self._open_requests[action.request_id].caller.arrival
+        self._attempts[action.attempt_id] = _RunningAttempt(
             request_id=action.request_id,
             upstream_id=action.upstream_id,
             progress_at=self.clock.now,
@@ -262,25 +264,25 @@
             host.submit(attempt, self)
 
     def _check_silence(self, attempt_id: AttemptId) -> None:
-        attempt = self._tries.get(attempt_id)
+        attempt = self._attempts.get(attempt_id)
         if attempt is None:
             return
         due = attempt.progress_at + attempt.silence_s
         if due > self.clock.now + 1e-9:
             self.clock.call_at(due, self._check_silence, attempt_id)
             return
-        self._give_up(attempt_id, ErrorCode.UPSTREAM_SILENT)
+        self._abort(attempt_id, ErrorCode.UPSTREAM_SILENT)
 
     def _time_out(self, attempt_id: AttemptId) -> None:
-        if attempt_id in self._tries:
-            self._give_up(attempt_id, ErrorCode.DEADLINE_EXCEEDED)
+        if attempt_id in self._attempts:
+            self._abort(attempt_id, ErrorCode.DEADLINE_EXCEEDED)
 
-    def _give_up(self, attempt_id: AttemptId, code: ErrorCode) -> None:
+    def _abort(self, attempt_id: AttemptId, code: ErrorCode) -> None:
         self._send_cancel(attempt_id)
-        self._fail(attempt_id, code, Verdict.MAY_HAVE_RUN)
+        self._fail_attempt(attempt_id, code, Verdict.MAY_HAVE_RUN)
 
-    def _cancel(self, action: CancelAttempt) -> None:
-        attempt = self._tries.get(action.attempt_id)
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        attempt = self._attempts.get(action.attempt_id)
         if attempt is None:
             return
         self._send_cancel(action.attempt_id)
@@ -292,29 +294,29 @@
         )
 
     def _send_cancel(self, attempt_id: AttemptId) -> None:
-        host = self._upstreams[self._tries[attempt_id].upstream_id]
+        host = self._upstreams[self._attempts[attempt_id].upstream_id]
         if isinstance(host, EngineHost):
             latency = find_latency(self.data_centre, host.data_centre)
             self.clock.call_later(latency, host.cancel, attempt_id, self)
 
-    def _refuse(self, action: Refuse) -> None:
-        request = self._open.pop(action.request_id, None)
+    def _refuse_request(self, action: Refuse) -> None:
+        request = self._open_requests.pop(action.request_id, None)
         if request is not None:
             request.caller.receive_failure(action.failure)
 
-    def _finish(self, action: FinishRequest) -> None:
-        request = self._open.pop(action.request_id, None)
+    def _finish_request(self, action: FinishRequest) -> None:
+        request = self._open_requests.pop(action.request_id, None)
         if request is not None:
             request.caller.receive_end()
 
     def _send_demand(self, action: ReportDemand) -> None:
         self._report_demand(self, action)
 
-    def _set_wake(self, action: WakeAt) -> None:
-        self._wake_at = action.time
-        self.clock.call_at(action.time, self._wake, action.time)
+    def _schedule_wakeup(self, action: WakeAt) -> None:
+        self._wakeup_at = action.time
+        self.clock.call_at(action.time, self._wake_up, action.time)
 
-    def _wake(self, time: float) -> None:
-        if self._wake_at == time:
-            self._wake_at = None
+    def _wake_up(self, time: float) -> None:
+        if self._wakeup_at == time:
+            self._wakeup_at = None
             self.handle(Ticked())
--- a/measure/ledgers.py
+++ b/measure/ledgers.py
@@ -1,4 +1,4 @@
-"""The ledgers' keys and the controllers' lease in a key-value service."""
+"""In-memory key-value service with the ledgers and the lease of the controllers."""
 
 from attrs import define, field
 
@@ -10,7 +10,7 @@
 
 @define
 class StoredLedger:
-    """A ledger with the revision of its key."""
+    """A ledger and the revision of its key."""
 
     ledger: Ledger | None = None
     revision: Revision = Revision(0)
@@ -18,7 +18,7 @@
 
 @define
 class LedgerStore:
-    """Compare-and-swap on ledgers, and one lease; it can be down."""
+    """Compare-and-swap on ledgers, and one lease; unavailable while `is_down`."""
 
     is_down: bool = False
     calls: int = 0
@@ -28,12 +28,12 @@
     _expires_at: float = 0.0
 
     def read(self, upstream_id: UpstreamId) -> StoredLedger:
-        """Read a ledger."""
+        """Return the stored ledger of an upstream."""
         self.calls += 1
         return self._ledgers.get(upstream_id, StoredLedger())
 
     def write(self, ledger: Ledger, expected: Revision) -> StoredLedger | None:
-        """Write a ledger; None if its key has another revision."""
+        """Write a ledger; return None if its key has another revision."""
         self.calls += 1
         if self.read(ledger.upstream).revision != expected:
             return None
@@ -43,7 +43,7 @@
         return stored
 
     def renew_lease(self, owner: IncarnationId, now: float) -> bool:
-        """Take or renew the lease; False while another holds it."""
+        """Acquire or renew the lease; return False while another owner holds it."""
         self.calls += 1
         if self._holder not in (owner, None) and now < self._expires_at:
             return False
--- a/measure/milestones.py
+++ b/measure/milestones.py
@@ -1,4 +1,4 @@
-"""How long each step takes from the first sign of a surge to a ready copy."""
+"""Time of each step from the start of a surge until a new copy receives requests."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class Step(Enum):
-    """One step of the reaction to a surge, in their order."""
+    """Step of the reaction to a surge, in chronological order."""
 
     ARRIVED = "first request"
     DEMAND_REPORTED = "demand reached the controller"
@@ -22,8 +22,8 @@
 
 
 @define
-class _Watch:
-    """A surge that is watched from its beginning."""
+class _WatchedSurge:
+    """A surge and the times of the steps recorded for it."""
 
     name: str
     artifacts: tuple[Artifact, ...]
@@ -33,23 +33,23 @@
 
 @define
 class Milestones:
-    """Note the first time of each step after each surge's beginning."""
+    """Recorder of the first time of each step after the start of each surge."""
 
     _clock: Clock
-    _watches: list[_Watch] = field(factory=list)
+    _surges: list[_WatchedSurge] = field(factory=list)
 
     def watch(self, name: str, artifact: Artifact, start: float) -> None:
-        """Watch the first artifact of a surge, or its base if it is an adapter."""
+        """Record the steps for an artifact of a surge and for its base model."""
         artifacts = tuple({artifact, artifact.base})
-        self._watches.append(_Watch(name, artifacts, start))
+        self._surges.append(_WatchedSurge(name, artifacts, start))
 
-    def note(self, step: Step, artifact: Artifact) -> None:
-        """Note that a step happened now for an artifact."""
-        for watch in self._watches:
-            if self._clock.now >= watch.start and artifact in watch.artifacts:
-                watch.steps.setdefault(step, self._clock.now - watch.start)
+    def record(self, step: Step, artifact: Artifact) -> None:
+        """Record that a step happened now for an artifact."""
+        for surge in self._surges:
+            if self._clock.now >= surge.start and artifact in surge.artifacts:
+                surge.steps.setdefault(step, self._clock.now - surge.start)
 
     def list_steps(self, name: str) -> dict[Step, float]:
-        """Return seconds since the beginning of a surge for each step seen."""
-        found = [watch.steps for watch in self._watches if watch.name == name]
+        """Return the seconds from the start of a surge to each recorded step."""
+        found = [surge.steps for surge in self._surges if surge.name == name]
         return dict(found[0]) if found else {}
--- a/measure/outcomes.py
+++ b/measure/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of each request of a run."""
+"""Outcomes of the requests of a run."""
 
 from attrs import define, field
 
@@ -10,17 +10,17 @@
 
 @define(kw_only=True)
 class Outcome:
-    """The course of one arrival as its caller saw it."""
+    """Outcome of one arrival as observed by its caller."""
 
     arrival: Arrival
     first_token_at: float | None = None
     finished_at: float | None = None
     refusals: list[ErrorCode] = field(factory=list)
-    tries: int = 0
+    attempts: int = 0
 
     @property
     def is_met(self) -> bool:
-        """Return whether the request met all its targets."""
+        """Return whether the request met its deadline and its first-token target."""
         if self.finished_at is None or self.finished_at > self.arrival.deadline:
             return False
         due = self.arrival.first_token_deadline
@@ -30,17 +30,17 @@
 
     @property
     def is_call(self) -> bool:
-        """Return whether it is a call of a plain service."""
+        """Return whether the request is a call of a plain service."""
         return isinstance(self.arrival.target, ServiceCall)
 
     @property
     def is_urgent(self) -> bool:
-        """Return whether somebody waits for it."""
+        """Return whether the request has the urgent work class."""
         return self.arrival.work_class is WorkClass.URGENT
 
     @property
     def first_token_s(self) -> float | None:
-        """Return the time to the first token; None if there was none."""
+        """Return the time to first token; None if no token was received."""
         if self.first_token_at is None:
             return None
         return self.first_token_at - self.arrival.time
--- a/measure/path/__init__.py
+++ b/measure/path/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the data path: what a gateway adds to a request, and what it costs."""
+"""Measurement of the latency and processor time that a gateway adds to a request."""
--- a/measure/path/__main__.py
+++ b/measure/path/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the measurement of the data path and prints a table.
+"""Measures the data path and prints a table.
 
-Every figure comes from one run with the same engine process; calls through the
-gateway and calls of the engine alternate, so that both meet the same machine.
+All figures come from one run with the same engine process. Requests through the
+gateway and direct requests alternate, so that both run under the same host load.
 """
 
 import asyncio
@@ -16,10 +16,10 @@
 
 WARM_UP = 200
 REQUESTS = 2000
-LANES = 4
+CONCURRENCY = 4
 STREAMS = 200
 STREAM_TOKENS = 300
-STREAM_PACE_S = 0.06
+STREAM_TOKEN_INTERVAL_S = 0.06
 BURST_TOKENS = 2000
 BURST_STREAMS = 8
 MS_PER_S = 1000
@@ -28,14 +28,14 @@
 
 @frozen
 class Caller:
-    """Sends completions to one address."""
+    """Client that sends completion requests to one address."""
 
     session: aiohttp.ClientSession
     address: str
-    direct: bool
+    is_direct: bool
 
     async def complete(self, number: int, tokens: int, pace_s: float = 0.0) -> int:
-        """Stream one completion; return the events that came."""
+        """Stream one completion; return the number of events received."""
         body = {
             "model": MODEL,
             "prompt": "a prompt of some words",
@@ -43,7 +43,7 @@
             "stream": True,
             PACE_FIELD: pace_s,
         }
-        if self.direct:
+        if self.is_direct:
             body["request_id"] = str(number)
         url = f"http://{self.address}/v1/completions"
         async with self.session.post(
@@ -56,52 +56,54 @@
 
 
 async def time_request(caller: Caller, number: int) -> float:
-    """Return the seconds that one completion of one token took."""
-    began_at = time.perf_counter()
+    """Return the duration of a completion of one token in seconds."""
+    started_at = time.perf_counter()
     await caller.complete(number, 1)
-    return time.perf_counter() - began_at
+    return time.perf_counter() - started_at
 
 
-async def measure_latency(direct: Caller, through: Caller) -> list[list[float]]:
-    """Return the times of direct and of forwarded requests, taken in turn."""
+async def measure_latency(direct: Caller, forwarded: Caller) -> list[list[float]]:
+    """Return the durations of alternating direct and forwarded requests."""
     times: list[list[float]] = [[], []]
 
-    async def run_lane(lane: int) -> None:
-        for number in range(REQUESTS // LANES):
-            for kind, caller in enumerate((direct, through)):
-                times[kind].append(await time_request(caller, lane * REQUESTS + number))
+    async def run_worker(worker: int) -> None:
+        for number in range(REQUESTS // CONCURRENCY):
+            for kind, caller in enumerate((direct, forwarded)):
+                times[kind].append(
+                    await time_request(caller, worker * REQUESTS + number)
+                )
 
-    await asyncio.gather(*(run_lane(lane) for lane in range(LANES)))
+    await asyncio.gather(*(run_worker(worker) for worker in range(CONCURRENCY)))
     return times
 
 
 async def measure_streams(
     caller: Caller, streams: int, tokens: int, pace_s: float
 ) -> tuple[int, float]:
-    """Return the events of concurrent streams and the seconds they took."""
-    began_at = time.perf_counter()
+    """Return the number of events of concurrent streams, and their duration."""
+    started_at = time.perf_counter()
     events = await asyncio.gather(
         *(caller.complete(number, tokens, pace_s) for number in range(streams))
     )
-    return sum(events), time.perf_counter() - began_at
+    return sum(events), time.perf_counter() - started_at
 
 
 def print_latency(times: list[list[float]]) -> None:
-    """Print the quantiles side by side."""
+    """Print the quantiles of direct and forwarded requests."""
     print("| request of one token | p50 ms | p99 ms |\n|---|---|---|")
-    quantiles = []
+    latencies = []
     for name, values in zip(("engine", "gateway"), times, strict=True):
-        cuts = statistics.quantiles(values, n=100)
-        quantiles.append((cuts[49] * MS_PER_S, cuts[98] * MS_PER_S))
-        print(f"| {name} | {quantiles[-1][0]:.2f} | {quantiles[-1][1]:.2f} |")
-    added = [quantiles[1][i] - quantiles[0][i] for i in range(2)]
+        percentiles = statistics.quantiles(values, n=100)
+        latencies.append((percentiles[49] * MS_PER_S, percentiles[98] * MS_PER_S))
+        print(f"| {name} | {latencies[-1][0]:.2f} | {latencies[-1][1]:.2f} |")
+    added = [latencies[1][i] - latencies[0][i] for i in range(2)]
     print(f"| added | {added[0]:.2f} | {added[1]:.2f} |\n")
 
 
 async def report_streams(
     name: str, caller: Caller, gateway: Child, load: tuple[int, int, float]
 ) -> None:
-    """Run streams and print what the gateway used for each event."""
+    """Run streams and print the gateway's processor and memory use."""
     before = gateway.read_cpu_s()
     events, seconds = await measure_streams(caller, *load)
     used_s = gateway.read_cpu_s() - before
@@ -112,31 +114,31 @@
 
 
 async def measure(engine: Child, gateway: Child) -> None:
-    """Take and print all figures."""
+    """Run all measurements and print the results."""
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         direct = Caller(session, engine.address, True)
-        through = Caller(session, gateway.address, False)
+        forwarded = Caller(session, gateway.address, False)
         print(f"resident memory at rest: {gateway.read_memory_mb():.1f} MB")
         for number in range(WARM_UP):
-            await through.complete(number, 1)
+            await forwarded.complete(number, 1)
             await direct.complete(number, 1)
         before = gateway.read_cpu_s()
-        times = await measure_latency(direct, through)
+        times = await measure_latency(direct, forwarded)
         used_s = gateway.read_cpu_s() - before
         print_latency(times)
-        each_us = used_s / len(times[1]) * US_PER_S
-        print(f"processor time per request of one token: {each_us:.0f} us\n")
+        request_us = used_s / len(times[1]) * US_PER_S
+        print(f"processor time per request of one token: {request_us:.0f} us\n")
         print("| streams | events | events/s | cores | us per event | memory MB |")
         print("|---|---|---|---|---|---|")
-        paced = (STREAMS, STREAM_TOKENS, STREAM_PACE_S)
-        await report_streams("one event a read", through, gateway, paced)
-        burst = (BURST_STREAMS, BURST_TOKENS, 0.0)
-        await report_streams("as fast as it goes", through, gateway, burst)
+        paced_load = (STREAMS, STREAM_TOKENS, STREAM_TOKEN_INTERVAL_S)
+        await report_streams("one event a read", forwarded, gateway, paced_load)
+        burst_load = (BURST_STREAMS, BURST_TOKENS, 0.0)
+        await report_streams("as fast as it goes", forwarded, gateway, burst_load)
 
 
 async def main() -> None:
-    """Start the engine and the gateway, and measure."""
+    """Start the engine and the gateway, and run the measurements."""
     async with (
         start_child("measure.path.engine") as engine,
         start_child("measure.path.gateway", engine.address) as gateway,
--- a/measure/path/child.py
+++ b/measure/path/child.py
@@ -1,4 +1,4 @@
-"""Child processes of a measurement, and what they used."""
+"""Child processes of a measurement and their resource usage."""
 
 import asyncio
 import json
@@ -15,18 +15,18 @@
 
 @frozen
 class Child:
-    """A running child with the address that it printed."""
+    """A running child process and its listening address."""
 
     pid: int
     address: str
 
     def read_cpu_s(self) -> float:
-        """Return the processor seconds that its main thread used so far."""
+        """Return the processor time of the main thread in seconds."""
         fields = Path(f"/proc/{self.pid}/schedstat").read_text().split()
         return int(fields[0]) / NANOSECONDS_PER_S
 
     def read_memory_mb(self) -> float:
-        """Return its resident memory."""
+        """Return the resident memory."""
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) / KB_PER_MB
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def start_child(module: str, *arguments: str) -> AsyncIterator[Child]:
-    """Start a module as a process; it ends when its standard input closes."""
+    """Run a module as a child process, which stops when its standard input closes."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/measure/path/engine.py
+++ b/measure/path/engine.py
@@ -1,4 +1,4 @@
-"""A process with an engine that answers at once, or at a stated pace."""
+"""Engine process that streams tokens immediately or at a requested interval."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 MODEL = "m@1"
 PACE_FIELD = "pace_s"
-"""Field of a completion: seconds between two tokens; 0 for none."""
+"""Request field: seconds between two tokens; 0 for no delay."""
 
 
 async def _async_complete(request: web.Request) -> web.StreamResponse:
--- a/measure/path/gateway.py
+++ b/measure/path/gateway.py
@@ -1,4 +1,4 @@
-"""A process with one gateway that knows one engine and no platform."""
+"""Gateway process with one engine and without platform services."""
 
 import asyncio
 import json
@@ -31,43 +31,45 @@
 DEADLINE_S = 120.0
 
 
-class NoStore:
-    """A key-value service that is never there; the data path does not need it."""
+class UnavailableStore:
+    """A key-value service that is always unavailable; the data path does not use it."""
 
     async def async_get(self, key: str, rank: CallRank) -> StoredValue:
-        """Refuse."""
-        raise _fail()
+        """Raise an error."""
+        raise _make_error()
 
     async def async_list(self, prefix: str, rank: CallRank) -> tuple[StoredValue, ...]:
-        """Refuse."""
-        raise _fail()
+        """Raise an error."""
+        raise _make_error()
 
     async def async_commit(
         self, puts: tuple[Put, ...], rank: CallRank
     ) -> TransactionResult:
-        """Refuse."""
-        raise _fail()
+        """Raise an error."""
+        raise _make_error()
 
     async def async_acquire_lease(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        """Refuse."""
-        raise _fail()
+        """Raise an error."""
+        raise _make_error()
 
     async def async_release_lease(self, key: str, owner: str, rank: CallRank) -> None:
-        """Refuse."""
-        raise _fail()
+        """Raise an error."""
+        raise _make_error()
 
     def watch(self, prefix: str) -> AsyncIterator[StoredValue]:
-        """Refuse."""
-        raise _fail()
+        """Raise an error."""
+        raise _make_error()
 
     def close(self) -> None:
-        """Do nothing; nothing is open."""
+        """Do nothing, as there is no connection."""
 
 
-def _fail() -> MangowayError:
-    return MangowayError(ErrorCode.PLATFORM_UNAVAILABLE, "there is no service")
+def _make_error() -> MangowayError:
+    return MangowayError(
+        ErrorCode.PLATFORM_UNAVAILABLE, "key-value service is not available"
+    )
 
 
 def make_configuration() -> Configuration:
@@ -86,7 +88,7 @@
 
 async def _async_main(engine: str) -> None:
     node = GatewayNode(
-        NodeSettings(host=HostId("g"), data_centre=DATA_CENTRE), NoStore()
+        NodeSettings(host=HostId("g"), data_centre=DATA_CENTRE), UnavailableStore()
     )
     await node.async_start("127.0.0.1:0", "127.0.0.1:0")
     node.set_configuration(make_configuration())
--- a/measure/plot.py
+++ b/measure/plot.py
@@ -1,4 +1,4 @@
-"""The picture of docs/POLICY.md."""
+"""The plots of docs/POLICY.md."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 def draw_scores(path: Path, scores: dict[Case, Score]) -> None:
-    """Draw attainment against moves for each policy, and attainment by fault."""
+    """Plot attainment against moves for each policy, and attainment by fault."""
     sites = sorted({case.site for case in scores}, reverse=True)
     figure, axes = plt.subplots(
         2, len(sites), figsize=(6.5 * len(sites), 8.5), squeeze=False
@@ -57,15 +57,15 @@
     names = [policy.name for policy in (*BASELINES, OURS)]
     width = 0.8 / len(names)
     for number, name in enumerate(names):
-        for place, fault in enumerate(Fault):
+        for position, fault in enumerate(Fault):
             score = scores.get(Case(site=site, policy=name, fault=fault))
             if score is not None:
                 axis.bar(
-                    place + number * width,
+                    position + number * width,
                     score.attainment,
                     width,
                     color=f"C{number}",
-                    label=name if place == 0 else None,
+                    label=name if position == 0 else None,
                 )
     axis.set_xticks(range(len(Fault)))
     axis.set_xticklabels(
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are compared."""
+"""The compared policies."""
 
 from collections.abc import Callable
 from random import Random
@@ -17,51 +17,51 @@
 from .controllers import ControllerIdentity, PlacementCoreType
 from .gateways import DispatchCoreType, GatewayIdentity
 
-# Importing the core registers its policy.
+# The import of the core registers its policy.
 assert placement_core
 _PLACEMENT_NAME = "marginal_gain"
 
 DispatchFactory = Callable[[GatewayIdentity, int], DispatchCoreType]
-"""Builds a dispatch core for a gateway and a seed."""
+"""Function that creates the dispatch core of a gateway for a seed."""
 
 PlacementFactory = Callable[[ControllerIdentity, int], PlacementCoreType]
-"""Builds a placement core for a controller and a seed."""
+"""Function that creates the placement core of a controller for a seed."""
 
 
 @frozen(kw_only=True)
 class Policy:
-    """How gateways dispatch and controllers place."""
+    """Dispatch policy of the gateways and placement policy of the controllers."""
 
     name: str
     dispatch: DispatchFactory
     placement: PlacementFactory
     caller_limit_rps: float | None = None
-    """Limit of each caller at each gateway."""
+    """Rate limit of each caller at each gateway; None for no limit."""
 
 
-def _dispatch_simply(choice: Choice) -> DispatchFactory:
+def _make_simple_dispatch(choice: Choice) -> DispatchFactory:
     return lambda identity, seed: SimpleDispatch(identity.incarnation, choice)
 
 
-def _place_simply(on_demand: bool) -> PlacementFactory:
+def _make_simple_placement(on_demand: bool) -> PlacementFactory:
     return lambda identity, seed: SimplePlacement(identity.incarnation, on_demand)
 
 
 BASELINES = (
     Policy(
         name="static floors, round robin",
-        dispatch=_dispatch_simply(Choice.ROUND_ROBIN),
-        placement=_place_simply(on_demand=False),
+        dispatch=_make_simple_dispatch(Choice.ROUND_ROBIN),
+        placement=_make_simple_placement(on_demand=False),
     ),
     Policy(
         name="static floors, least outstanding",
-        dispatch=_dispatch_simply(Choice.LEAST_OUTSTANDING),
-        placement=_place_simply(on_demand=False),
+        dispatch=_make_simple_dispatch(Choice.LEAST_OUTSTANDING),
+        placement=_make_simple_placement(on_demand=False),
     ),
     Policy(
         name="load on demand, LRU unloads",
-        dispatch=_dispatch_simply(Choice.LEAST_OUTSTANDING),
-        placement=_place_simply(on_demand=True),
+        dispatch=_make_simple_dispatch(Choice.LEAST_OUTSTANDING),
+        placement=_make_simple_placement(on_demand=True),
     ),
 )
 
@@ -110,13 +110,13 @@
     _build_ours("ours, no evictions", None, PlacementOptions(make_room=False)),
     _build_ours("ours, no move price", None, PlacementOptions(move_price=False)),
 )
-"""Ours without what shows over a whole day, and with preemption."""
+"""Variants of this project's policy that are measured without faults."""
 
 BROWN_OUT_ABLATIONS = (
     _build_ours("ours, no retry budget", DispatchOptions(retry_budget=False)),
     _build_ours("ours, no breakers", DispatchOptions(breakers=False)),
 )
-"""Ours without what answers sick upstreams."""
+"""Variants without one of the mechanisms against failing upstreams."""
 
 FLOOD_ABLATIONS = (
     _build_ours("ours, no fair share", DispatchOptions(fair_share=False)),
@@ -124,4 +124,4 @@
     _build_ours("ours, no early refusal", DispatchOptions(early_refusal=False)),
     _build_ours("ours, limits on callers", caller_limit_rps=CALLER_LIMIT_RPS),
 )
-"""Ours without what shares when there is not enough, and with limits besides."""
+"""Variants without one of the overload mechanisms, or with caller rate limits."""
--- a/measure/policy.py
+++ b/measure/policy.py
@@ -1,4 +1,4 @@
-"""Measure the policy and write the figures into the pages."""
+"""Measure the policies in a simulation and write the results into the pages."""
 
 import sys
 import time
@@ -18,21 +18,22 @@
 
 
 def main(
-    pages: Annotated[Path, typer.Option(help="Folder of the pages.")] = Path("docs"),
+    pages: Annotated[Path, typer.Option(help="Directory of the pages.")] = Path("docs"),
     processes: Annotated[
-        int, typer.Option(min=1, max=_MAX_PROCESSES, help="Processes to run in.")
+        int, typer.Option(min=1, max=_MAX_PROCESSES, help="Number of worker processes.")
     ] = _MAX_PROCESSES,
     faults: Annotated[bool, typer.Option(help="Also measure with faults.")] = True,
     only: Annotated[
         list[str] | None, typer.Option(help="Measure only this policy (repeatable).")
     ] = None,
     seeds: Annotated[
-        int, typer.Option(min=1, max=len(SEEDS), help="Most seeds for a case.")
+        int,
+        typer.Option(min=1, max=len(SEEDS), help="Maximum number of seeds per case."),
     ] = len(SEEDS),
     write: Annotated[bool, typer.Option(help="Write the pages.")] = True,
 ) -> None:
     """Replay both deployments' demand with every policy, with and without faults."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     cases = list_cases(_SITES, faults)
     if only:
         cases = [case for case in cases if case.policy in only]
@@ -41,7 +42,7 @@
     for run in run_jobs(jobs, processes):
         runs.append(run)
         print(f"\r{len(runs)}/{len(jobs)} runs", end="", file=sys.stderr, flush=True)
-    print(f" in {time.monotonic() - began:.0f} s", file=sys.stderr)
+    print(f" in {time.monotonic() - started_at:.0f} s", file=sys.stderr)
     scores = merge_cases(runs)
     tables = build_tables(scores, runs)
     print(tables)
--- a/measure/report.py
+++ b/measure/report.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from .campaign import POLICIES, Case, Job, find_site
-from .const import FEWER_SEEDS
+from .const import REDUCED_SEEDS
 from .faults import Fault
 from .milestones import Step
 from .policies import OURS
@@ -33,16 +33,16 @@
 
 
 def write_section(path: Path, text: str) -> None:
-    """Replace the measured part of a page.
+    """Replace the generated section of a page.
 
     Raises:
-        ValueError: If the page has no markers.
+        ValueError: The page has no markers of the generated section.
     """
     page = path.read_text()
     head, found_begin, rest = page.partition(BEGIN)
     _, found_end, tail = rest.partition(END)
     if not found_begin or not found_end:
-        raise ValueError(f"no markers in {path}")
+        raise ValueError(f"markers of the generated section are missing in {path}")
     path.write_text(f"{head}{BEGIN}\n\n{text.strip()}\n\n{END}{tail}")
 
 
@@ -81,11 +81,14 @@
 
 
 def _format_paired_row(case: Case, runs: Sequence[tuple[Job, RunScore]]) -> list[str]:
-    """Return the row of ours over the seeds that it is compared over below."""
+    """Return the row of this project's policy over the reduced seeds.
+
+    The policies in the rows below it are measured with the reduced seeds only.
+    """
     found = [
-        score for job, score in runs if job.case == case and job.seed in FEWER_SEEDS
+        score for job, score in runs if job.case == case and job.seed in REDUCED_SEEDS
     ]
-    name = f"{case.policy}, first {len(FEWER_SEEDS)} seeds"
+    name = f"{case.policy}, first {len(REDUCED_SEEDS)} seeds"
     return _format_row(name, case, merge_runs(found))
 
 
@@ -96,13 +99,13 @@
 
 def _format_row(name: str, case: Case, score: Score) -> list[str]:
     accelerators = find_site(case.site).accelerators
-    below = 1.0 - score.everyone / score.bound
+    below_bound = 1.0 - score.with_flooder / score.bound
     row = [
         name,
         f"{score.attainment:.3f}",
         f"{score.spread:.3f}",
         f"{score.attainment / accelerators:.4f}",
-        f"{below:.1%}",
+        f"{below_bound:.1%}",
         f"{score.urgent:.3f}",
         f"{score.patient:.3f}",
         f"{score.calls:.3f}",
@@ -115,12 +118,12 @@
         str(score.doubled_runs),
     ]
     if case.fault is Fault.FLOOD:
-        row += [f"{score.everyone:.3f}", f"{score.flooder:.3f}"]
+        row += [f"{score.with_flooder:.3f}", f"{score.flooder:.3f}"]
     return row
 
 
 def _build_steps(runs: Sequence[tuple[Job, RunScore]], site: str) -> str:
-    """Return the median and the worst time of each step over the seeds."""
+    """Return a table of the median and worst time of each step over the seeds."""
     case = Case(site=site, policy=OURS.name, fault=Fault.NONE)
     found = [score.steps for job, score in runs if job.case == case]
     surges = list(found[0]) if found else []
--- a/measure/scheduling/__init__.py
+++ b/measure/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what the scheduling core spends on a request, by the size of its fleet."""
+"""Measurement of the scheduling core's processor time by size of the fleet."""
--- a/measure/scheduling/__main__.py
+++ b/measure/scheduling/__main__.py
@@ -1,4 +1,4 @@
-"""Prints the core's processor time a request, by size and by what waits."""
+"""Prints the core's processor time per request by fleet size and queue length."""
 
 import argparse
 from typing import Final
@@ -11,26 +11,31 @@
     Size(runners=70, models=171),
     Size(runners=200, models=500),
 )
-CALM_USE: Final = 0.25
-PRESSED_USE: Final = 1.1
-"""Reading that is asked for beside what all runners can read. Popular models need
-copies on all runners to get their part, so the second is more than can be served."""
+LOW_UTILIZATION: Final = 0.25
+OVERLOAD_UTILIZATION: Final = 1.1
+"""Requested prefill as a share of the prefill capacity of all runners.
+
+The higher value exceeds the servable load, as popular models would need copies on all
+runners to use their share of the capacity.
+"""
 
 
 def main() -> None:
-    """Play each size twice and print a table."""
+    """Simulate each fleet size at both utilizations and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=6.0, help="of virtual time")
+    parser.add_argument(
+        "--seconds", type=float, default=6.0, help="duration in virtual time"
+    )
     seconds = parser.parse_args().seconds
     print("| runners, models | nothing waits | much waits | that wait, granted |")
     print("|---|---|---|---|")
     for size in SIZES:
-        calm = Fleet(size, CALM_USE).simulate(seconds)
-        pressed = Fleet(size, PRESSED_USE).simulate(seconds)
+        low = Fleet(size, LOW_UTILIZATION).simulate(seconds)
+        high = Fleet(size, OVERLOAD_UTILIZATION).simulate(seconds)
         print(
-            f"| {size.runners}, {size.models} | {calm.ms_per_request:.3f} ms "
-            f"({calm.mean_waiting:.1f} wait) | {pressed.ms_per_request:.3f} ms | "
-            f"{pressed.mean_waiting:.0f}, {pressed.granted / pressed.requests:.2f} |",
+            f"| {size.runners}, {size.models} | {low.ms_per_request:.3f} ms "
+            f"({low.mean_waiting:.1f} wait) | {high.ms_per_request:.3f} ms | "
+            f"{high.mean_waiting:.0f}, {high.granted / high.requests:.2f} |",
             flush=True,
         )
 
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of engines in virtual time, fed to the scheduling core by its events."""
+"""A simulated fleet of engines that sends events to the scheduling core."""
 
 import heapq
 import time
@@ -39,77 +39,77 @@
 SERVICE: Final = "llm"
 EDGE: Final = "e1"
 
-HELD_EACH: Final = 3
-"""Models that a runner has room for."""
+MODELS_PER_RUNNER: Final = 3
+"""Number of models that fit into the memory of a runner."""
 
 SLOTS: Final = 96
 WEIGHTS_MB: Final = 25_000.0
 LOAD_S: Final = 3.0
-NEAR_LOAD_S: Final = 0.6
+LOCAL_LOAD_S: Final = 0.6
 PROMPT_TOKENS: Final = 600
-READ_S_PER_TOKEN: Final = 1 / 30_000
+PREFILL_S_PER_TOKEN: Final = 1 / 30_000
 FIRST_EVENT_S: Final = 0.03
 STREAM_S: Final = 1.5
-"""Time from a first event to the end of its stream."""
+"""Time from the first event of a stream to its end."""
 
 POPULAR_MODELS: Final = 5
 POPULAR_SHARE: Final = 0.85
-"""Models that most requests are for, and the part that they get."""
+"""Number of popular models, and their share of the requests."""
 
 OBJECTIVE_S: Final = 0.5
 PATIENCE_S: Final = 4.0
-BEGIN_S: Final = 0.5
+FIRST_ARRIVAL_S: Final = 0.5
 WARM_UP_S: Final = 2.0
-TICK_S: Final = 0.05
-REPORT_S: Final = 1.0
-WAY_S: Final = 0.0014
+TICK_PERIOD_S: Final = 0.05
+REPORT_PERIOD_S: Final = 1.0
+NETWORK_DELAY_S: Final = 0.0014
 
 
 @frozen(kw_only=True)
 class Size:
-    """Runners and models of a fleet."""
+    """Number of runners and models of a fleet."""
 
     runners: int
     models: int
 
 
 @frozen(kw_only=True)
-class Spent:
-    """What a play took."""
+class CoreCost:
+    """Requests and processor time of a simulation."""
 
     requests: int
     total_requests: int
-    """The requests with those of the time to warm up."""
+    """Number of requests including those of the warm-up."""
 
     seconds: float
-    """Processor time of the core."""
+    """Processor time of the core after the warm-up."""
 
     mean_waiting: float
     granted: int
 
     @property
     def ms_per_request(self) -> float:
-        """Return the processor time of a request in ms."""
+        """Return the processor time per request in ms."""
         return 1000 * self.seconds / max(1, self.requests)
 
 
 @define(eq=False)
 class Engine:
-    """One runner: reads prompts one after the other and streams the answers."""
+    """A runner that prefills prompts one after the other and streams the responses."""
 
     models: list[str]
     order_count: int = 0
-    read_until: float = 0.0
+    prefill_until: float = 0.0
     busy_until: float = 0.0
 
 
 @define(eq=False)
 class Fleet:
-    """Engines, the core before them, and the processor time that it takes."""
+    """Simulated engines and their scheduling core, with its measured processor time."""
 
     size: Size
-    use: float
-    """Reading that is asked for, as a part of what all runners can read."""
+    utilization: float
+    """Requested prefill as a share of the prefill capacity of all runners."""
 
     seed: int = 1
     now: float = field(default=0.0, init=False)
@@ -120,8 +120,8 @@
     _calls: list[tuple[float, int, Callable[[], None]]] = field(
         factory=list, init=False
     )
-    _numbers: "count[int]" = field(factory=count, init=False)
-    _spent_s: float = field(default=0.0, init=False)
+    _sequence: "count[int]" = field(factory=count, init=False)
+    _core_s: float = field(default=0.0, init=False)
     _requests: int = field(default=0, init=False)
     _waiting: int = field(default=0, init=False)
     _waiting_sum: int = field(default=0, init=False)
@@ -132,64 +132,66 @@
         state = SchedulingState(random=self._random)
         self.core = SchedulingCore(state)
         self._profile = make_profile(self.size)
-        self._engines = place_models(self.size)
-        self._feed(self._make_fleet())
-        self._feed(OrdersAllowed(allowed=True))
-        self._at(TICK_S, self._tick)
+        self._engines = assign_models(self.size)
+        self._handle_event(self._make_fleet())
+        self._handle_event(OrdersAllowed(allowed=True))
+        self._schedule(TICK_PERIOD_S, self._tick)
         for number, runner_id in enumerate(self._engines):
-            at = REPORT_S * number / len(self._engines)
-            self._at(at, self._make_reporter(runner_id))
+            at = REPORT_PERIOD_S * number / len(self._engines)
+            self._schedule(at, self._make_reporter(runner_id))
 
-    def simulate(self, seconds: float, warm_up_s: float = WARM_UP_S) -> Spent:
-        """Let requests come, and say what they took after the time to warm up."""
-        self._at(BEGIN_S, self._arrive)
+    def simulate(self, seconds: float, warm_up_s: float = WARM_UP_S) -> CoreCost:
+        """Send requests for some time; return their cost after the warm-up."""
+        self._schedule(FIRST_ARRIVAL_S, self._arrive)
         self._run(warm_up_s)
         warm_up_requests = self._requests
-        self._spent_s, self._requests, self._waiting_sum, self._granted = 0.0, 0, 0, 0
+        self._core_s, self._requests, self._waiting_sum, self._granted = 0.0, 0, 0, 0
         self._run(warm_up_s + seconds)
-        return Spent(
+        return CoreCost(
             total_requests=warm_up_requests + self._requests,
             requests=self._requests,
-            seconds=self._spent_s,
+            seconds=self._core_s,
             mean_waiting=self._waiting_sum / max(1, self._requests),
             granted=self._granted,
         )
 
     @property
     def rate(self) -> float:
-        """Return the requests a second."""
-        return self.use * self.size.runners / (PROMPT_TOKENS * READ_S_PER_TOKEN)
+        """Return the number of requests per second."""
+        return (
+            self.utilization * self.size.runners / (PROMPT_TOKENS * PREFILL_S_PER_TOKEN)
+        )
 
     def _run(self, until: float) -> None:
         while self._calls and self._calls[0][0] <= until:
             self.now, _, call = heapq.heappop(self._calls)
             call()
 
-    def _at(self, at: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self._calls, (at, next(self._numbers), call))
+    def _schedule(self, at: float, call: Callable[[], None]) -> None:
+        heapq.heappush(self._calls, (at, next(self._sequence), call))
 
-    def _feed(self, event: Event) -> None:
-        began = time.process_time()
+    def _handle_event(self, event: Event) -> None:
+        started_at = time.process_time()
         actions = self.core.handle(event, self.now)
-        self._spent_s += time.process_time() - began
+        self._core_s += time.process_time() - started_at
         for action in actions:
             if isinstance(action, Grant):
                 self._granted += 1
                 self._waiting -= 1
-                self._read(action)
+                self._run_prefill(action)
             elif isinstance(action, Refuse):
                 self._waiting -= 1
             else:
-                self._carry_out(action)
+                self._execute_order(action)
 
     def _arrive(self) -> None:
         self._requests += 1
         self._waiting += 1
         self._waiting_sum += self._waiting
-        self._feed(self._make_asked(self._requests))
-        self._at(self.now + self._random.expovariate(self.rate), self._arrive)
+        self._handle_event(self._make_grant_request(self._requests))
+        self._schedule(self.now + self._random.expovariate(self.rate), self._arrive)
 
-    def _make_asked(self, number: int) -> GrantRequest:
+    def _make_grant_request(self, number: int) -> GrantRequest:
         rare = self._random.random() >= POPULAR_SHARE
         choices = self.size.models if rare else POPULAR_MODELS
         tokens = int(PROMPT_TOKENS * self._random.uniform(0.3, 1.7))
@@ -213,43 +215,49 @@
             repeat=False,
         )
 
-    def _read(self, grant: Grant) -> None:
+    def _run_prefill(self, grant: Grant) -> None:
         engine = self._engines[grant.runner_id]
-        start = max(self.now + WAY_S, engine.read_until)
-        engine.read_until = start + PROMPT_TOKENS * READ_S_PER_TOKEN
-        first_at = engine.read_until + FIRST_EVENT_S
+        start = max(self.now + NETWORK_DELAY_S, engine.prefill_until)
+        engine.prefill_until = start + PROMPT_TOKENS * PREFILL_S_PER_TOKEN
+        first_at = engine.prefill_until + FIRST_EVENT_S
         first = FirstEventSeen(edge=grant.edge, request_id=grant.request_id)
         ended = RequestEnded(
             edge=grant.edge, request_id=grant.request_id, kind=EndKind.SERVED
         )
-        self._at(first_at, lambda: self._feed(first))
-        self._at(first_at + STREAM_S, lambda: self._feed(ended))
+        self._schedule(first_at, lambda: self._handle_event(first))
+        self._schedule(first_at + STREAM_S, lambda: self._handle_event(ended))
 
-    def _carry_out(self, order: SendOrder) -> None:
+    def _execute_order(self, order: SendOrder) -> None:
         engine = self._engines[order.runner_id]
-        fits = order.order_count == engine.order_count and self.now >= engine.busy_until
-        if fits:
+        is_accepted = (
+            order.order_count == engine.order_count and self.now >= engine.busy_until
+        )
+        if is_accepted:
             engine.order_count += 1
             if order.load:
                 engine.models.append(order.model)
                 engine.busy_until = self.now + LOAD_S
             elif order.model in engine.models:
                 engine.models.remove(order.model)
-        outcome = OrderOutcome.STARTED if fits else OrderOutcome.NOT_NOW
+        outcome = OrderOutcome.STARTED if is_accepted else OrderOutcome.NOT_NOW
         ended = OrderEnded(runner_id=order.runner_id, outcome=outcome)
-        self._at(self.now + 2 * WAY_S, lambda: self._feed(ended))
+        self._schedule(
+            self.now + 2 * NETWORK_DELAY_S, lambda: self._handle_event(ended)
+        )
 
     def _tick(self) -> None:
-        self._feed(Tick())
-        self._at(self.now + TICK_S, self._tick)
+        self._handle_event(Tick())
+        self._schedule(self.now + TICK_PERIOD_S, self._tick)
 
     def _make_reporter(self, runner_id: str) -> Callable[[], None]:
         def report() -> None:
-            seen = self._make_report(self._engines[runner_id])
-            self._feed(
-                ReportReceived(runner_id=runner_id, report=seen, requested_at=self.now)
+            runner_report = self._make_report(self._engines[runner_id])
+            self._handle_event(
+                ReportReceived(
+                    runner_id=runner_id, report=runner_report, requested_at=self.now
+                )
             )
-            self._at(self.now + REPORT_S, report)
+            self._schedule(self.now + REPORT_PERIOD_S, report)
 
         return report
 
@@ -289,21 +297,21 @@
 
 
 def make_residents(models: list[str]) -> tuple[ResidentModel, ...]:
-    """Return models without adapters."""
+    """Return resident models without adapters."""
     return tuple(
         ResidentModel(name=name, version=1, adapters=frozenset()) for name in models
     )
 
 
 def make_profile(size: Size) -> EngineProfile:
-    """Return what the runners of a fleet can do."""
+    """Return the engine profile of the runners of a fleet."""
     models = {
         f"m{number}": ModelProfile(
             name=f"m{number}",
             weights_mb=WEIGHTS_MB,
             load_s=LOAD_S,
-            memory_load_s=NEAR_LOAD_S,
-            disk_load_s=NEAR_LOAD_S,
+            memory_load_s=LOCAL_LOAD_S,
+            disk_load_s=LOCAL_LOAD_S,
             adapters=0,
             adapter_mb=0.0,
         )
@@ -312,7 +320,7 @@
     return EngineProfile(
         slots=SLOTS,
         kv_capacity_tokens=200_000,
-        weights_mb=HELD_EACH * WEIGHTS_MB + 1.0,
+        weights_mb=MODELS_PER_RUNNER * WEIGHTS_MB + 1.0,
         adapter_slots=8,
         loads_per_s=max(1.0, size.runners / 4),
         models=models,
@@ -320,12 +328,15 @@
     )
 
 
-def place_models(size: Size) -> dict[str, Engine]:
-    """Return engines that hold the popular models most, and the others in turn."""
-    rest = [f"m{number}" for number in range(POPULAR_MODELS, size.models)]
+def assign_models(size: Size) -> dict[str, Engine]:
+    """Return engines with a popular model each, and the other models in rotation."""
+    other_models = [f"m{number}" for number in range(POPULAR_MODELS, size.models)]
     engines: dict[str, Engine] = {}
     for number in range(size.runners):
-        held = [f"m{number % POPULAR_MODELS}"]
-        held += [rest[(2 * number + each) % len(rest)] for each in range(HELD_EACH - 1)]
-        engines[f"r{number}"] = Engine(list(dict.fromkeys(held)))
+        models_held = [f"m{number % POPULAR_MODELS}"]
+        models_held += [
+            other_models[(2 * number + offset) % len(other_models)]
+            for offset in range(MODELS_PER_RUNNER - 1)
+        ]
+        engines[f"r{number}"] = Engine(list(dict.fromkeys(models_held)))
     return engines
--- a/measure/score.py
+++ b/measure/score.py
@@ -1,4 +1,4 @@
-"""Figures of a policy over the runs of all seeds."""
+"""Scores of a policy over the runs of all seeds."""
 
 from collections.abc import Callable, Hashable, Iterable, Sequence
 
@@ -15,14 +15,14 @@
 
 @frozen(kw_only=True)
 class Tally:
-    """Requests on target among all of one kind."""
+    """Number of requests of one kind, and of those that met their targets."""
 
     met: int = 0
     total: int = 0
 
     @property
     def share(self) -> float:
-        """Return the share on target; 1 if there are none."""
+        """Return the share of requests on target; 1 if there are no requests."""
         return self.met / self.total if self.total else 1.0
 
     def __add__(self, other: "Tally") -> "Tally":
@@ -31,11 +31,11 @@
 
 @frozen(kw_only=True)
 class RunScore:
-    """Figures of one run, small enough to pass between processes."""
+    """Scores of one run, small enough to pass between processes."""
 
     overall: Tally
-    everyone: Tally
-    """With a flooding caller, whom all other figures of callers leave out."""
+    with_flooder: Tally
+    """All requests with those of the flooding caller, which other tallies leave out."""
 
     flooder: Tally
     urgent: Tally
@@ -55,14 +55,14 @@
 
 @frozen(kw_only=True)
 class Score:
-    """Figures of a policy over several runs."""
+    """Scores of a policy over several runs."""
 
     attainment: float
     spread: float
-    """Largest difference between the attainments of two seeds."""
+    """Difference between the highest and lowest attainment of the seeds."""
 
-    everyone: float
-    """Attainment with a flooding caller, whom the other shares leave out."""
+    with_flooder: float
+    """Attainment with the flooding caller, which the other shares leave out."""
 
     flooder: float
 
@@ -80,7 +80,7 @@
 
 
 def score_run(result: RunResult, bound: float) -> RunScore:
-    """Reduce a run to its figures."""
+    """Return the scores of a run."""
     outcomes = [
         outcome
         for outcome in result.outcomes
@@ -94,14 +94,14 @@
     models = [outcome for outcome in outcomes if not outcome.is_call]
     urgent = [outcome for outcome in models if outcome.is_urgent]
     return RunScore(
-        overall=_tally(outcomes),
-        everyone=_tally(result.outcomes),
-        flooder=_tally(flood),
-        urgent=_tally(urgent),
-        patient=_tally(one for one in models if not one.is_urgent),
-        calls=_tally(one for one in outcomes if one.is_call),
-        by_model=_tally_by(models, _find_model),
-        by_caller=_tally_by(outcomes, lambda outcome: outcome.arrival.caller),
+        overall=_count_met(outcomes),
+        with_flooder=_count_met(result.outcomes),
+        flooder=_count_met(flood),
+        urgent=_count_met(urgent),
+        patient=_count_met(one for one in models if not one.is_urgent),
+        calls=_count_met(one for one in outcomes if one.is_call),
+        by_model=_count_met_by(models, _find_model),
+        by_caller=_count_met_by(outcomes, lambda outcome: outcome.arrival.caller),
         first_tokens_s=tuple(
             outcome.first_token_s
             for outcome in urgent
@@ -118,13 +118,13 @@
 
 
 def merge_runs(runs: Sequence[RunScore]) -> Score:
-    """Merge the runs of all seeds of one policy."""
+    """Merge the scores of all seeds of one policy."""
     shares = [run.overall.share for run in runs]
     tokens = sorted(time for run in runs for time in run.first_tokens_s)
     return Score(
         attainment=_mean(shares),
         spread=max(shares) - min(shares),
-        everyone=_mean([run.everyone.share for run in runs]),
+        with_flooder=_mean([run.with_flooder.share for run in runs]),
         flooder=_mean([run.flooder.share for run in runs]),
         urgent=_mean([run.urgent.share for run in runs]),
         patient=_mean([run.patient.share for run in runs]),
@@ -144,7 +144,7 @@
     return sum(values) / len(values)
 
 
-def _tally(outcomes: Iterable[Outcome]) -> Tally:
+def _count_met(outcomes: Iterable[Outcome]) -> Tally:
     met = [outcome.is_met for outcome in outcomes]
     return Tally(met=sum(met), total=len(met))
 
@@ -155,17 +155,17 @@
     return str(target)
 
 
-def _tally_by(
+def _count_met_by(
     outcomes: Iterable[Outcome], find_group: Callable[[Outcome], Hashable]
 ) -> dict[str, Tally]:
     groups: dict[str, list[Outcome]] = {}
     for outcome in outcomes:
         groups.setdefault(str(find_group(outcome)), []).append(outcome)
-    return {name: _tally(group) for name, group in groups.items()}
+    return {name: _count_met(group) for name, group in groups.items()}
 
 
 def _find_worst(runs: Sequence[dict[str, Tally]]) -> float:
-    """Return the least share of any name over all seeds together."""
+    """Return the lowest share of any name over all seeds."""
     sums: dict[str, Tally] = {}
     for run in runs:
         for name, tally in run.items():
--- a/measure/simulation.py
+++ b/measure/simulation.py
@@ -1,4 +1,4 @@
-"""One run: a site, its demand, a policy and a fault in virtual time."""
+"""Simulation of a site with a demand, a policy and a fault in virtual time."""
 
 from collections.abc import Iterable
 from random import Random
@@ -25,8 +25,8 @@
 from .clock import Clock
 from .const import (
     COOL_DOWN_S,
-    LATENCY_BETWEEN_S,
-    REPORT_LAG_S,
+    INTER_DATA_CENTRE_LATENCY_S,
+    REPORT_DELAY_S,
     REPORT_PERIOD_S,
     WARM_UP_S,
 )
@@ -48,17 +48,17 @@
 
 @frozen(kw_only=True)
 class RunResult:
-    """What one run gave."""
+    """Result of one run."""
 
     outcomes: tuple[Outcome, ...]
     flooder: CallerId | None
     loads: int
     unloads: int
     over_size: int
-    """Engines whose memory was ever over its size."""
+    """Number of engines whose used memory ever exceeded their size."""
 
     doubled_runs: int
-    """Service calls that may not be repeated but ran more than once."""
+    """Number of non-idempotent service calls that ran more than once."""
 
     steps: dict[str, dict[Step, float]]
     capacity: Capacity
@@ -97,24 +97,24 @@
         self.gateways = {
             placed.item: self._build_gateway(placed) for placed in site.gateways
         }
-        self._known = list(self.gateways.values())
+        self._listed_gateways = list(self.gateways.values())
         self.controllers = [self._build_controller(n) for n in range(_CONTROLLERS)]
         self.reports_stopped = False
-        self._ready: dict[UpstreamId, frozenset[Artifact]] = {}
-        self._moves_before = 0, 0
+        self._ready_artifacts: dict[UpstreamId, frozenset[Artifact]] = {}
+        self._warm_up_moves = 0, 0
 
     def run(self) -> RunResult:
         """Run from the first placement to the end of the cool-down."""
         self._start()
-        self._clock.call_at(WARM_UP_S, self._begin_count)
+        self._clock.call_at(WARM_UP_S, self._record_warm_up_moves)
         callers = [self._schedule_caller(arrival) for arrival in self.demand.arrivals]
         schedule_fault(self, self._clock, self._fault)
         self._clock.run(WARM_UP_S + self.demand.length_s + COOL_DOWN_S)
-        return self._collect([caller.outcome for caller in callers])
+        return self._build_result([caller.outcome for caller in callers])
 
-    def _collect(self, outcomes: list[Outcome]) -> RunResult:
+    def _build_result(self, outcomes: list[Outcome]) -> RunResult:
         for host in self.engines.values():
-            host.touch()
+            host.advance_and_reschedule()
         models = [host.model for host in self.engines.values()]
         writes = {
             outcome.arrival.number
@@ -128,8 +128,8 @@
         return RunResult(
             outcomes=tuple(outcomes),
             flooder=self.demand.flooder,
-            loads=sum(model.loads for model in models) - self._moves_before[0],
-            unloads=sum(model.unloads for model in models) - self._moves_before[1],
+            loads=sum(model.loads for model in models) - self._warm_up_moves[0],
+            unloads=sum(model.unloads for model in models) - self._warm_up_moves[1],
             over_size=sum(model.over_size for model in models),
             doubled_runs=sum(runs.get(number, 0) > 1 for number in writes),
             steps={
@@ -152,11 +152,11 @@
         ]
         return Capacity(self._site.tokens_per_second, tuple(losses))
 
-    def _begin_count(self) -> None:
+    def _record_warm_up_moves(self) -> None:
         models = [host.model for host in self.engines.values()]
         loads = sum(model.loads for model in models)
         unloads = sum(model.unloads for model in models)
-        self._moves_before = loads, unloads
+        self._warm_up_moves = loads, unloads
 
     def _build_engine(self, placed: Placed[EngineSettings]) -> EngineHost:
         model = EngineModel(
@@ -164,15 +164,17 @@
         )
         return EngineHost(self._clock, model, placed.data_centre)
 
-    def _build_gateway(self, placed: Placed[HostId], life: int = 0) -> GatewayShell:
+    def _build_gateway(
+        self, placed: Placed[HostId], incarnation_number: int = 0
+    ) -> GatewayShell:
         identity = GatewayIdentity(
             host=placed.item,
-            incarnation=IncarnationId(f"{placed.item}-{life}"),
+            incarnation=IncarnationId(f"{placed.item}-{incarnation_number}"),
             data_centre=placed.data_centre,
         )
         core = self._policy.dispatch(identity, self._seed)
         return GatewayShell(
-            self._clock, identity, core, self._upstreams, self._pass_demand
+            self._clock, identity, core, self._upstreams, self._forward_demand
         )
 
     def _build_controller(self, number: int) -> ControllerShell:
@@ -181,7 +183,9 @@
             incarnation=IncarnationId(f"controller{number}-0"),
         )
         link = OrderLink(
-            Random(f"link {number} {self._seed}"), LATENCY_BETWEEN_S, _LINK_FAULTS
+            Random(f"link {number} {self._seed}"),
+            INTER_DATA_CENTRE_LATENCY_S,
+            _LINK_FAULTS,
         )
         return ControllerShell(
             self._clock,
@@ -195,7 +199,7 @@
 
     def _start(self) -> None:
         for gateway in self.gateways.values():
-            self._introduce(gateway)
+            self._initialize_gateway(gateway)
         configuration = self._site.configuration
         for number, controller in enumerate(self.controllers):
             controller.handle(
@@ -205,34 +209,40 @@
                 placement_events.RunnersListed(runners=self._list_runners())
             )
             for host in self.engines.values():
-                met = placement_events.EngineDescribed(
+                described = placement_events.EngineDescribed(
                     description=host.model.describe()
                 )
-                controller.handle(met)
+                controller.handle(described)
             controller.handle(placement_events.Ticked())
-            self._clock.call_later(0.5 * number, controller.keep_lease)
+            self._clock.call_later(0.5 * number, controller.maintain_lease)
         for number, host in enumerate(self.engines.values()):
             phase = REPORT_PERIOD_S * number / len(self.engines)
-            self._clock.call_later(phase, self._take_report, host)
+            self._clock.call_later(phase, self._send_report, host)
         for surge in self.demand.surges:
             start = WARM_UP_S + surge.start_s
             self._milestones.watch(surge.name, surge.artifacts[0], start)
 
-    def _introduce(self, gateway: GatewayShell) -> None:
-        """Tell a new gateway what there is."""
+    def _initialize_gateway(self, gateway: GatewayShell) -> None:
+        """Send the current state to a new gateway."""
         gateway.handle(
             dispatch_events.ConfigurationChanged(configuration=self._site.configuration)
         )
-        gateway.handle(dispatch_events.UpstreamListChanged(upstreams=self._list_all()))
+        gateway.handle(
+            dispatch_events.UpstreamListChanged(upstreams=self._list_upstreams())
+        )
         for host in self.engines.values():
             if not host.model.is_down:
-                met = dispatch_events.EngineDescribed(description=host.model.describe())
-                gateway.handle(met)
-        self._tell_members([gateway])
+                described = dispatch_events.EngineDescribed(
+                    description=host.model.describe()
+                )
+                gateway.handle(described)
+        self._send_members([gateway])
         gateway.handle(dispatch_events.Ticked())
 
-    def _tell_members(self, gateways: Iterable[GatewayShell]) -> None:
-        live = frozenset(gateway.identity.incarnation for gateway in self._known)
+    def _send_members(self, gateways: Iterable[GatewayShell]) -> None:
+        live = frozenset(
+            gateway.identity.incarnation for gateway in self._listed_gateways
+        )
         for gateway in gateways:
             gateway.handle(dispatch_events.GatewayCountChanged(count=len(live)))
             gateway.handle(dispatch_events.HomesChanged(live=live))
@@ -249,7 +259,7 @@
             if host.id not in self._unlisted
         )
 
-    def _list_all(self) -> tuple[UpstreamAddress, ...]:
+    def _list_upstreams(self) -> tuple[UpstreamAddress, ...]:
         services = tuple(
             UpstreamAddress(
                 id=host.id,
@@ -264,19 +274,19 @@
         return self._list_runners() + services
 
     def _schedule_caller(self, arrival: Arrival) -> Caller:
-        caller = Caller(self._clock, arrival, self._random, self._list_addresses)
-        self._clock.call_at(arrival.time, self._arrive, caller)
+        caller = Caller(self._clock, arrival, self._random, self._list_gateways)
+        self._clock.call_at(arrival.time, self._start_caller, caller)
         return caller
 
-    def _arrive(self, caller: Caller) -> None:
+    def _start_caller(self, caller: Caller) -> None:
         if isinstance(caller.arrival.target, Artifact):
-            self._milestones.note(Step.ARRIVED, caller.arrival.target)
+            self._milestones.record(Step.ARRIVED, caller.arrival.target)
         caller.start()
 
-    def _list_addresses(self) -> list[GatewayShell]:
-        return self._known
+    def _list_gateways(self) -> list[GatewayShell]:
+        return self._listed_gateways
 
-    def _pass_demand(self, gateway: GatewayShell, action: ReportDemand) -> None:
+    def _forward_demand(self, gateway: GatewayShell, action: ReportDemand) -> None:
         event = placement_events.DemandReported(
             gateway=gateway.identity.host,
             incarnation=gateway.identity.incarnation,
@@ -292,72 +302,74 @@
                 for demand in action.demands
             ),
         )
-        self._clock.call_later(LATENCY_BETWEEN_S, self._deliver_demand, event)
+        self._clock.call_later(INTER_DATA_CENTRE_LATENCY_S, self._deliver_demand, event)
 
     def _deliver_demand(self, event: placement_events.DemandReported) -> None:
         for rate in event.rates:
-            self._milestones.note(Step.DEMAND_REPORTED, rate.artifact)
+            self._milestones.record(Step.DEMAND_REPORTED, rate.artifact)
         for controller in self.controllers:
             controller.handle(event)
 
-    def _take_report(self, host: EngineHost) -> None:
-        self._clock.call_later(REPORT_PERIOD_S, self._take_report, host)
+    def _send_report(self, host: EngineHost) -> None:
+        self._clock.call_later(REPORT_PERIOD_S, self._send_report, host)
         if host.model.is_down:
             return
-        host.touch()
+        host.advance_and_reschedule()
         report = host.model.report(self._clock.now)
         ready = frozenset(
             resident.artifact
             for resident in report.residents
             if resident.state is Residency.READY
         )
-        added = ready - self._ready.get(host.id, frozenset())
-        self._ready[host.id] = ready
+        added = ready - self._ready_artifacts.get(host.id, frozenset())
+        self._ready_artifacts[host.id] = ready
         for artifact in added:
-            self._milestones.note(Step.READY, artifact)
+            self._milestones.record(Step.READY, artifact)
         if not self.reports_stopped:
-            self._clock.call_later(REPORT_LAG_S, self._deliver_report, report, added)
+            self._clock.call_later(REPORT_DELAY_S, self._deliver_report, report, added)
 
     def _deliver_report(self, report: EngineReport, added: frozenset[Artifact]) -> None:
         for artifact in added:
-            self._milestones.note(Step.ROUTED, artifact)
+            self._milestones.record(Step.ROUTED, artifact)
         for gateway in self.gateways.values():
             gateway.handle(dispatch_events.EngineReported(report=report))
         for controller in self.controllers:
             controller.handle(placement_events.EngineReported(report=report))
 
-    def restart_gateway(self, host: HostId, life: int) -> None:
-        """Start a new process on an entry host."""
+    def restart_gateway(self, host: HostId, incarnation_number: int) -> None:
+        """Start a new gateway process on an entry host."""
         placed = next(one for one in self._site.gateways if one.item == host)
-        gateway = self._build_gateway(placed, life)
+        gateway = self._build_gateway(placed, incarnation_number)
         self.gateways[host] = gateway
-        self._introduce(gateway)
+        self._initialize_gateway(gateway)
 
-    def note_gateways(self) -> None:
-        """Let everybody know which gateways are live now."""
-        self._known = [one for one in self.gateways.values() if not one.is_down]
-        self._tell_members(self._known)
+    def update_gateways(self) -> None:
+        """Send the list of running gateways to the gateways and callers."""
+        self._listed_gateways = [
+            one for one in self.gateways.values() if not one.is_down
+        ]
+        self._send_members(self._listed_gateways)
 
-    def note_upstreams(self) -> None:
-        """Let the host list show which upstreams are live now."""
+    def update_host_list(self) -> None:
+        """Update the host list, and send it to the gateways and controllers."""
         self._unlisted = {
             *(host.id for host in self.engines.values() if host.model.is_down),
             *(host.id for host in self.services.values() if host.is_down),
         }
-        listed = dispatch_events.UpstreamListChanged(upstreams=self._list_all())
+        listed = dispatch_events.UpstreamListChanged(upstreams=self._list_upstreams())
         runners = placement_events.RunnersListed(runners=self._list_runners())
         for gateway in self.gateways.values():
             gateway.handle(listed)
         for controller in self.controllers:
             controller.handle(runners)
 
-    def note_silence(self, upstream: UpstreamId) -> None:
-        """Let the controllers know that an engine does not answer probes."""
+    def report_silence(self, upstream: UpstreamId) -> None:
+        """Report to the controllers that an engine does not respond to probes."""
         for controller in self.controllers:
             controller.handle(placement_events.EngineSilent(upstream_id=upstream))
 
-    def meet_engine(self, host: EngineHost) -> None:
-        """Let everybody meet a restarted engine."""
+    def send_engine_description(self, host: EngineHost) -> None:
+        """Send the description of a restarted engine to gateways and controllers."""
         description = host.model.describe()
         for gateway in self.gateways.values():
             gateway.handle(dispatch_events.EngineDescribed(description=description))
--- a/measure/sites.py
+++ b/measure/sites.py
@@ -1,4 +1,4 @@
-"""The two deployments: sizes, offers and limits."""
+"""The two simulated deployments: sizes, offers and limits."""
 
 from random import Random
 from typing import Generic, TypeVar
@@ -51,7 +51,7 @@
 ADAPTER_MB = 400
 ACCELERATORS_PER_RUNNER = 4
 ORDER_LATENESS_BOUND_S = 15.0
-"""Above the latest order that the lossy link of the replay delivers."""
+"""Longer than the longest order delay of the simulated lossy link."""
 
 SERVICE = ServiceName("application")
 CALL_TIMEOUT_S = 0.5
@@ -59,7 +59,7 @@
 
 @frozen(kw_only=True)
 class Placed(Generic[ItemT]):
-    """Something in a data centre."""
+    """An item and its data centre."""
 
     item: ItemT
     data_centre: DataCentreId
@@ -67,13 +67,13 @@
 
 @frozen(kw_only=True)
 class Mix:
-    """How a site's traffic is made up, in shares of the whole token capacity."""
+    """Composition of a site's traffic; loads are shares of the total token capacity."""
 
     urgent_load: float
     patient_load: float
     calls_per_second: float
-    unrepeatable_share: float
-    """Share of the service calls that may not be repeated."""
+    non_idempotent_share: float
+    """Share of the service calls that are not idempotent."""
 
 
 @frozen(kw_only=True)
@@ -90,17 +90,17 @@
 
     @property
     def accelerators(self) -> int:
-        """Return the accelerators of all runners."""
+        """Return the number of accelerators of all runners."""
         return sum(placed.item.accelerators for placed in self.runners)
 
     @property
     def tokens_per_second(self) -> float:
-        """Return the decode capacity of all runners."""
+        """Return the total decode capacity of all runners."""
         return sum(placed.item.tokens_per_second for placed in self.runners)
 
 
 def limit_callers(site: Site, requests_per_second: float | None) -> Site:
-    """Return a site with one limit for every caller; None leaves it as it is."""
+    """Return a site with a rate limit for each caller; None changes nothing."""
     if requests_per_second is None:
         return site
     callers = {
@@ -111,7 +111,7 @@
 
 
 def build_khangai() -> Site:
-    """Build the site that weighs moves more: chat with families."""
+    """Build a site for chat with families, with the higher move price."""
     policy = SitePolicy(
         move_price=300.0,
         order_lateness_bound_s=ORDER_LATENESS_BOUND_S,
@@ -123,13 +123,13 @@
         urgent_load=0.22,
         patient_load=0.14,
         calls_per_second=1.0,
-        unrepeatable_share=0.6,
+        non_idempotent_share=0.6,
     )
     return _build_site("khangai", policy, mix)
 
 
 def build_cascadia() -> Site:
-    """Build the site that weighs attainment more: drafts and floor calls."""
+    """Build a site for drafts and floor calls, with the lower move price."""
     policy = SitePolicy(
         move_price=100.0,
         order_lateness_bound_s=ORDER_LATENESS_BOUND_S,
@@ -141,7 +141,7 @@
         urgent_load=0.12,
         patient_load=0.28,
         calls_per_second=3.0,
-        unrepeatable_share=0.3,
+        non_idempotent_share=0.3,
     )
     return _build_site("cascadia", policy, mix)
 
@@ -181,7 +181,7 @@
         stream_tokens_per_second=60.0,
         tokens_per_second=600.0,
         prefill_tokens_per_second=8000.0,
-        # Half of the engines check fences, half ignore them.
+        # Half of the engines check fences, the others ignore them.
         checks_fences=number % 2 == 0,
         cache_blocks=256,
     )
--- a/measure/upstreams.py
+++ b/measure/upstreams.py
@@ -1,4 +1,4 @@
-"""Engines and plain services of a run, as the gateways reach them."""
+"""Simulated engines and plain services behind the network."""
 
 import math
 from random import Random
@@ -18,12 +18,12 @@
 
 from .clock import Clock
 from .const import (
-    BROWN_OUT_ERRORS,
+    BROWN_OUT_ERROR_SHARE,
     BROWN_OUT_HANG_S,
-    BROWN_OUT_SLOW,
+    BROWN_OUT_HANG_SHARE,
     CONNECT_TIMEOUT_S,
-    LATENCY_BETWEEN_S,
-    LATENCY_INSIDE_S,
+    INTER_DATA_CENTRE_LATENCY_S,
+    INTRA_DATA_CENTRE_LATENCY_S,
     PROGRESS_PERIOD_S,
 )
 from .demand import Arrival
@@ -33,34 +33,34 @@
 
 
 class AttemptClient(Protocol):
-    """The gateway's end of an attempt."""
+    """Receiver of the results of attempts, implemented by the gateway."""
 
     data_centre: DataCentreId
 
     def receive_progress(self, attempt_id: AttemptId, tokens: int) -> None:
-        """Take the tokens so far."""
+        """Handle the number of tokens received so far."""
         ...
 
     def receive_success(self, attempt_id: AttemptId) -> None:
-        """Take the end of an answer."""
+        """Handle the end of a response."""
         ...
 
     def receive_refusal(self, attempt_id: AttemptId) -> None:
-        """Take a refusal: it certainly did not run."""
+        """Handle a refusal; the attempt was not run."""
         ...
 
-    def receive_break(self, attempt_id: AttemptId) -> None:
-        """Take a connection that broke: it may have run."""
+    def receive_connection_loss(self, attempt_id: AttemptId) -> None:
+        """Handle a lost connection; the attempt may have run."""
         ...
 
     def receive_cancelled(self, attempt_id: AttemptId, tokens: int) -> None:
-        """Take the end of a cancelled attempt."""
+        """Handle the end of a cancelled attempt."""
         ...
 
 
 @frozen(kw_only=True)
 class Attempt:
-    """One try of an arrival at one upstream."""
+    """One attempt to serve an arrival at one upstream."""
 
     id: AttemptId
     arrival: Arrival
@@ -69,13 +69,13 @@
 
 
 def find_latency(one: DataCentreId, other: DataCentreId) -> float:
-    """Return the one-way time between two data centres in seconds."""
-    return LATENCY_INSIDE_S if one == other else LATENCY_BETWEEN_S
+    """Return the one-way latency between two data centres in seconds."""
+    return INTRA_DATA_CENTRE_LATENCY_S if one == other else INTER_DATA_CENTRE_LATENCY_S
 
 
 @define(kw_only=True)
 class Outage:
-    """A time in which an engine was down."""
+    """Period during which an engine is down."""
 
     start: float
     end: float = math.inf
@@ -83,14 +83,14 @@
 
 @define
 class _Connection:
-    """One attempt at an engine and who waits for it."""
+    """Client of one attempt at an engine."""
 
     client: AttemptClient
-    told_at: float = -math.inf
+    progress_sent_at: float = -math.inf
 
 
 class EngineHost:
-    """An engine on the network; wakes its model when something ends in it."""
+    """An engine on the network; advances the engine model at each of its events."""
 
     def __init__(
         self, clock: Clock, model: EngineModel, data_centre: DataCentreId
@@ -99,45 +99,45 @@
         self.model = model
         self.data_centre = data_centre
         self.is_silent = False
-        """Down without a sign, so that connections hang instead of breaking."""
+        """Whether connections to the stopped engine hang instead of failing."""
 
         self.is_browned_out = False
-        """Fails some requests and lets some hang, while its reports look well."""
+        """Whether some requests fail or hang while the reports show no fault."""
 
         self.outages: list[Outage] = []
         self._random = Random(f"{model.settings.upstream}")
         self._hanging: set[AttemptId] = set()
         self._connections: dict[AttemptId, _Connection] = {}
-        self._wake_at = math.inf
-        self._wake_number = 0
+        self._wakeup_at = math.inf
+        self._wakeup_number = 0
 
     @property
     def id(self) -> UpstreamId:
-        """Return the upstream's name."""
+        """Return the identifier of the upstream."""
         return self.model.settings.upstream
 
     def submit(self, attempt: Attempt, client: AttemptClient) -> None:
-        """Take an attempt that has just arrived over the network."""
+        """Accept an attempt that has arrived over the network."""
         if not self.is_browned_out or self.model.is_down:
-            self._take(attempt, client)
+            self._submit_to_model(attempt, client)
             return
         drawn = self._random.random()
-        if drawn < BROWN_OUT_ERRORS:
+        if drawn < BROWN_OUT_ERROR_SHARE:
             self.clock.call_later(
-                self._latency(client), client.receive_break, attempt.id
+                self._find_latency(client), client.receive_connection_loss, attempt.id
             )
-        elif drawn < BROWN_OUT_ERRORS + BROWN_OUT_SLOW:
+        elif drawn < BROWN_OUT_ERROR_SHARE + BROWN_OUT_HANG_SHARE:
             self._hanging.add(attempt.id)
             self.clock.call_later(BROWN_OUT_HANG_S, self._end_hang, attempt, client)
         else:
-            self._take(attempt, client)
+            self._submit_to_model(attempt, client)
 
     def _end_hang(self, attempt: Attempt, client: AttemptClient) -> None:
         if attempt.id in self._hanging:
             self._hanging.discard(attempt.id)
-            self._take(attempt, client)
+            self._submit_to_model(attempt, client)
 
-    def _take(self, attempt: Attempt, client: AttemptClient) -> None:
+    def _submit_to_model(self, attempt: Attempt, client: AttemptClient) -> None:
         self.advance()
         arrival = attempt.arrival
         assert isinstance(arrival.target, Artifact)
@@ -154,12 +154,12 @@
         if outcome is SubmitOutcome.ACCEPTED:
             self._connections[attempt.id] = _Connection(client)
         else:
-            delay = CONNECT_TIMEOUT_S if self.is_silent else self._latency(client)
+            delay = CONNECT_TIMEOUT_S if self.is_silent else self._find_latency(client)
             self.clock.call_later(delay, client.receive_refusal, attempt.id)
-        self._schedule_wake()
+        self._schedule_wakeup()
 
     def cancel(self, attempt_id: AttemptId, client: AttemptClient) -> None:
-        """End an attempt on behalf of its client."""
+        """Cancel an attempt of a client."""
         self._hanging.discard(attempt_id)
         self.advance()
         connection = self._connections.pop(attempt_id, None)
@@ -167,21 +167,21 @@
             return
         tokens = self.model.cancel(self.clock.now, attempt_id) or 0
         self.clock.call_later(
-            self._latency(client), client.receive_cancelled, attempt_id, tokens
+            self._find_latency(client), client.receive_cancelled, attempt_id, tokens
         )
-        self._schedule_wake()
+        self._schedule_wakeup()
 
     def drop_client(self, client: AttemptClient) -> None:
-        """End all attempts of a client that is gone."""
+        """Cancel all attempts of a disconnected client."""
         self.advance()
         for attempt_id, connection in list(self._connections.items()):
             if connection.client is client:
                 del self._connections[attempt_id]
                 self.model.cancel(self.clock.now, attempt_id)
-        self._schedule_wake()
+        self._schedule_wakeup()
 
     def crash(self, silent: bool) -> None:
-        """Lose everything, with connections that break or hang."""
+        """Crash the engine; connections fail, or hang if `silent`."""
         self.advance()
         self.model.crash(self.clock.now)
         self.is_silent = silent
@@ -190,19 +190,21 @@
             if not silent:
                 client = connection.client
                 self.clock.call_later(
-                    self._latency(client), client.receive_break, attempt_id
+                    self._find_latency(client),
+                    client.receive_connection_loss,
+                    attempt_id,
                 )
         self._connections.clear()
 
     def restart(self, incarnation: IncarnationId) -> None:
-        """Come back empty."""
+        """Restart the engine without loaded models."""
         self.model.restart(self.clock.now, incarnation)
         self.is_silent = False
         self.outages[-1].end = self.clock.now
-        self._schedule_wake()
+        self._schedule_wakeup()
 
     def advance(self) -> None:
-        """Bring the model up to now and tell the clients what came out."""
+        """Advance the engine model to now and send its outputs to the clients."""
         now = self.clock.now
         for output in self.model.advance(now):
             connection = self._connections.get(output.attempt_id)
@@ -212,42 +214,44 @@
             if isinstance(output, AttemptFinished):
                 del self._connections[output.attempt_id]
                 self.clock.call_later(
-                    self._latency(client), client.receive_success, output.attempt_id
+                    self._find_latency(client),
+                    client.receive_success,
+                    output.attempt_id,
                 )
-            elif now - connection.told_at >= PROGRESS_PERIOD_S:
-                connection.told_at = now
+            elif now - connection.progress_sent_at >= PROGRESS_PERIOD_S:
+                connection.progress_sent_at = now
                 self.clock.call_later(
-                    self._latency(client),
+                    self._find_latency(client),
                     client.receive_progress,
                     output.attempt_id,
                     output.tokens,
                 )
 
-    def touch(self) -> None:
-        """Bring the model up to now and wake at its next event."""
+    def advance_and_reschedule(self) -> None:
+        """Advance the engine model to now and schedule its next event."""
         self.advance()
-        self._schedule_wake()
+        self._schedule_wakeup()
 
-    def _schedule_wake(self) -> None:
+    def _schedule_wakeup(self) -> None:
         time = self.model.next_event_time()
-        if time == self._wake_at:
+        if time == self._wakeup_at:
             return
-        self._wake_at = time
-        self._wake_number += 1
+        self._wakeup_at = time
+        self._wakeup_number += 1
         if time < math.inf:
-            self.clock.call_at(time, self._wake, self._wake_number)
+            self.clock.call_at(time, self._wake_up, self._wakeup_number)
 
-    def _wake(self, number: int) -> None:
-        if number == self._wake_number:
-            self._wake_at = math.inf
-            self.touch()
+    def _wake_up(self, number: int) -> None:
+        if number == self._wakeup_number:
+            self._wakeup_at = math.inf
+            self.advance_and_reschedule()
 
-    def _latency(self, client: AttemptClient) -> float:
+    def _find_latency(self, client: AttemptClient) -> float:
         return find_latency(self.data_centre, client.data_centre)
 
 
 class ServiceHost:
-    """One host of a plain service; counts how often each arrival really ran."""
+    """Host of a plain service; counts the runs of each arrival."""
 
     def __init__(
         self, clock: Clock, upstream: UpstreamId, data_centre: DataCentreId, seed: str
@@ -261,7 +265,7 @@
         self._free_at = [0.0] * _SERVICE_CONCURRENCY
 
     def submit(self, attempt: Attempt, client: AttemptClient) -> None:
-        """Run a call that has just arrived over the network."""
+        """Run a call that has arrived over the network."""
         if self.is_down:
             self._clock.call_later(
                 CONNECT_TIMEOUT_S, client.receive_refusal, attempt.id
@@ -273,9 +277,11 @@
         slot = min(range(len(self._free_at)), key=self._free_at.__getitem__)
         begin = max(self._clock.now, self._free_at[slot])
         self._free_at[slot] = begin + self._random.uniform(*_SERVICE_TIME_S)
-        self._clock.call_at(self._free_at[slot], self._answer, attempt.id, client)
+        self._clock.call_at(
+            self._free_at[slot], self._send_response, attempt.id, client
+        )
 
-    def _answer(self, attempt_id: AttemptId, client: AttemptClient) -> None:
+    def _send_response(self, attempt_id: AttemptId, client: AttemptClient) -> None:
         if not self.is_down:
             latency = find_latency(self.data_centre, client.data_centre)
             self._clock.call_later(latency, client.receive_success, attempt_id)
--- a/tests/measure/test_bound.py
+++ b/tests/measure/test_bound.py
@@ -1,4 +1,4 @@
-"""Tests of the upper mark of attainment."""
+"""Tests of the upper bound of attainment."""
 
 import pytest
 
@@ -22,18 +22,18 @@
 
 
 class TestBound:
-    """Earliest deadline first on one pool."""
+    """Earliest deadline first in one pool."""
 
     def test_all_requests_that_fit_are_served(self) -> None:
         arrivals = tuple(build_arrival(n, 0.0, n + 1.0, 100) for n in range(5))
         assert find_bound(arrivals, Capacity(100.0)) == 1.0
 
-    def test_longest_request_is_given_up(self) -> None:
+    def test_longest_request_is_dropped(self) -> None:
         tokens = (50, 300, 50)
         arrivals = tuple(build_arrival(n, 0.0, 1.0, t) for n, t in enumerate(tokens))
         assert find_bound(arrivals, Capacity(100.0)) == pytest.approx(2 / 3)
 
-    def test_lost_capacity_counts_in_its_time_only(self) -> None:
+    def test_capacity_loss_counts_only_during_its_time(self) -> None:
         loss = Loss(start=0.0, end=1.0, tokens_per_second=100.0)
         early, late = build_arrival(0, 0.0, 1.0, 50), build_arrival(1, 0.0, 2.0, 50)
         assert find_bound((early, late), Capacity(100.0, (loss,))) == 0.5
--- a/tests/measure/test_simulation.py
+++ b/tests/measure/test_simulation.py
@@ -1,4 +1,4 @@
-"""Tests of a run in virtual time."""
+"""Tests of the simulation in virtual time."""
 
 from attrs import evolve
 
@@ -21,7 +21,7 @@
 
 
 class TestSimulation:
-    """A quiet beginning of a day."""
+    """Low traffic at the beginning of a day."""
 
     def test_same_seed_gives_the_same_run(self) -> None:
         first, second = run_briefly(), run_briefly()
@@ -30,7 +30,7 @@
             one.finished_at for one in second.outcomes
         ]
 
-    def test_quiet_traffic_is_on_target_and_safe(self) -> None:
+    def test_low_traffic_meets_targets_without_faults(self) -> None:
         result = run_briefly()
         met = sum(outcome.is_met for outcome in result.outcomes)
         assert met >= 0.95 * len(result.outcomes)
