--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system on loopback, with failures on the way."""
+"""Demo of the whole system on loopback with injected failures."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Run the whole system for a while, break parts of it, and tell what became of it."""
+"""Run the whole system with injected failures, and check the results."""
 
 import argparse
 import asyncio
@@ -25,11 +25,11 @@
 SERVICES = 3
 GATEWAYS = 3
 CONTROLLERS = 2
-PROGRESS_S = 2.0
-KILL_GATEWAY_AT = 0.3
-KILL_CONTROLLER_AT = 0.5
-EDIT_AT = 0.75
-"""Shares of the time of traffic."""
+PROGRESS_PERIOD_S = 2.0
+KILL_GATEWAY_SHARE = 0.3
+KILL_CONTROLLER_SHARE = 0.5
+EDIT_CONFIGURATION_SHARE = 0.75
+"""Times of the failures and the change, as shares of the duration of the traffic."""
 
 LOADED_TIMEOUT_S = 60.0
 BASE_FILE = ROOT / "examples" / "booking-assistant" / "base.toml"
@@ -39,7 +39,7 @@
 
 @define
 class Demo:
-    """One run."""
+    """One run of the demo."""
 
     fleet: Fleet
     seconds: float
@@ -47,89 +47,97 @@
     tally: Tally = field(factory=Tally)
     _start: float = field(factory=time.monotonic)
 
-    def say(self, text: str) -> None:
+    def print_progress(self, text: str) -> None:
         """Print a line of progress."""
         print(f"{time.monotonic() - self._start:6.1f} s  {text}", flush=True)
 
     async def async_run(self) -> list[Check]:
-        """Start everything, send traffic through the failures, and check."""
+        """Start all processes, send traffic during the failures, and run the checks."""
         await self._async_start()
         artifacts = read_artifacts(BASE_FILE, OVERLAY_FILE)
         await self._async_wait_loaded(artifacts)
         seeds = tuple(gateway.address for gateway in self.fleet.gateways)
-        book = AddressBook(self.fleet.session, seeds)
-        traffic = Traffic(book, artifacts, self.tally, self.rng)
+        address_book = AddressBook(self.fleet.session, seeds)
+        traffic = Traffic(address_book, artifacts, self.tally, self.rng)
         traffic.start()
-        self.say(f"traffic starts, for {self.seconds:g} s")
-        failures = asyncio.create_task(self._async_fail())
+        self.print_progress(f"traffic starts, for {self.seconds:g} s")
+        failures = asyncio.create_task(self._async_inject_failures())
         await self._async_show_progress(traffic)
         await failures
         await traffic.async_finish()
-        self.say("every request has ended")
+        self.print_progress("every request has ended")
         services = await self.fleet.async_get_truths(self.fleet.services)
         engines = await self.fleet.async_get_truths(self.fleet.engines)
         moves = sum(engine["loads"] + engine["unloads"] for engine in engines)
-        self.say(f"loads and unloads at the engines: {moves}")
+        self.print_progress(f"loads and unloads at the engines: {moves}")
         return check_all(self.tally, services, engines)
 
     async def _async_start(self) -> None:
         fleet = self.fleet
-        self.say("starting the key-value service and the host list")
+        self.print_progress("starting the key-value service and the host list")
         await fleet.async_start_platform()
-        self.say(f"starting {ENGINES} engines and {SERVICES} service hosts")
+        self.print_progress(f"starting {ENGINES} engines and {SERVICES} service hosts")
         await fleet.async_start_engines(ENGINES, ENGINE_MEMORY_MB)
         await fleet.async_start_services(SERVICES)
-        self.say(f"starting {GATEWAYS} gateways and {CONTROLLERS} controllers")
+        self.print_progress(
+            f"starting {GATEWAYS} gateways and {CONTROLLERS} controllers"
+        )
         for _ in range(GATEWAYS):
             await fleet.async_start_gateway()
         for _ in range(CONTROLLERS):
             await fleet.async_start_controller()
         await fleet.async_list_hosts()
         await fleet.async_wait_started()
-        self.say("applying the base file and the overlay")
+        self.print_progress("applying the base file and the overlay")
         await fleet.async_apply_base(BASE_FILE)
         await fleet.async_apply_overlay(OVERLAY_FILE)
         await fleet.async_wait_ready()
-        self.say("every gateway is ready")
+        self.print_progress("every gateway is ready")
 
     async def _async_wait_loaded(self, artifacts: tuple[Artifact, ...]) -> None:
-        wanted = set(map(str, artifacts))
+        expected = set(map(str, artifacts))
 
         async def async_is_loaded() -> bool:
-            truths = await self.fleet.async_get_truths(self.fleet.engines)
-            loaded = {name for truth in truths for name in truth["ready"]}
-            return wanted <= loaded
+            engine_states = await self.fleet.async_get_truths(self.fleet.engines)
+            loaded = {
+                name for engine_state in engine_states for name in engine_state["ready"]
+            }
+            return expected <= loaded
 
         await async_wait_for(
             "every model and adapter is loaded", async_is_loaded, LOADED_TIMEOUT_S
         )
-        self.say(f"every one of {len(wanted)} models and adapters is loaded")
+        self.print_progress(
+            f"every one of {len(expected)} models and adapters is loaded"
+        )
 
     async def _async_show_progress(self, traffic: Traffic) -> None:
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
-            await asyncio.sleep(PROGRESS_S)
+            await asyncio.sleep(PROGRESS_PERIOD_S)
             counts = " ".join(
                 f"{ending.value} {self.tally.count(ending)}" for ending in Ending
             )
-            self.say(f"open {traffic.open_count}, {counts}")
+            self.print_progress(f"open {traffic.open_count}, {counts}")
 
-    async def _async_fail(self) -> None:
-        """Kill a gateway and the active controller, then change the configuration."""
+    async def _async_inject_failures(self) -> None:
+        """Kill a gateway, then the active controller, then change the configuration."""
         fleet = self.fleet
-        await asyncio.sleep(self.seconds * KILL_GATEWAY_AT)
-        victim = self.rng.choice(fleet.gateways)
-        victim.kill()
-        self.say(f"killed {victim.name}")
-        await asyncio.sleep(self.seconds * (KILL_CONTROLLER_AT - KILL_GATEWAY_AT))
-        active = await fleet.async_find_active_controller()
-        active.kill()
-        self.say(f"killed the active controller, {active.name}")
-        await asyncio.sleep(self.seconds * (EDIT_AT - KILL_CONTROLLER_AT))
+        await asyncio.sleep(self.seconds * KILL_GATEWAY_SHARE)
+        killed_gateway = self.rng.choice(fleet.gateways)
+        killed_gateway.kill()
+        self.print_progress(f"killed {killed_gateway.name}")
+        await asyncio.sleep(self.seconds * (KILL_CONTROLLER_SHARE - KILL_GATEWAY_SHARE))
+        active_controller = await fleet.async_find_active_controller()
+        active_controller.kill()
+        self.print_progress(f"killed the active controller, {active_controller.name}")
+        await asyncio.sleep(
+            self.seconds * (EDIT_CONFIGURATION_SHARE - KILL_CONTROLLER_SHARE)
+        )
         await fleet.async_apply_overlay(LATER_OVERLAY_FILE)
-        self.say("a changed overlay is in force on every live host")
-        successor = await fleet.async_find_active_controller()
-        self.say(f"the active controller is {successor.name}")
+        self.print_progress("a changed overlay is in force on every live host")
+        new_active_controller = await fleet.async_find_active_controller()
+        self.print_progress(f"the active controller is {new_active_controller.name}")
 
 
 async def async_main(seconds: float, seed: int) -> int:
@@ -143,30 +151,32 @@
             try:
                 checks = await demo.async_run()
             except Exception as error:
-                demo.say(f"failed: {error!r}")
+                demo.print_progress(f"failed: {error!r}")
                 for line in launcher.list_ended():
-                    demo.say(line)
+                    demo.print_progress(line)
                 raise
-        return show(demo.tally, checks)
+        return print_results(demo.tally, checks)
 
 
-def show(tally: Tally, checks: list[Check]) -> int:
-    """Print the table and the checks; return the exit code."""
+def print_results(tally: Tally, checks: list[Check]) -> int:
+    """Print the table and the results of the checks; return the exit code."""
     print("\n" + tally.format_table())
     for line in tally.list_details():
         print(line)
     print()
     for check in checks:
-        print(f"{'FAILED' if check.faults else 'holds':<8}{check.name}")
-        for fault in check.faults[:5]:
-            print(f"        {fault}")
-    return int(any(check.faults for check in checks))
+        print(f"{'FAILED' if check.violations else 'holds':<8}{check.name}")
+        for violation in check.violations[:5]:
+            print(f"        {violation}")
+    return int(any(check.violations for check in checks))
 
 
 def main() -> None:
-    """Read the flags and run."""
+    """Parse the command line and run the demo."""
     parser = argparse.ArgumentParser(prog="script/demo", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=20.0, help="time of traffic")
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="duration of the traffic"
+    )
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     sys.exit(asyncio.run(async_main(options.seconds, options.seed)))
--- a/demo/offer.py
+++ b/demo/offer.py
@@ -1,4 +1,4 @@
-"""What the demo's files offer."""
+"""Artifacts of the demo's configuration files."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def read_artifacts(base: Path, overlay: Path) -> tuple[Artifact, ...]:
-    """Return every model version and adapter that the files offer."""
+    """Return all model versions and adapters in the configuration files."""
     configuration = load_configuration(
         base.read_text(), overlay.read_text(), ConfigVersion(1)
     )
--- a/demo/tally.py
+++ b/demo/tally.py
@@ -1,4 +1,4 @@
-"""What was sent and how it ended, and what the upstreams say really happened."""
+"""Results of the requests, and checks against the records of the upstreams."""
 
 from collections import Counter
 from statistics import quantiles
@@ -8,45 +8,59 @@
 
 from tests.stand_ins.caller import Ending, Result
 
-HEADINGS = ("kind", "sent", *(ending.value for ending in Ending), "p50 ms", "p95 ms")
-WIDTH = 10
+COLUMNS = ("kind", "sent", *(ending.value for ending in Ending), "p50 ms", "p95 ms")
+COLUMN_WIDTH = 10
 
 
 @define
 class Tally:
-    """Results by kind of work, and by id of non-idempotent calls."""
+    """Results by kind of request, and by identifier for non-idempotent calls."""
 
     results: dict[str, list[Result]] = field(factory=dict)
-    once: dict[str, Result] = field(factory=dict)
-    """Results of calls that may run once at most, by their name and body id."""
+    non_idempotent: dict[str, Result] = field(factory=dict)
+    """Results of calls that may run at most once, by call name and body identifier."""
 
     def add(self, kind: str, result: Result) -> None:
-        """Note how one request ended."""
+        """Record the result of a request."""
         self.results.setdefault(kind, []).append(result)
 
     def count(self, ending: Ending) -> int:
-        """Return how many requests ended so."""
-        every = (result for results in self.results.values() for result in results)
-        return sum(result.ending is ending for result in every)
+        """Return the number of requests with an ending."""
+        all_results = (
+            result for results in self.results.values() for result in results
+        )
+        return sum(result.ending is ending for result in all_results)
 
     def format_table(self) -> str:
-        """Return one line for each kind of work."""
-        rows = [HEADINGS, *(self._make_row(kind) for kind in self.results)]
+        """Return a table with one row for each kind of request."""
+        rows = [COLUMNS, *(self._make_row(kind) for kind in self.results)]
         return "\n".join(
-            f"{row[0]:<22}" + "".join(f"{cell!s:>{WIDTH}}" for cell in row[1:])
+            f"{row[0]:<22}" + "".join(f"{cell!s:>{COLUMN_WIDTH}}" for cell in row[1:])
             for row in rows
         )
 
     def _make_row(self, kind: str) -> tuple[object, ...]:
         results = self.results[kind]
         endings = Counter(result.ending for result in results)
-        spent = [r.seconds * 1000 for r in results if r.ending is Ending.ANSWERED]
-        cuts = quantiles(spent, n=20) if len(spent) > 1 else [0.0] * 19
+        durations_ms = [
+            answer.seconds * 1000
+            for answer in results
+            if answer.ending is Ending.ANSWERED
+        ]
+        cut_points = (
+            quantiles(durations_ms, n=20) if len(durations_ms) > 1 else [0.0] * 19
+        )
         counts = (endings[ending] for ending in Ending)
-        return (kind, len(results), *counts, round(cuts[9]), round(cuts[18]))
+        return (
+            kind,
+            len(results),
+            *counts,
+            round(cut_points[9]),
+            round(cut_points[18]),
+        )
 
     def list_details(self) -> list[str]:
-        """Return the endings other than an answer, with how often each came."""
+        """Return the most frequent results other than answers, with their counts."""
         details = Counter(
             f"{kind}: {result.ending.value}: {result.detail}"
             for kind, results in self.results.items()
@@ -58,16 +72,16 @@
 
 @define
 class Check:
-    """One thing that must hold, and what speaks against it."""
+    """A condition that must hold, and its violations."""
 
     name: str
-    faults: list[str]
+    violations: list[str]
 
 
 def check_all(
     tally: Tally, services: list[dict[str, Any]], engines: list[dict[str, Any]]
 ) -> list[Check]:
-    """Compare what callers were told with what the upstreams really did."""
+    """Compare the results of the callers with the records of the upstreams."""
     runs: Counter[str] = Counter()
     for service in services:
         runs.update(service["runs"])
@@ -75,25 +89,35 @@
     return [
         Check("nothing lost", [f"{lost} requests"] if lost else []),
         Check("nothing mixed up", [f"{wrong} answers"] if wrong else []),
-        Check("nothing doubled", _list_doubled(tally, runs)),
-        Check("answered means run", _list_not_run(tally, runs)),
-        Check("refused means not run", _list_run(tally, runs)),
+        Check("nothing doubled", _list_repeated_runs(tally, runs)),
+        Check("answered means run", _list_missing_runs(tally, runs)),
+        Check("refused means not run", _list_refused_runs(tally, runs)),
         Check("no memory over its size", _list_over_size(engines)),
     ]
 
 
-def _list_doubled(tally: Tally, runs: Counter[str]) -> list[str]:
-    return [f"{key}: {runs[key]} runs" for key in tally.once if runs[key] > 1]
+def _list_repeated_runs(tally: Tally, runs: Counter[str]) -> list[str]:
+    return [f"{key}: {runs[key]} runs" for key in tally.non_idempotent if runs[key] > 1]
 
 
-def _list_not_run(tally: Tally, runs: Counter[str]) -> list[str]:
-    answered = [k for k, r in tally.once.items() if r.ending is Ending.ANSWERED]
+def _list_missing_runs(tally: Tally, runs: Counter[str]) -> list[str]:
+    answered = [
+        call_id
+        for call_id, result in tally.non_idempotent.items()
+        if result.ending is Ending.ANSWERED
+    ]
     return [key for key in answered if runs[key] == 0]
 
 
-def _list_run(tally: Tally, runs: Counter[str]) -> list[str]:
-    refused = [k for k, r in tally.once.items() if r.ending is Ending.REFUSED]
-    return [f"{key}: {tally.once[key].detail}" for key in refused if runs[key]]
+def _list_refused_runs(tally: Tally, runs: Counter[str]) -> list[str]:
+    refused = [
+        call_id
+        for call_id, result in tally.non_idempotent.items()
+        if result.ending is Ending.REFUSED
+    ]
+    return [
+        f"{key}: {tally.non_idempotent[key].detail}" for key in refused if runs[key]
+    ]
 
 
 def _list_over_size(engines: list[dict[str, Any]]) -> list[str]:
