--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -87,14 +87,14 @@
 def encode_statement(statement: Statement) -> bytes:
     """Encode a statement for the store."""
     if isinstance(statement, ClearanceStatement):
-        return orjson.dumps(sorted(statement.clearance.lives))
+        return orjson.dumps(sorted(statement.clearance.incarnations))
     if isinstance(statement, CrashStatement):
         return orjson.dumps(_encode_charges(statement.charges))
-    lives = sorted({each.life for each in statement.charges})
+    lives = sorted({each.incarnation for each in statement.charges})
     return orjson.dumps(
         {
             life: _encode_charges(
-                each for each in statement.charges if each.life == life
+                each for each in statement.charges if each.incarnation == life
             )
             for life in lives
         }
@@ -117,7 +117,7 @@
             identity = _decode_identity(key.removeprefix(CLEARANCE_KEYS))
             lives = frozenset(str(each) for each in document)
             return ClearanceStatement(
-                clearance=Clearance(identity=identity, lives=lives)
+                clearance=Clearance(identity=identity, incarnations=lives)
             )
         if key.startswith(BLOCK_KEYS):
             charges = tuple(
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -121,7 +121,7 @@
         self, identity: RequestIdentity, lives: frozenset[str], *, send: bool
     ) -> None:
         statement = ClearanceStatement(
-            clearance=Clearance(identity=identity, lives=lives)
+            clearance=Clearance(identity=identity, incarnations=lives)
         )
         if send:
             self._send_statement(statement)
@@ -151,7 +151,7 @@
         log_event(
             log.CrashingRequestHeld(
                 identities=tuple(sorted(each.text for each in blocked)),
-                lives=tuple(sorted({each.life for each in charges})),
+                lives=tuple(sorted({each.incarnation for each in charges})),
             )
         )
         for identity, call in tuple(self._waiting.get(content, ())):
--- a/mangoway/models/crash.py
+++ b/mangoway/models/crash.py
@@ -53,7 +53,7 @@
     """Record of a request that ran at a runner when the runner crashed."""
 
     identity: RequestIdentity
-    life: str
+    incarnation: str
     """The runner incarnation that crashed, as text."""
 
     stage: RunStage = RunStage.NOTHING_SENT
@@ -68,5 +68,5 @@
     """Record of a request that succeeded, and so did not cause these crashes."""
 
     identity: RequestIdentity
-    lives: frozenset[str]
+    incarnations: frozenset[str]
     """Runner incarnations whose crashes the request did not cause, as text."""
--- a/mangoway/policy/crashes/tracker.py
+++ b/mangoway/policy/crashes/tracker.py
@@ -71,10 +71,10 @@
         """Add (`amount` 1) or remove (-1) a charge against a variant."""
         self.served_statements += amount * charge.variant_only
         crashes = self.charges.setdefault(charge.identity.variant, {})
-        evidence = crashes.setdefault(charge.life, CrashEvidence())
+        evidence = crashes.setdefault(charge.incarnation, CrashEvidence())
         evidence.add(charge.stage, amount)
         if not evidence.stages:
-            del crashes[charge.life]
+            del crashes[charge.incarnation]
         if not crashes:
             del self.charges[charge.identity.variant]
 
@@ -170,7 +170,9 @@
             self.withdraw(next(iter(self._clearances)))
         identity = clearance.identity
         record = self._records.setdefault(identity.content, ContentRecord())
-        record.cleared.setdefault(identity.variant, set()).update(clearance.lives)
+        record.cleared.setdefault(identity.variant, set()).update(
+            clearance.incarnations
+        )
         self._update_blocked(identity.content)
 
     def withdraw(self, key: str) -> None:
@@ -267,7 +269,7 @@
         identity = clearance.identity
         record = self._records[identity.content]
         remaining = [
-            each.lives
+            each.incarnations
             for each in self._clearances.values()
             if each.identity == identity
         ]
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -42,7 +42,7 @@
 
 
 def make_clearance(*lives: str) -> ClearanceStatement:
-    clearance = Clearance(identity=CULPRIT, lives=frozenset(lives))
+    clearance = Clearance(identity=CULPRIT, incarnations=frozenset(lives))
     return ClearanceStatement(clearance=clearance)
 
 
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -123,7 +123,7 @@
         harness.crash_filter.record_success(OTHER)
         [sent] = harness.list_sent(ClearanceStatement)
         assert isinstance(sent, ClearanceStatement)
-        assert sent.clearance.lives == {"l1@0", "l2@0"}
+        assert sent.clearance.incarnations == {"l1@0", "l2@0"}
 
     def test_recent_success_clears_charges_of_other_edges(self) -> None:
         """Other edges have charged a request that this edge has served meanwhile."""
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -31,7 +31,7 @@
 def add_clearance_of(
     tracker: CrashTracker, identity: RequestIdentity, *incarnations: str
 ) -> None:
-    clearance = Clearance(identity=identity, lives=frozenset(incarnations))
+    clearance = Clearance(identity=identity, incarnations=frozenset(incarnations))
     tracker.add_clearance(f"cleared/{identity.text}", clearance)
 
 
