--- a/mangoway/models/signals.py
+++ b/mangoway/models/signals.py
@@ -28,7 +28,7 @@
     """Whether the runner is about to end and accepts no new requests."""
 
     rest_s: float = 0.0
-    """Cooldown: time for which the runner wants no more requests of this host; 0 if the
+    """Cooldown: time for which this host must not send requests to the runner; 0 if the
     next request may be sent at once."""
 
     dropped: tuple[DroppedField, ...] = ()
--- a/tests/platform/test_signals.py
+++ b/tests/platform/test_signals.py
@@ -74,7 +74,7 @@
 
 
 class TestCooldown:
-    """The time for which a runner wants no more requests of this host."""
+    """The time for which a runner accepts no more requests of this host."""
 
     @pytest.mark.parametrize(
         ("value", "rest_s"),
