--- a/mangoway/callers/completions.py
+++ b/mangoway/callers/completions.py
@@ -14,7 +14,7 @@
 )
 """Fields of the engine protocol that callers must not set."""
 
-SINGLE_ANSWER: Final = {"n": 1, "best_of": 1, "echo": False, "logprobs": None}
+SINGLE_VALUE_FIELDS: Final = {"n": 1, "best_of": 1, "echo": False, "logprobs": None}
 """Fields of the public API for which only one value is supported."""
 
 
@@ -39,7 +39,7 @@
     Raises:
         MangowayError: MALFORMED_REQUEST with the name of the invalid field.
     """
-    for name, supported in SINGLE_ANSWER.items():
+    for name, supported in SINGLE_VALUE_FIELDS.items():
         if fields.get(name, supported) not in (supported, None):
             raise make_malformed_error(f"{name}: only {supported!r} is supported")
     reserved = ENGINE_FIELDS.intersection(fields)
@@ -50,7 +50,7 @@
     parameters = {
         name: value
         for name, value in fields.items()
-        if name not in OWN_FIELDS and name not in SINGLE_ANSWER
+        if name not in OWN_FIELDS and name not in SINGLE_VALUE_FIELDS
     }
     return CompletionBody(
         model=_read_text(fields, "model"),
--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -13,7 +13,7 @@
 from .const import (
     CONNECT_TIMEOUT_S,
     DEFAULT_KEEP_ALIVE_S,
-    IDLE_LIMIT_RECOVERY,
+    IDLE_LIMIT_RECOVERY_PER_S,
     IDLE_SHARE_AFTER_BREAK,
     KEEP_ALIVE_MARGIN_S,
     MAX_RESPONSE_HEADER_BYTES,
@@ -261,7 +261,7 @@
 
     def compute_s(self, now: float) -> float:
         """Return the current limit in seconds."""
-        recovered_s = IDLE_LIMIT_RECOVERY * max(0.0, now - self._last_break_at)
+        recovered_s = IDLE_LIMIT_RECOVERY_PER_S * max(0.0, now - self._last_break_at)
         return min(MAX_REUSE_IDLE_S, self._limit_s + recovered_s)
 
     def record_break(self, idle_s: float, now: float) -> None:
--- a/mangoway/http1/const.py
+++ b/mangoway/http1/const.py
@@ -34,5 +34,5 @@
 IDLE_SHARE_AFTER_BREAK: Final = 0.5
 """Share of the idle time of a broken connection that becomes the new limit."""
 
-IDLE_LIMIT_RECOVERY: Final = 0.02
+IDLE_LIMIT_RECOVERY_PER_S: Final = 0.02
 """Seconds by which the idle limit rises for each second without another break."""
--- a/mangoway/key_value/endpoints.py
+++ b/mangoway/key_value/endpoints.py
@@ -89,10 +89,10 @@
     """
 
     def __init__(
-        self, addresses: tuple[str, ...], timeout_s: float, source: random.Random
+        self, addresses: tuple[str, ...], timeout_s: float, random_source: random.Random
     ) -> None:
         # Each client starts at a random endpoint, so that the load is distributed.
-        self._addresses = tuple(source.sample(addresses, len(addresses)))
+        self._addresses = tuple(random_source.sample(addresses, len(addresses)))
         self._timeout_s = timeout_s
         self._next = 0
         self._connection: Connection | None = None
--- a/mangoway/key_value/etcd_client.py
+++ b/mangoway/key_value/etcd_client.py
@@ -35,15 +35,15 @@
         self,
         settings: KeyValueSettings,
         metrics: Metrics,
-        source: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
-        self.source = source or random.SystemRandom()
+        self.random_source = random_source or random.SystemRandom()
         self.metrics = metrics
         self.revision = 0
         """Newest revision of the service in any response."""
 
         self.endpoints = Endpoints(
-            settings.key_value, settings.key_value_timeout_s, self.source
+            settings.key_value, settings.key_value_timeout_s, self.random_source
         )
         now = asyncio.get_running_loop().time()
         self.budget = CallBudget(settings.key_value_calls_per_second, now)
@@ -84,7 +84,7 @@
             MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET. If the lease was
                 granted nevertheless, it has no key and expires.
         """
-        lease = self.source.getrandbits(LEASE_ID_BITS) + 1
+        lease = self.random_source.getrandbits(LEASE_ID_BITS) + 1
         request = rpc_pb2.LeaseGrantRequest(TTL=ttl_s, ID=lease)
 
         async def send(channel: Channel) -> rpc_pb2.LeaseGrantResponse:
@@ -153,7 +153,7 @@
     async def async_back_off(self, failures: int) -> None:
         """Wait for the backoff delay after a number of consecutive failures."""
         if failures:
-            await asyncio.sleep(pick_backoff_s(failures, self.source))
+            await asyncio.sleep(pick_backoff_s(failures, self.random_source))
 
     def update_revision(self, reply: Any) -> None:
         """Update the newest revision from the header of a response."""
--- a/mangoway/key_value/etcd_write.py
+++ b/mangoway/key_value/etcd_write.py
@@ -67,7 +67,7 @@
 
     def __init__(self, client: EtcdClient) -> None:
         self._client = client
-        self._expiry = ExpiryLeases(client)
+        self._expiry_leases = ExpiryLeases(client)
 
     async def async_commit(
         self, puts: tuple[Put, ...], rank: CallRank, lease: int = 0
@@ -77,7 +77,7 @@
         Raises:
             MangowayError: See `KeyValueStore`.
         """
-        nonce = self._client.source.randbytes(NONCE_BYTES)
+        nonce = self._client.random_source.randbytes(NONCE_BYTES)
         verdict = Verdict.NOT_RUN
         for failures in range(WRITE_ATTEMPTS):
             await self._client.async_back_off(failures)
@@ -103,7 +103,9 @@
     ) -> tuple[int, ...]:
         return tuple(
             [
-                await self._expiry.async_find(put.ttl_s, rank) if put.ttl_s else lease
+                await self._expiry_leases.async_find(put.ttl_s, rank)
+                if put.ttl_s
+                else lease
                 for put in puts
             ]
         )
@@ -119,7 +121,7 @@
             return await self._client.async_call_once("txn", rank, send)
         except CallFailed as error:
             if error.status is Status.NOT_FOUND:
-                self._expiry.clear()
+                self._expiry_leases.clear()
             raise
 
     async def _async_settle(
