--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -16,8 +16,8 @@
 
 UNCHARGED_S: Final = 2.0
 UNCHARGED_REQUESTS: Final = 4.0
-"""Recent requests that are not charged: those of so many seconds at the limit, and so
-many requests on top. If all were charged, the runner would be idle while the excess is
+"""Recent requests that are not charged: as many as the limit allows in these seconds,
+plus a fixed number. If all were charged, the runner would be idle until the excess is
 paid off."""
 
 DISCONNECTED_SHARE: Final = 0.3
@@ -45,4 +45,4 @@
 it: the other edges still use its models."""
 
 MAX_LIMIT_RETRY_AFTER_S: Final = 4.0
-"""Longest retry-after time that is computed from a limit, as for other rejections."""
+"""Longest retry-after time that is computed from a limit, as for other refusals."""
--- a/mangoway/policy/limits/tracker.py
+++ b/mangoway/policy/limits/tracker.py
@@ -43,7 +43,7 @@
 
     recent_requests: int = 0
     """Requests that the reporting edge sent to the runner within `RECENT_REQUESTS_S`
-    before."""
+    before the report."""
 
 
 @define(eq=False)
@@ -66,7 +66,7 @@
     """Requests that edges sent shortly before they received the limit."""
 
     reserved_until: float = -math.inf
-    """End of the last retry slot that was given to a rejected caller."""
+    """Earliest retry time that the next refused caller may be given."""
 
     missing_since: float | None = None
     """Since when the runner has had no entry; None while it has one."""
@@ -141,10 +141,10 @@
             record.rate_limiter.consume(self._get_rate(runner_id, record), now)
 
     def reserve_retry_after(self, runner_id: str, started_ms: int, now: float) -> float:
-        """Return the seconds after which a rejected caller may retry.
+        """Return the seconds after which a refused caller may retry.
 
         Each caller gets a retry time of its own: of several callers with the same
-        retry time, all but one would be rejected again.
+        retry time, all but one would be refused again.
         """
         record = self._find(runner_id, started_ms)
         if record is None:
@@ -157,7 +157,7 @@
         return retry_at - now
 
     def find_removal(self, report: LimitReport, now: float) -> LimitReport | None:
-        """Return the removal of a limit that a sender still reports, or None."""
+        """Return the removal of the limit in a report; None if it is not outdated."""
         record = self._records.get(report.runner_id)
         if record is None or record.limit is not None or report.limit is None:
             return None
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -23,9 +23,15 @@
 EDGES: Final = 6
 WINDOW_S: Final = 4.0
 SETTLING_S: Final = 3.0
+"""Time for which a newly limited runner is not checked."""
+
 REPORT_DELAY_S: Final = 0.5
+"""Time after its first response with the limit from which an edge's requests count."""
+
 FACTOR: Final = 1.5
 SLACK: Final = 5
+"""Factor and number of requests by which a window may exceed the limit."""
+
 STEP_S: Final = 0.02
 RESPONSE_TIME_S: Final = 0.005
 """Time from sending a request to its response."""
