--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -37,7 +37,7 @@
 
 MAX_CLEARANCES: Final = 1024
 """Stored clearances: a quarter of the charges, since a clearance is only sent to other
-processes for a request with two crashes."""
+processes for a request with at least two crashes."""
 
 MAX_BLOCKED: Final = 256
 """Blocked requests at a time; the oldest are dropped first. One such request per day is
