--- a/mangoway/policy/customers/const.py
+++ b/mangoway/policy/customers/const.py
@@ -12,19 +12,19 @@
 SLACK_SHARE: Final = 0.25
 """Share of the fleet's slack that is granted on top of a burst. Requests reach the
 scheduler in another order and slightly later than callers send them, and a customer at
-its quota must not be rejected for that. The rest is for hosts without a scheduler."""
+its quota must not be refused for that. The rest is for hosts without a scheduler."""
 
 OVERDRAFT_S: Final = 1.5
 """Time after the loss of its scheduler during which a host allows an overdraft to
-customers that had quota left: their equal share on one host is less than one request.
-The overdraft is reported to the next scheduler as debt. Six times a customer's usual
-rate, for this time and after usual spending, stays within the overshoot that is allowed
-in a window."""
+customers that had quota left, since their equal share on one host is less than one
+request. The overdraft is reported to the next scheduler as debt. Spending at six times
+a customer's usual rate for this time, after usual spending, stays within the overshoot
+that is allowed in a window."""
 
 SCHEDULER_STARTUP_S: Final = 0.75
 """Time after its start during which a scheduler grants whole quotas, as if all hosts
-were connected: they connect one after the other. A scheduler that is still active
-elsewhere adds less than one burst."""
+were connected, since they connect one after the other. The previous scheduler, if it is
+still active, adds less than one burst."""
 
 OVER_QUOTA: Final = "the customer's quota is spent"
-"""Reason of the rejection of a request whose customer is over quota."""
+"""Reason of the refusal of a request whose customer is over quota."""
