--- a/mangoway/policy/scheduling/adapters.py
+++ b/mangoway/policy/scheduling/adapters.py
@@ -24,7 +24,7 @@
 def plan_runner(
     state: SchedulingState, runner: RunnerState, now: float
 ) -> list[SendOrder]:
-    """Return an order for an adapter that requests wait for at a runner."""
+    """Return an order for an adapter that requests wait for, of a model on a runner."""
     if not can_order(runner, now):
         return []
     service = runner.entry.service
--- a/mangoway/policy/scheduling/const.py
+++ b/mangoway/policy/scheduling/const.py
@@ -40,7 +40,7 @@
 
 STALL_WINDOW_S: Final = 0.3
 """Window over which the prefill times of a runner's prompts add up to one stall of its
-streams: a common longest pause between events that still meets the objective."""
+streams: the longest pause between events that a common objective allows."""
 
 STALL_LIMIT_S: Final = 0.2
 """Prefill time within that window above which the streams beside it are late. The rest
@@ -63,9 +63,9 @@
 
 LOAD_MARGIN_FACTOR: Final = 1.08
 LOAD_MARGIN_S: Final = 0.06
-"""Factor and time by which a load takes longer than announced, counted from the
-response to its order. A request that arrives before the model is ready is refused and
-retried."""
+"""Factor and time by which a load is assumed to take longer than the model's profile
+states, counted from the response to its order. A request that arrives before the model
+is ready is refused and retried."""
 
 ADAPTER_LOAD_S: Final = 0.015
 """Time from the response to an adapter's order until the adapter can be used: 5 to 10
@@ -116,8 +116,8 @@
 moves from one model to another."""
 
 MIN_RESIDENCE_S: Final = 2.0
-"""Minimum time for which a loaded model stays, a little longer than the most expensive
-common load."""
+"""Minimum time for which a loaded model stays, a little longer than the slowest common
+load."""
 
 UNLOAD_S: Final = 0.05
 """Time from the response to an unload until the next order; a busy runner refuses
@@ -172,13 +172,13 @@
 replaces, so that two models with equal demand do not replace each other repeatedly."""
 
 MIN_PRELOAD_REQUESTS: Final = 1.0
-"""Requests that would wait during a load from which a model without a copy is loaded
-before a request waits. With a lower value, a chance pair of requests makes rare models
-replace each other."""
+"""Number of requests expected during a load from which a model without a copy is loaded
+before a request waits for it. With a lower value, a chance pair of requests makes rare
+models replace each other."""
 
 MAX_NEEDS_PER_PLAN: Final = 16
-"""Models with too few copies for which one plan selects a runner, in order of loss. The
-others follow in the next plan, some hundredths of a second later."""
+"""Models with too few copies for which one plan selects a runner, most urgent first.
+The others follow in the next plan, some hundredths of a second later."""
 
 MAX_FILLS_PER_PLAN: Final = 8
 """Runners with free memory that one plan fills. After many restart at once, a single
--- a/mangoway/policy/scheduling/copies.py
+++ b/mangoway/policy/scheduling/copies.py
@@ -14,7 +14,7 @@
 
 @define(eq=False)
 class ModelLocations:
-    """Ids of the runners that have each model, in the order of arrival."""
+    """Ids of the runners that have each model, in the order in which they got it."""
 
     _runners: dict[str, dict[str, None]] = field(factory=dict, init=False)
 
--- a/mangoway/policy/scheduling/copy_valuation.py
+++ b/mangoway/policy/scheduling/copy_valuation.py
@@ -135,7 +135,7 @@
         return known
 
     def estimate_loss(self, name: str) -> float:
-        """Return the requests per second that are late or lost without one copy."""
+        """Return the requests per second that are late or lost with one copy less."""
         copies = self.count_copies(name)
         if copies > 1:
             lost = self.estimate_served(name, copies) - self.estimate_served(
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -53,12 +53,13 @@
 
 MIN_PLAN_INTERVAL_S: Final = 0.02
 """Minimum time between two plans of a service's models. A plan evaluates each runner
-and each model that lacks copies; with 30 runners, a plan at each event used the whole
-core of a small host."""
+and each model that lacks copies; with 30 runners, a plan at each event used a whole
+CPU core of a small host."""
 
 PLAN_INTERVAL_S_PER_RUNNER: Final = 0.0004
-"""Time between two plans for each runner. A plan takes some 12 microseconds per runner,
-so that plans use a few hundredths of a core with any number of runners."""
+"""Minimum time between two plans, per runner of the service. A plan takes some 12
+microseconds per runner, so that plans use a few hundredths of a CPU core with any
+number of runners."""
 
 Handler = Callable[["SchedulingCore", Any, float], list[Action]]
 _handlers: dict[type, Handler] = {}
@@ -81,7 +82,7 @@
     state: SchedulingState
     on_health_change: Callable[[str, int], None] = lambda runner_id, failures: None
     """Called with a runner and its number of failures when it becomes avoided, and with
-    0 when it is trusted again."""
+    0 when it is no longer avoided."""
 
     _planned_at: dict[str, float] = field(factory=dict, init=False)
     """Time of the last plan of each service's models."""
--- a/mangoway/policy/scheduling/forecast.py
+++ b/mangoway/policy/scheduling/forecast.py
@@ -71,7 +71,7 @@
                 reason = "it would start after its caller has left"
                 refusals.append(self._refuse(waiting, starts_at, reason))
                 if runner_id and self._is_limited(runner_id):
-                    # The refused callers return one after the other.
+                    # The refused callers return one after the other, at the rate limit.
                     self._reserve(waiting.grant_request, runner_id, starts_at)
             elif runner_id:
                 self._reserve(waiting.grant_request, runner_id, starts_at)
@@ -103,7 +103,11 @@
     def _estimate_restricted_start(
         self, grant_request: GrantRequest
     ) -> tuple[float, str] | None:
-        """Return the same for a request that may not be sent to all runners."""
+        """Return when and where a request that may not use all runners would start.
+
+        The runner is empty if a model load has to end first. None if no usable runner
+        is allowed.
+        """
         if not any(allows(grant_request, each) for each in self._runners):
             return None
         times = [
--- a/mangoway/policy/scheduling/load_candidates.py
+++ b/mangoway/policy/scheduling/load_candidates.py
@@ -26,7 +26,8 @@
     """Time until an order can be sent to it."""
 
     cost_s: float
-    """Time until the model is ready, plus the loss of the victims in the same unit."""
+    """Time until the model is ready, for each waiting request, plus the loss of the
+    victims and the cost of the runner's other demand in the same unit."""
 
 
 @frozen
--- a/mangoway/policy/scheduling/loads.py
+++ b/mangoway/policy/scheduling/loads.py
@@ -54,7 +54,8 @@
         return wait_s + estimate_load_s(runner, target_model)
     if runner.open_order is not None:
         return None
-    # While a load is in progress, reports don't show the future models.
+    # The state becomes known from a later report: during a load, reports don't list the
+    # model being loaded.
     known_s = 0.0 if runner.is_state_known else MAX_REPORT_LAG_S
     return max(known_s, runner.changing_until - now)
 
@@ -86,12 +87,14 @@
         waits = self._get_waits(engine)
         copies = self.state.get_copies(self.service)
         times = [profile.load_s + min(waits.values(), default=0.0)]
-        for places, load_s in (
+        for locations, load_s in (
             (copies.on_disk, profile.disk_load_s),
             (copies.in_host_memory, profile.memory_load_s),
         ):
-            near = [waits[each] for each in places.get(model) if each in waits]
-            times += [load_s + wait_s for wait_s in near]
+            local_waits = [
+                waits[each] for each in locations.get(model) if each in waits
+            ]
+            times += [load_s + wait_s for wait_s in local_waits]
         return min(times)
 
     def _get_waits(self, engine: EngineProfile) -> dict[str, float]:
--- a/mangoway/policy/scheduling/placement.py
+++ b/mangoway/policy/scheduling/placement.py
@@ -33,7 +33,7 @@
 
     model: str
     waiting: int
-    """Requests that wait for it if no runner holds it."""
+    """Requests that wait for it; 0 if it has a copy."""
 
     gain: float
     """Further requests per second that are served in time with one more copy."""
@@ -83,11 +83,11 @@
             orders += self._fill_free_memory()
         return orders
 
-    def describe_models(self, most: int) -> list[str]:
+    def describe_models(self, max_models: int) -> list[str]:
         """Return a line for each of the models with most prefill load."""
         valuation = self._valuation
         work = {name: valuation.get_prefill_load(name) for name in self.engine.models}
-        names = sorted(work, key=lambda name: -work[name])[:most]
+        names = sorted(work, key=lambda name: -work[name])[:max_models]
         return [
             f"{name}: {valuation.count_copies(name)}/"
             f"{valuation.count_desired_copies(name)}, "
--- a/mangoway/policy/scheduling/prefill_backlog.py
+++ b/mangoway/policy/scheduling/prefill_backlog.py
@@ -12,15 +12,16 @@
 from .requests import RunningRequest
 
 GRANT_DELAY_S: Final = 0.004
-"""Time from a grant until the prompt reaches the runner: two network hops between data
-centres and the processing of the edge."""
+"""Time from a grant until the prompt reaches the runner: two one-way trips between
+data centres and the processing of the edge."""
 
 OVERDUE_SHARE: Final = 0.3
 """Share of the expected time by which a first event may be late before the runner
 counts as slower than estimated."""
 
 MAX_CORRECTION_S: Final = 0.3
-"""Maximum by which one late first event delays the prefill of the following prompts."""
+"""Maximum by which one late first event delays the estimated prefill of the following
+prompts."""
 
 
 @define(eq=False)
--- a/mangoway/policy/scheduling/prefill_estimator.py
+++ b/mangoway/policy/scheduling/prefill_estimator.py
@@ -22,7 +22,8 @@
 OUTLIER_S: Final = 0.15
 """Factor to the estimate, and additional time, at which samples are capped. The time of
 a frozen host carries no information about prefill. Prompts that were prefilled in one
-step have their first events together, and the first of them shows the time of all."""
+step have their first events together, and the sample of the first one contains the time
+of all."""
 
 MIN_OUTLIER_SAMPLES: Final = 5.0
 """Samples of a model from which its estimate is used to cap outliers."""
@@ -70,7 +71,7 @@
 class PrefillEstimator:
     """A linear model of first-event time over tokens: one offset, one slope per model.
 
-    The offset is the time beside prefill: network delays, decoding steps, and the
+    The offset is the time that is not prefill: network delays, decoding steps, and the
     engine's overhead for each first event. Streams and other prompts are processed
     during it, so that it delays an answer but does not occupy a runner. All models of a
     service share the offset; it is fitted together with the slopes by least squares.
--- a/mangoway/policy/scheduling/queue.py
+++ b/mangoway/policy/scheduling/queue.py
@@ -1,9 +1,9 @@
 """Queues of the waiting requests.
 
 When a burst exceeds the prefill capacity, requests that can still be on time are served
-before those that are late already, since a late answer earns a third. Within each
-group, requests are ordered by the rank of the customer, then of the route, then by the
-earliest time limit.
+before those that are late already, since a late answer has a third of the value. Within
+each group, requests are ordered by the rank of the customer, then of the route, then by
+the earliest time limit.
 
 The cost of an event must not grow with the number of waiting requests. They are
 therefore kept sorted, by model and adapter, and a request that becomes late is moved at
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -25,10 +25,11 @@
 
 MAX_REPORT_LAG_S: Final = 0.3
 """Maximum age of a report's content. Engines specify a lag of some hundred
-milliseconds; it is 0.2 s at both sites."""
+milliseconds; in practice it is 0.2 s."""
 
 REPORT_OVERRIDE_S: Final = 1.0
-"""Time after the last order from which a report overrides the recorded state."""
+"""Time after the last order from which a report is applied even if its order count is
+lower than the recorded one."""
 
 
 @define
@@ -133,7 +134,10 @@
         return self.in_host_memory | self.on_disk | self.models.keys() | target_model
 
     def update_entry(self, entry: RunnerEntry, now: float) -> None:
-        """Update the entry; its models are used only until a report arrives."""
+        """Update the entry.
+
+        Its models are used only until a report arrives, which shows more.
+        """
         known_ms = self.entry.started_ms
         self.entry = entry
         if not entry.started_ms and known_ms:
--- a/mangoway/policy/scheduling/state.py
+++ b/mangoway/policy/scheduling/state.py
@@ -54,7 +54,10 @@
     """Runners that fetch a rare model, with the expected end."""
 
     def start(self, now: float) -> None:
-        """Start sending orders now, possibly after another process did."""
+        """Record that this process sends orders from now on.
+
+        Another process may have sent some before.
+        """
         self._first_until = now + STORE_WINDOW_S
 
     def record_load(self, now: float, ends_at: float) -> None:
@@ -91,7 +94,7 @@
 
     random: Random
     limit_scale: float = 1.0
-    """Share of each runner's limits that this process may use; 1 if it sees all
+    """Share of each runner's limits that this process may use; 1 if it grants for all
     edges."""
 
     table: RoutingTable | None = None
@@ -256,7 +259,7 @@
         self.limits.keep_only(present, now)
         self.cooldowns.keep_only(present)
         for entry in entries:
-            # Entries of other runners change many times per second.
+            # Unchanged entries are skipped: the list changes many times per second.
             if self._entries.get(entry.runner_id) is not entry:
                 self._update_entry(entry, now)
                 self._entries[entry.runner_id] = entry
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -28,7 +28,7 @@
 least popular of the popular ones."""
 
 POPULAR_COPY_SHARE = 0.5
-"""Share of all model slots with copies of the popular models at the start."""
+"""Share of the room for models that copies of the popular ones take at the start."""
 
 LOAD_S = 4.0
 DISK_S = 0.8
@@ -51,8 +51,8 @@
     objective_s: float
     patience_s: float
     route_priority: int
-    worth: float
-    late_worth: float
+    value: float
+    late_value: float
 
 
 CHAT = RequestKind(
@@ -63,8 +63,8 @@
     objective_s=0.5,
     patience_s=2.4,
     route_priority=1,
-    worth=1.9,
-    late_worth=0.58,
+    value=1.9,
+    late_value=0.58,
 )
 PATIENT = evolve(
     CHAT,
@@ -73,8 +73,8 @@
     objective_s=4.0,
     patience_s=16.0,
     route_priority=2,
-    worth=0.97,
-    late_worth=0.29,
+    value=0.97,
+    late_value=0.29,
 )
 SUMMARY = RequestKind(
     name="summary",
@@ -84,8 +84,8 @@
     objective_s=0.6,
     patience_s=2.4,
     route_priority=0,
-    worth=1.8,
-    late_worth=0.54,
+    value=1.8,
+    late_value=0.54,
 )
 KINDS = (CHAT, PATIENT, SUMMARY)
 
@@ -233,16 +233,16 @@
     chosen: Callable[[GrantRequest, RequestKind], bool],
 ) -> float:
     """Return the value of some answers, as a share of all of them on time."""
-    earned = owed = 0.0
+    achieved = possible = 0.0
     for request_id, kind in kinds.items():
         outcome = world.outcomes[request_id]
         if not chosen(outcome.grant_request, kind):
             continue
-        owed += kind.worth
+        possible += kind.value
         gap_s = world.gaps.get(request_id)
         if outcome.first_at is None or gap_s is None:
             continue
         on_time = outcome.first_at - outcome.requested_at <= kind.objective_s
         on_time = on_time and gap_s <= world.drawn.gap_objective_s
-        earned += kind.worth if on_time else kind.late_worth
-    return earned / owed
+        achieved += kind.value if on_time else kind.late_value
+    return achieved / possible
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -1,4 +1,4 @@
-"""Tests that handling an event finds all that a check of the whole state would."""
+"""Tests that no grant is missed that a check of the whole state would find."""
 
 from random import Random
 
--- a/tests/policy/scheduling/test_restart.py
+++ b/tests/policy/scheduling/test_restart.py
@@ -23,7 +23,7 @@
 
 
 def make_core() -> tuple[World, SchedulingCore]:
-    """Return a core that knows one incarnation of a runner that holds `a`."""
+    """Return a core with one incarnation of a runner that holds `a`."""
     world = World(models=["a", "b"], runner_models=[])
     update_entry(world, FIRST_START_MS, ("a",))
     receive_report(world, FIRST_START_MS, ("a",), order_count=5, at=1.0)
--- a/tests/policy/scheduling/test_work.py
+++ b/tests/policy/scheduling/test_work.py
@@ -22,12 +22,12 @@
 LOW_UTILIZATION = 0.25
 OVERLOAD_UTILIZATION = 1.1
 WARM_UP_S = 0.8
-PLAY_S = 0.2
+SIMULATION_S = 0.2
 
 
-def count_calls(size: Size, use: float) -> float:
+def count_calls(size: Size, utilization: float) -> float:
     """Return the number of calls per request."""
-    fleet = Fleet(size, use)
+    fleet = Fleet(size, utilization)
     calls = 0
 
     def count(frame: FrameType, event: str, argument: Any) -> None:
@@ -37,7 +37,7 @@
 
     sys.setprofile(count)
     try:
-        spent = fleet.simulate(PLAY_S, warm_up_s=WARM_UP_S)
+        spent = fleet.simulate(SIMULATION_S, warm_up_s=WARM_UP_S)
     finally:
         sys.setprofile(None)
     return calls / spent.total_requests
@@ -52,7 +52,7 @@
     """
 
     @pytest.mark.parametrize(
-        ("size", "use", "most"),
+        ("size", "utilization", "max_calls"),
         [
             (SMALL, LOW_UTILIZATION, 420),
             (SMALL, OVERLOAD_UTILIZATION, 460),
@@ -63,6 +63,6 @@
         ],
     )
     def test_request_takes_bounded_work(
-        self, size: Size, use: float, most: float
+        self, size: Size, utilization: float, max_calls: float
     ) -> None:
-        assert count_calls(size, use) <= most
+        assert count_calls(size, utilization) <= max_calls
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -222,7 +222,7 @@
         self.send_event(FleetUpdated(table=self.table, runners=tuple(entries)))
 
     def replace_core(self) -> None:
-        """Start a new scheduler, which knows only the reports of the runners."""
+        """Start a new scheduler, whose only earlier state are the runners' reports."""
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
         self.update_fleet()
