--- a/mangoway/policy/dispatch/admission.py
+++ b/mangoway/policy/dispatch/admission.py
@@ -122,7 +122,10 @@
         return round(bounded * (1.0 + RETRY_AFTER_JITTER * self.rng.random()), 2)
 
     def measure_drain_rate(self, queue: TargetQueue, now: float) -> float | None:
-        """Return the measured starts per second; None if the backlog is new."""
+        """Return the measured starts per second.
+
+        None if the backlog is new or no start was measured.
+        """
         measured = self.estimates.get(queue.target).starts.get(now)
         if now - queue.backlog_since < BACKLOG_SETTLING_S or measured <= 0.0:
             return None
--- a/mangoway/policy/dispatch/arrivals.py
+++ b/mangoway/policy/dispatch/arrivals.py
@@ -168,7 +168,8 @@
             self.scheduler.submit(entry)
             return
         self.requests.refuse(entry, self._make_claim_failure(event.outcome))
-        # The claim in the key-value service is authoritative; drop the local record.
+        # The claim in the key-value service is authoritative, so the record here would
+        # only take room.
         if not tracked.claiming:
             self.keys.drop(tracked)
 
--- a/mangoway/policy/dispatch/attempts.py
+++ b/mangoway/policy/dispatch/attempts.py
@@ -94,7 +94,10 @@
         return self.context.fleet.remove_attempt(attempt)
 
     def pop_expired(self) -> list[Attempt]:
-        """Return the cancelled attempts whose end was not reported in time, once."""
+        """Return the cancelled attempts whose end was not reported in time.
+
+        Each attempt is returned only once.
+        """
         ids = self._expired
         self._expired = []
         return [self._attempts[item] for item in ids if item in self._attempts]
--- a/mangoway/policy/dispatch/breakers.py
+++ b/mangoway/policy/dispatch/breakers.py
@@ -20,8 +20,8 @@
 class Breaker:
     """The circuit breaker of one upstream.
 
-    It trips after consecutive failures. When a probe fails, the breaker stays open
-    for twice as long as before.
+    It trips after consecutive failures. When a probe fails, the breaker opens again
+    for twice as long as before, up to `BREAKER_OPEN_MAX_S`.
     """
 
     state: BreakerState = BreakerState.CLOSED
--- a/mangoway/policy/dispatch/const.py
+++ b/mangoway/policy/dispatch/const.py
@@ -7,7 +7,9 @@
 
 # Queues.
 QUEUE_MAX_PER_TARGET: Final = 2_000
+"""Maximum number of waiting requests of one target."""
 QUEUE_MAX_TOTAL: Final = 20_000
+"""Maximum number of waiting requests of all targets."""
 RESERVED_STARTS_PER_URGENT: Final = 0.25
 """Reserved starts of critical patient requests per urgent start, at equal weights."""
 RESERVE_MAX_CREDIT: Final = 4.0
@@ -15,7 +17,8 @@
 CRITICAL_MIN_SLACK_S: Final = 20.0
 """Patient requests with less slack than this are critical."""
 CRITICAL_SLACK_SHARE: Final = 0.3
-"""Patient requests with less slack than this share of their total time are critical."""
+"""Patient requests with less slack than this share of the time from arrival to
+deadline are critical as well."""
 PATIENT_LOAD_MAX: Final = 0.6
 """Load share of an upstream below which patient requests with slack are started.
 
@@ -43,9 +46,14 @@
 BACKLOG_SETTLING_S: Final = 4.0
 """Minimum age of a backlog for its measured drain rate to be used."""
 MIN_DURATION_SHARE: Final = 0.7
-"""Share of the mean duration that is used as a request's minimum duration."""
+"""Share of the mean duration that is used as a request's minimum duration.
+
+Waiting requests are refused early only if this share of their estimated wait makes
+them miss the deadline."""
 LOAD_ESTIMATE_S: Final = 20.0
+"""Assumed duration of a model load before the first one was observed."""
 LOAD_ESTIMATE_WEIGHT: Final = 0.3
+"""Weight of a new load in the average duration of loads."""
 LOAD_REACTION_S: Final = 3.0
 """Expected delay before a load begins, if no engine loads the artifact yet."""
 
@@ -53,6 +61,7 @@
 RETRY_AFTER_MIN_S: Final = 0.5
 RETRY_AFTER_MAX_S: Final = 120.0
 RETRY_AFTER_JITTER: Final = 0.25
+"""Largest share by which `Retry-After` is extended at random."""
 RETRY_AFTER_NO_UPSTREAM_S: Final = 5.0
 
 # Choice.
@@ -64,6 +73,7 @@
 PREFIX_MAX_BLOCKS: Final = 32
 """Leading blocks of a prompt that are indexed and looked up."""
 PREFIX_MAX_PER_UPSTREAM: Final = 20_000
+"""Maximum number of blocks indexed for one upstream."""
 PREFIX_MAX_TOTAL: Final = 40_000
 """Blocks indexed for all upstreams together, divided evenly among them."""
 REPORT_STALE_S: Final = 10.0
@@ -77,12 +87,18 @@
 
 # Windows.
 SERVICE_MAX_RUNNING: Final = 128
+"""Requests that an upstream without a description is assumed to run at once.
+
+Hosts of plain services send no description."""
 WINDOW_DECREASE: Final = 0.7
+"""Factor on the scale of a window after a refusal as busy."""
 WINDOW_INCREASE: Final = 0.02
+"""Amount added to the scale of a window after a success."""
 WINDOW_MIN_SCALE: Final = 0.05
 
 # Breakers.
 BREAKER_FAILURES: Final = 3
+"""Consecutive failures after which a breaker trips."""
 BREAKER_OPEN_MIN_S: Final = 1.0
 BREAKER_OPEN_MAX_S: Final = 30.0
 BREAKER_MAX_OPEN_SHARE: Final = 0.5
@@ -92,8 +108,11 @@
 
 # Retries.
 RETRY_RATIO: Final = 0.1
+"""Retries that the budget gains per first attempt."""
 RETRY_TOKENS_PER_SECOND: Final = 5.0
+"""Retries that the budget gains per second."""
 RETRY_MAX_TOKENS: Final = 200.0
+"""Maximum number of retries in the budget."""
 RETRY_MAX_ATTEMPTS: Final = 5
 RETRY_BACKOFF_S: Final = 0.05
 RETRY_BACKOFF_MAX_S: Final = 2.0
@@ -116,6 +135,7 @@
 KEY_CLOCK_SKEW_S: Final = 30.0
 """Largest clock difference that key issue times and hand-overs tolerate."""
 KEY_LENGTH_MAX: Final = 256
+"""Maximum number of characters of an idempotency key."""
 KEY_RETENTION_MIN_S: Final = 120.0
 """Minimum retention of records; a lower configured value is raised to it."""
 ADOPTED_KEY_MAX_AGE_S: Final = 60.0
@@ -125,6 +145,7 @@
 ADOPTED_HOMES_MAX: Final = 256
 """Maximum number of homes whose takeover by this process is recorded."""
 SUCCESSORS_MAX_HOPS: Final = 16
+"""Maximum length of a chain of successors that is followed."""
 
 # Reason codes of `Explain`.
 REASON_DISPATCHED: Final = "dispatched"
--- a/mangoway/policy/dispatch/demand.py
+++ b/mangoway/policy/dispatch/demand.py
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class DemandMeter:
-    """Counts demand; the cost of a digest grows with the artifacts requested."""
+    """Counts demand; a digest costs time in proportion to the requested artifacts."""
 
     _counts: dict[Artifact, DemandCount] = field(factory=dict)
 
--- a/mangoway/policy/dispatch/entries.py
+++ b/mangoway/policy/dispatch/entries.py
@@ -56,7 +56,7 @@
     """Whether its next retry costs no budget, since the upstream did not fail."""
 
     detached: bool = False
-    """Whether its caller hung up while it continues, since its answer is kept."""
+    """Whether it continues without its caller, since its answer is kept."""
 
     def has_slack(self, now: float) -> bool:
         """Return whether the request is patient and not critical yet."""
--- a/mangoway/policy/dispatch/fleet.py
+++ b/mangoway/policy/dispatch/fleet.py
@@ -50,8 +50,8 @@
 
     def count_ready(self, resource: Resource) -> int:
         """Return the number of upstreams that serve a resource and accept work."""
-        pool = self._ready.get(resource)
-        return 0 if pool is None else len(pool)
+        members = self._ready.get(resource)
+        return 0 if members is None else len(members)
 
     def count_loading(self, artifact: Artifact) -> int:
         """Return the number of engines that are loading an artifact."""
@@ -61,20 +61,20 @@
         self, resource: Resource, count: int, rng: Random
     ) -> list[Upstream]:
         """Return random upstreams that serve a resource."""
-        pool = self._ready.get(resource)
-        return [] if pool is None else pool.sample(count, rng)
+        members = self._ready.get(resource)
+        return [] if members is None else members.sample(count, rng)
 
     def sample_available(
         self, resource: Resource, count: int, rng: Random
     ) -> list[Upstream]:
         """Return random upstreams that serve a resource and have room."""
-        pool = self._available.get(resource)
-        return [] if pool is None else pool.sample(count, rng)
+        members = self._available.get(resource)
+        return [] if members is None else members.sample(count, rng)
 
     def is_available(self, resource: Resource, upstream: Upstream) -> bool:
         """Return whether an upstream serves a resource and has room."""
-        pool = self._available.get(resource)
-        return pool is not None and upstream in pool
+        members = self._available.get(resource)
+        return members is not None and upstream in members
 
     # Updates.
 
@@ -315,17 +315,17 @@
 
 
 def _update_set(
-    pools: dict[Resource, RandomSet[Upstream]],
+    member_sets: dict[Resource, RandomSet[Upstream]],
     resource: Resource,
     upstream: Upstream,
     member: bool,
 ) -> None:
-    pool = pools.get(resource)
+    members = member_sets.get(resource)
     if member:
-        if pool is None:
-            pool = pools[resource] = RandomSet()
-        pool.add(upstream)
-    elif pool is not None:
-        pool.discard(upstream)
-        if not pool:
-            del pools[resource]
+        if members is None:
+            members = member_sets[resource] = RandomSet()
+        members.add(upstream)
+    elif members is not None:
+        members.discard(upstream)
+        if not members:
+            del member_sets[resource]
--- a/mangoway/policy/dispatch/homes.py
+++ b/mangoway/policy/dispatch/homes.py
@@ -1,4 +1,4 @@
-"""Lookup of the gateway incarnation that is responsible for a key's home."""
+"""Lookup of the gateway incarnation that handles the keys of a home."""
 
 from attrs import define, field
 
@@ -32,7 +32,11 @@
         return self._adopted.get(home)
 
     def find_current_home(self, home: IncarnationId) -> IncarnationId | None:
-        """Return the incarnation responsible for a home, which may be a successor."""
+        """Return the incarnation that handles the keys of a home.
+
+        It is the home itself or the last of its successors; None if none of them is
+        live.
+        """
         current = home
         for _ in range(SUCCESSORS_MAX_HOPS):
             if current == self.identity or current in self._live:
--- a/mangoway/policy/dispatch/limits.py
+++ b/mangoway/policy/dispatch/limits.py
@@ -10,7 +10,7 @@
 
 @define(eq=False)
 class TokenBucket:
-    """A token bucket that starts full."""
+    """A token bucket that starts full; `rate` is in tokens per second."""
 
     rate: float
     burst: float
--- a/mangoway/policy/dispatch/outcomes.py
+++ b/mangoway/policy/dispatch/outcomes.py
@@ -23,7 +23,7 @@
 
 @define(eq=False)
 class OutcomeHandler:
-    """Handler of events of attempts; those of attempts that ended are ignored."""
+    """Handler of the events of attempts; late events of ended attempts are ignored."""
 
     context: Context
     attempts: Attempts
--- a/mangoway/policy/dispatch/prefixes.py
+++ b/mangoway/policy/dispatch/prefixes.py
@@ -22,7 +22,7 @@
     """An index of prefix blocks by upstream.
 
     It is built from cache events that may be late or lost, so it may hold blocks
-    that are gone and lack others. Users must bound the weight that they give it.
+    that are gone and lack others. Code that uses it must bound its influence.
     """
 
     _views: dict[UpstreamId, CacheView] = field(factory=dict)
--- a/mangoway/policy/dispatch/queues.py
+++ b/mangoway/policy/dispatch/queues.py
@@ -8,7 +8,7 @@
 
 When a queue is full, patient requests are refused before urgent ones. Within a class
 the caller with the most waiting requests relative to its weight is chosen, and of
-that caller the request whose latest start is last.
+that caller the request with the greatest `latest_start`.
 """
 
 import heapq
@@ -51,6 +51,8 @@
     _flows: dict[CallerId, Flow] = field(factory=dict)
     _heap: list[tuple[float, int, Flow]] = field(factory=list)
     _served: float = 0.0
+    """Virtual time of the queue; an idle flow restarts no earlier than this."""
+
     _sequence: int = 0
     _weight: float = 0.0
     """Total weight of the callers with waiting requests."""
@@ -78,14 +80,14 @@
     def remove(self, entry: Entry, charge: bool = False) -> None:
         """Remove a waiting entry; with `charge`, count it as served for its caller."""
         flow = self._flows[self._get_flow_key(entry)]
-        place = bisect_left(flow.items, (entry.latest_start, entry.sequence, entry))
-        del flow.items[place]
+        index = bisect_left(flow.items, (entry.latest_start, entry.sequence, entry))
+        del flow.items[index]
         self._record_removal(flow)
         if charge:
             self._charge(flow, entry)
 
     def find_victim(self, newcomer: Entry | None) -> Entry | None:
-        """Return the entry to refuse; the newcomer counts as if it were queued."""
+        """Return the entry to refuse; the new one counts as if it were queued."""
         key = None if newcomer is None else self._get_flow_key(newcomer)
         worst: Flow | None = None
         most = 0.0
@@ -118,8 +120,8 @@
         positions = []
         for flow in self._flows.values():
             share = flow.weight / self._weight if self._weight else 1.0
-            for place, (_, _, entry) in enumerate(flow.items):
-                ahead = min(float(self.length), (place + 1) / share - 1)
+            for index, (_, _, entry) in enumerate(flow.items):
+                ahead = min(float(self.length), (index + 1) / share - 1)
                 positions.append((entry, ahead))
         return positions
 
@@ -164,7 +166,11 @@
         flow.served += entry.cost / flow.weight
 
     def _drop_idle_flows(self) -> None:
-        """Drop flows without waiting requests or excess service, if there are many."""
+        """Drop idle flows if there are many.
+
+        A flow ahead of the queue's virtual time is kept, since a new flow of its
+        caller would start at that time and be served too early.
+        """
         if len(self._flows) < 64 or len(self._flows) < 2 * len(self._heap):
             return
         self._flows = {
--- a/mangoway/policy/dispatch/recheck.py
+++ b/mangoway/policy/dispatch/recheck.py
@@ -18,7 +18,7 @@
     """Refuses waiting requests early if they can no longer meet their deadlines.
 
     Only clear cases are refused early; the others expire at their latest start. The
-    cost of a check, made once per period, grows with the number of waiting requests.
+    check is made once per period; its cost grows with the number of waiting requests.
     """
 
     context: Context
--- a/mangoway/policy/dispatch/requests.py
+++ b/mangoway/policy/dispatch/requests.py
@@ -91,7 +91,7 @@
         self._joined.setdefault(leader, {})[request.id] = None
 
     def cancel(self, request_id: RequestId) -> None:
-        """End a request whose caller hung up.
+        """End a request whose caller closed the connection.
 
         A request with a key that is running, or that others have joined, continues:
         its answer is kept for resubmissions.
--- a/mangoway/policy/dispatch/timers.py
+++ b/mangoway/policy/dispatch/timers.py
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class Timers:
-    """A heap of timers that drops cancelled ones before they are the majority."""
+    """A heap of timers; cancelled ones are dropped once they outnumber the others."""
 
     _heap: list[tuple[float, int, Timer]] = field(factory=list)
     _sequence: int = 0
--- a/mangoway/policy/dispatch/upstream_health.py
+++ b/mangoway/policy/dispatch/upstream_health.py
@@ -61,7 +61,8 @@
     def _record_refusal(self, upstream: Upstream, attempt: Attempt) -> None:
         """Record that an upstream refused an attempt as busy.
 
-        An engine reports its load and whether it is leaving, so its breaker closes.
+        An engine's reports contain its load and whether it is leaving, so its refusal
+        only shows that it responds, and its breaker closes.
         A host of a plain service sends no reports: if it refuses everything, it
         looks idle and would be chosen most often, so a refusal counts as a failure.
         """
--- a/mangoway/policy/dispatch/upstreams.py
+++ b/mangoway/policy/dispatch/upstreams.py
@@ -32,7 +32,7 @@
 
 @define(eq=False)
 class RecentWork:
-    """Work of one target, with exponential decay."""
+    """Work of one target in generated tokens, with exponential decay."""
 
     value: float
     updated_at: float
@@ -77,7 +77,7 @@
     """Accumulated starts reserved for critical patient requests."""
 
     recent_work: dict[Target, "RecentWork"] = field(factory=dict)
-    """Recent work of targets that shared the upstream."""
+    """Recent work of each target while other targets waited for the upstream."""
 
     @property
     def service(self) -> ServiceName | None:
--- a/mangoway/policy/dispatch/windows.py
+++ b/mangoway/policy/dispatch/windows.py
@@ -10,7 +10,7 @@
     """The window of one gateway on one upstream.
 
     Every gateway has an even share of the upstream's running slots. It may also
-    borrow an even part of the slots that were free at the last report, so that
+    borrow an even share of the slots that were free at the last report, so that
     gateways that act on the same old report can't overload the upstream together.
     A refusal as busy shrinks the window; each success lets it grow a little.
     """
@@ -23,6 +23,8 @@
     so each gateway finds its own limit there."""
 
     scale: float = 1.0
+    """Factor on the size after refusals as busy."""
+
     dither: float = 0.0
     """Random value in [0, 1) that is added before rounding down.
 
@@ -33,7 +35,7 @@
     """Requests of this gateway and free slots at the last report."""
 
     def compute(self, gateway_count: int) -> int:
-        """Return the size of the window, at least 1."""
+        """Return the size of the window in requests, at least 1."""
         share = self.size / gateway_count if self.shared else float(self.size)
         borrowed = self.reported_own + self.reported_free / gateway_count
         window = min(float(self.size), max(share, borrowed)) * self.scale
--- a/tests/policy/dispatch/test_machine.py
+++ b/tests/policy/dispatch/test_machine.py
@@ -100,9 +100,9 @@
 
     @rule(place=PLACE, outcome=OUTCOME, seconds=st.sampled_from([0.0, 100.0, 160.0]))
     def answer_all_and_resubmit(self, place: int, outcome: str, seconds: float) -> None:
-        for flight in list(self.world.sent_attempts.values()):
-            if not flight.answered:
-                self.world.answer(flight, outcome)
+        for sent in list(self.world.sent_attempts.values()):
+            if not sent.answered:
+                self.world.answer(sent, outcome)
         self.world.advance(seconds)
         self.resubmit(0, place)
         self.resubmit(1, place)
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -253,38 +253,38 @@
 
     # Upstreams.
 
-    def run(self, flight: SentAttempt) -> None:
+    def run(self, sent: SentAttempt) -> None:
         """Run an attempt at its upstream and count the run."""
-        if flight.ran or flight.refused:
+        if sent.ran or sent.refused:
             return
-        flight.ran = True
-        submission = self.submissions[flight.action.request_id]
+        sent.ran = True
+        submission = self.submissions[sent.action.request_id]
         submission.runs += 1
         self.runs[submission.operation.number] += 1
 
-    def answer(self, flight: SentAttempt, outcome: str) -> None:
+    def answer(self, sent: SentAttempt, outcome: str) -> None:
         """Apply an outcome to an attempt and report it to the gateway."""
-        attempt_id = flight.action.attempt_id
-        first = not flight.answered
-        flight.answered = True
+        attempt_id = sent.action.attempt_id
+        first = not sent.answered
+        sent.answered = True
         event: DispatchEvent = AttemptSucceeded(attempt_id=attempt_id)
         if outcome == "succeed":
-            self.run(flight)
-        elif outcome == "busy" and first and not flight.ran:
-            flight.refused = True
+            self.run(sent)
+        elif outcome == "busy" and first and not sent.ran:
+            sent.refused = True
             event = _make_failed(attempt_id, ErrorCode.UPSTREAM_BUSY, Verdict.NOT_RUN)
         elif outcome == "die":
-            self.run(flight)
+            self.run(sent)
             event = _make_failed(attempt_id, ErrorCode.UPSTREAM_FAILED)
         elif outcome == "progress":
-            flight.answered = not first
-            self.run(flight)
+            sent.answered = not first
+            self.run(sent)
             event = AttemptProgressed(attempt_id=attempt_id, tokens=3)
         elif outcome == "cancelled":
             event = AttemptCancelled(attempt_id=attempt_id, tokens=3)
         else:
             event = _make_failed(attempt_id, ErrorCode.UPSTREAM_SILENT)
-        self.send(flight.gateway, event)
+        self.send(sent.gateway, event)
 
     def deliver_forward(self, place: int) -> None:
         operation, home = self.forwards.pop(place % len(self.forwards))
@@ -389,9 +389,9 @@
         while self.claiming:
             self.settle_claim(0, "up")
         for _ in range(20):
-            for flight in list(self.sent_attempts.values()):
-                if not flight.answered:
-                    self.answer(flight, "succeed")
+            for sent in list(self.sent_attempts.values()):
+                if not sent.answered:
+                    self.answer(sent, "succeed")
             self.advance(15.0)
         self.check()
         for submission in self.submissions.values():
