--- a/mangoway/policy/placement/const.py
+++ b/mangoway/policy/placement/const.py
@@ -71,7 +71,10 @@
 """Additional increase that a surge requires, so that chance does not count."""
 
 IDLE_DEMAND_UPDATE_PERIOD_S: Final = 4.0
-"""Time between two updates of an estimate that no digest contributes to."""
+"""Time between two updates of an estimate that no digest contributes to.
+
+It applies if there are more than `MAX_ARTIFACTS_PER_EVALUATION` estimates.
+"""
 
 DEMAND_RISE_TIME_CONSTANT_S: Final = 3.0
 """Time constant of the recent rate, from which the demand estimate rises."""
@@ -95,8 +98,13 @@
 """Estimated requests per second below which an artifact's demand is removed."""
 
 DEFAULT_TOKENS_PER_REQUEST: Final = 200.0
+"""Assumed tokens per request of an artifact without measured demand."""
+
 DEFAULT_TOKENS_PER_SECOND: Final = 1000.0
+"""Assumed throughput of a runner that does not describe its own."""
+
 DEFAULT_MAX_RUNNING: Final = 8
+"""Assumed batch size of a runner whose description states none above 1."""
 
 GAIN_HORIZON_S: Final = 300.0
 """Time horizon over which the gain of a copy is calculated."""
--- a/mangoway/policy/placement/demand.py
+++ b/mangoway/policy/placement/demand.py
@@ -44,20 +44,20 @@
 
     rise: float
     mean: float
-    fall: float
+    decay: float
 
 
 def _find_weights(elapsed_s: float) -> _Weights:
     return _Weights(
         rise=1.0 - exp(-elapsed_s / DEMAND_RISE_TIME_CONSTANT_S),
         mean=1.0 - exp(-elapsed_s / DEMAND_MEAN_TIME_CONSTANT_S),
-        fall=1.0 - exp(-elapsed_s / DEMAND_DECAY_TIME_CONSTANT_S),
+        decay=1.0 - exp(-elapsed_s / DEMAND_DECAY_TIME_CONSTANT_S),
     )
 
 
 @define
 class _Averages:
-    """Moving averages of the demand for an artifact, in requests per second."""
+    """Moving averages of the demand for an artifact; rates are requests per second."""
 
     recent: float = 0.0
     mean: float = 0.0
@@ -69,7 +69,7 @@
         """Update the averages with the total of all digests."""
         self.recent += weights.rise * (requests - self.recent)
         self.mean += weights.mean * (requests - self.mean)
-        self.peak *= 1.0 - weights.fall
+        self.peak *= 1.0 - weights.decay
         self.peak = max(self.peak, self._find_significant_rate())
         if requests > 0.0:
             self.tokens_per_request += weights.rise * (
@@ -98,7 +98,10 @@
 
 @define
 class DemandEstimator:
-    """Estimates demand from the gateways' digests; rises fast and decays slowly."""
+    """Estimates demand from the gateways' digests.
+
+    An estimate rises fast on a significant increase and decays slowly.
+    """
 
     _digests: dict[HostId, _Digest] = field(factory=dict)
     _averages: dict[Artifact, _Averages] = field(factory=dict)
--- a/mangoway/policy/placement/demand_rotation.py
+++ b/mangoway/policy/placement/demand_rotation.py
@@ -12,7 +12,7 @@
 
 @define
 class DemandRotation:
-    """Limits the artifacts of one evaluation and rotates through all of them.
+    """Limits the number of artifacts in one evaluation and covers all in turn.
 
     Artifacts whose demand surged, whose copies changed, or that were proposed by
     the previous evaluation are evaluated out of turn.
@@ -24,11 +24,11 @@
     _evaluated_rps: dict[Artifact, float] = field(factory=dict)
     """Lowest requests per second of each artifact since its last evaluation."""
 
-    _urgent: set[Artifact] = field(factory=set)
+    _prioritised: set[Artifact] = field(factory=set)
 
     def prioritise(self, artifacts: Iterable[Artifact]) -> None:
         """Include some artifacts in the next evaluation."""
-        self._urgent.update(artifacts)
+        self._prioritised.update(artifacts)
 
     def select_due(self, reported: list[Artifact]) -> list[Artifact]:
         """Update the gains and return the artifacts to evaluate.
@@ -40,12 +40,12 @@
         passes = -(-len(demands) // MAX_ARTIFACTS_PER_EVALUATION)
         self._pass_number += 1
         if passes <= 1:
-            self._urgent.clear()
+            self._prioritised.clear()
             self._gains.refresh_all()
             return self._gains.list_with_demand()
         due = [artifact for artifact in reported if self._has_surged(artifact)]
-        due.extend(sorted(self._urgent))
-        self._urgent.clear()
+        due.extend(sorted(self._prioritised))
+        self._prioritised.clear()
         due.extend(list(demands)[self._pass_number % passes :: passes])
         due = list(dict.fromkeys(due))
         for artifact in due:
--- a/mangoway/policy/placement/floors.py
+++ b/mangoway/policy/placement/floors.py
@@ -74,7 +74,8 @@
     """
     if not configuration.runner_groups:
         return []
-    # Each of the two orders may fail where the other succeeds; one is enough.
+    # Each of the two ways to reserve the memory, after or before packing the copies,
+    # may fail where the other succeeds; one success is enough.
     reserved_last = _pack(configuration, reserve_first=False)
     if not reserved_last:
         return []
--- a/mangoway/policy/placement/gains.py
+++ b/mangoway/policy/placement/gains.py
@@ -162,18 +162,18 @@
         return self.runner_loads.get(runner.id, 0.0) / find_throughput(runner)
 
     def find_gain(self, artifact: Artifact, runner: Runner) -> float:
-        """Return the waiting time that a further copy on a runner saves."""
+        """Return the request-seconds of waiting that a further copy saves."""
         holders = self._list_holders(artifact)
         before = self._find_wait_cost(artifact, holders)
         after = self._find_wait_cost(artifact, [*holders, runner.id])
         return before - after
 
     def find_max_gain(self, artifact: Artifact) -> float:
-        """Return an upper bound of the waiting time that further copies could save."""
+        """Return an upper bound of the request-seconds that more copies could save."""
         return self._find_wait_cost(artifact, self._list_holders(artifact))
 
     def find_loss(self, artifact: Artifact, runner: Runner) -> float:
-        """Return the waiting time that unloading the copy on a runner adds."""
+        """Return the request-seconds of waiting that unloading a runner's copy adds."""
         holders = self._list_holders(artifact)
         others = [upstream_id for upstream_id in holders if upstream_id != runner.id]
         return self._find_wait_cost(artifact, others) - self._find_wait_cost(
--- a/mangoway/policy/placement/ledger_access.py
+++ b/mangoway/policy/placement/ledger_access.py
@@ -40,8 +40,9 @@
     def request_unknown_ledgers(self, now: float) -> None:
         """Request reads of the ledgers that are unknown.
 
-        Without a configuration the bound on order lateness is unknown, and therefore
-        also how long orders found in a ledger may still take effect.
+        Nothing is read without a configuration: it contains the bound on order
+        lateness, which determines how long orders found in a ledger may still take
+        effect.
         """
         if not self.is_active or self.state.configuration is None:
             return
--- a/mangoway/policy/placement/ledgers.py
+++ b/mangoway/policy/placement/ledgers.py
@@ -96,7 +96,7 @@
     """Return whether a report that contains a reserved artifact confirms its load.
 
     An engine that checks fences may report the artifact from an earlier load while an
-    older unload is still in flight; only the new fence makes that unload harmless.
+    older unload may still arrive; only the new fence makes that unload harmless.
     """
     return not checks_fences or report.fence >= entry.reserved_fence
 
--- a/mangoway/policy/placement/load_queue.py
+++ b/mangoway/policy/placement/load_queue.py
@@ -36,13 +36,16 @@
     artifact: Artifact
     rank: NeedRank
     score: float = 0.0
-    """Demand for floors, gain per GB for copies above; higher is served first."""
+    """Requests per second for floors, gain per GB for copies above them.
+
+    Needs with a higher score are served first.
+    """
 
     memory_mb: int = 0
 
     @property
     def order_key(self) -> tuple[int, bool, float, int, Artifact]:
-        """Return the sort key in the queue: rank, bases first, score, size.
+        """Return the sort key: rank, bases first, highest score, largest memory.
 
         Copies for demand are sorted by score alone: with bases first, adapters would
         wait until no base had any demand left.
--- a/mangoway/policy/placement/order_tracker.py
+++ b/mangoway/policy/placement/order_tracker.py
@@ -36,7 +36,7 @@
         self.extend(artifact, latest_arrival)
 
     def extend(self, artifact: Artifact, latest_arrival: float) -> None:
-        """Extend the time until which an order may still arrive."""
+        """Extend the time until which an order may still arrive; never shorten it."""
         self._latest_arrivals[artifact] = max(
             latest_arrival, self._latest_arrivals.get(artifact, -inf)
         )
--- a/mangoway/policy/placement/remaining_copies.py
+++ b/mangoway/policy/placement/remaining_copies.py
@@ -55,7 +55,7 @@
     return len(remaining) >= floor and len(state.list_data_centres(remaining)) >= spread
 
 
-def forget_replacement(runner: Runner, order: PendingOrder) -> None:
+def remove_replacement(runner: Runner, order: PendingOrder) -> None:
     """Remove an unsent unload whose mark replaced that of an earlier unload.
 
     Its mark then stays until a report proves the earlier unload over, since that
@@ -68,4 +68,4 @@
 def cancel_unload(runner: Runner, order: PendingOrder) -> None:
     """Record that a marked unload will not be sent."""
     runner.order_tracker.unloads.record_closed(order.artifact, order.id, -inf)
-    forget_replacement(runner, order)
+    remove_replacement(runner, order)
--- a/mangoway/policy/placement/reservations.py
+++ b/mangoway/policy/placement/reservations.py
@@ -35,7 +35,7 @@
 )
 from .order_sender import OrderSender
 from .outbox import Outbox
-from .remaining_copies import forget_replacement
+from .remaining_copies import remove_replacement
 from .runners import PendingOrder, Runner
 from .state import PlacementState
 from .unload_checks import UnloadChecks
@@ -238,7 +238,7 @@
             runner.pending_write = None
             if order is not None and order.kind is OrderKind.UNLOAD:
                 runner.unsent_unloads[order.artifact] = order
-                forget_replacement(runner, order)
+                remove_replacement(runner, order)
             runner.is_ledger_known = False
         else:
             runner.pending_reads = max(runner.pending_reads - 1, 0)
--- a/mangoway/policy/placement/runner_selector.py
+++ b/mangoway/policy/placement/runner_selector.py
@@ -198,7 +198,7 @@
         )
 
     def _find_group(self, artifact: Artifact, runner: Runner) -> tuple[Artifact, ...]:
-        """Return an artifact and its adapters on a runner; empty if one must stay."""
+        """Return an artifact and its adapters on a runner; empty if any must stay."""
         if not self.is_evictable(artifact, runner):
             return ()
         if artifact.adapter is not None:
--- a/mangoway/policy/placement/runners.py
+++ b/mangoway/policy/placement/runners.py
@@ -1,4 +1,4 @@
-"""State of a runner as the controller knows it."""
+"""State of a runner at one controller."""
 
 from enum import Enum
 
@@ -25,7 +25,7 @@
 
 
 class CopyState(Enum):
-    """State of an artifact on a runner as the planner sees it."""
+    """State of an artifact on a runner, for planning."""
 
     READY = "ready"
     LOADING = "loading"
@@ -90,7 +90,11 @@
     ledger: Ledger | None = None
     revision: Revision = Revision(0)
     is_ledger_known: bool = False
-    """Whether `ledger` and `revision` match the store as far as is known."""
+    """Whether `ledger` and `revision` can be relied on.
+
+    False before the first read, after a write without a definite result, after an
+    order was refused for its stale fence, and after the lease was gained or lost.
+    """
 
     pending_reads: int = 0
     """Number of ledger reads without a result."""
@@ -123,7 +127,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether the runner's address or its report says that it is leaving."""
+        """Return whether the runner's address or report marks it as leaving."""
         return self.leaving or (self.report is not None and self.report.leaving)
 
     @property
@@ -160,7 +164,7 @@
 
     @property
     def checks_fences(self) -> bool:
-        """Return whether the engine refuses old orders."""
+        """Return whether the engine refuses orders with an older fence."""
         return self.description is not None and self.description.checks_fences
 
     def is_fresh(self, now: float) -> bool:
--- a/mangoway/policy/placement/status.py
+++ b/mangoway/policy/placement/status.py
@@ -65,7 +65,7 @@
     """Explanation of why something was or was not done, with its time."""
 
     at: float
-    """Time of the core's clock in seconds."""
+    """Time on the core's clock in seconds."""
 
     artifact: Artifact | None
     upstream_id: UpstreamId | None
--- a/mangoway/policy/placement/unload_checks.py
+++ b/mangoway/policy/placement/unload_checks.py
@@ -51,8 +51,8 @@
         if not is_met or not self.ledger_access.is_active:
             self._cancel(runner, order, "unload_abandoned_last_copy")
             return
-        # Counts as open, so that reconciliation keeps the mark until the order is sent
-        # or cancelled.
+        # The unload counts as open from now on, so that reconciliation keeps its mark
+        # until the order is sent or cancelled.
         runner.order_tracker.unloads.record_sent(artifact, order.id)
         for upstream_id in remaining:
             self.ledger_access.request_read(self.state.runners[upstream_id])
@@ -67,7 +67,7 @@
         )
 
     def count_read(self, runner: Runner, now: float) -> None:
-        """Continue the unloads that waited for a runner's ledger only."""
+        """Count a read of a runner's ledger; continue unloads that await no other."""
         for order_id, check in list(self._checks.items()):
             if check.count_read(runner.id):
                 del self._checks[order_id]
--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -115,7 +115,7 @@
         for holder in world.list_ready("z@1"):
             world.engines[UpstreamId(holder)].up = False
         world.sent.clear()
-        # The pause makes the same plan see both losses.
+        # Both losses are handled by the same plan after the pause.
         first.paused = True
         world.run(1.5)
         world.resume(first)
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -183,7 +183,8 @@
     alive: bool = True
     paused: bool = False
     mailbox: list[events.PlacementEvent] = field(factory=list)
-    wake: int = 0
+    wakeup: int = 0
+    """Number of the latest `WakeAt`; earlier ones are obsolete."""
 
 
 @define
@@ -212,7 +213,7 @@
     read_s: float = 0.01
     """Time that a read from the store takes."""
 
-    bases: dict[OrderId, UnloadBasis] = field(factory=dict)
+    unload_bases: dict[OrderId, UnloadBasis] = field(factory=dict)
     last_copy_losses: list[str] = field(factory=list)
     _heap: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _numbers: count[int] = field(factory=count)
@@ -333,18 +334,18 @@
             case actions.SendOrder(order=order):
                 self.sent.append((self.now, order))
                 self._record_basis(controller, order)
-                self.call_later(0.01, lambda: self._carry_out(controller, order))
+                self.call_later(0.01, lambda: self._execute_order(controller, order))
             case actions.Explain():
                 self.reasons.append(action)
             case actions.WakeAt(time=time):
-                controller.wake += 1
-                wake = controller.wake
+                controller.wakeup += 1
+                wakeup = controller.wakeup
                 self.call_later(
-                    max(time - self.now, 0.0), lambda: self._tick(controller, wake)
+                    max(time - self.now, 0.0), lambda: self._tick(controller, wakeup)
                 )
 
-    def _tick(self, controller: Controller, wake: int) -> None:
-        if controller.wake == wake:
+    def _tick(self, controller: Controller, wakeup: int) -> None:
+        if controller.wakeup == wakeup:
             self.send_event(controller, events.Ticked())
 
     def request_unload(
@@ -400,7 +401,7 @@
 
     # Orders.
 
-    def _carry_out(self, controller: Controller, order: Order) -> None:
+    def _execute_order(self, controller: Controller, order: Order) -> None:
         fault = self.order_faults.pop(0) if self.order_faults else ""
         engine = self.engines[order.upstream]
         failed = events.OrderFailed(
@@ -413,7 +414,7 @@
             return
         if fault == "late":
             self._deliver(controller, failed, 1.0)
-            # The connection closes after one second, from which the bound counts.
+            # The connection closes after one second; the bound counts from then on.
             delay_s = self.rng.uniform(0.0, BOUND_S)
             self.call_later(1.0 + delay_s, lambda: self._apply_order(order))
             return
@@ -442,11 +443,11 @@
         run_number = engine.run_number
         if order.kind is OrderKind.LOAD and outcome is OrderOutcome.ACCEPTED:
             self.call_later(
-                LOAD_S, lambda: self._get_ready(engine, artifact, run_number)
+                LOAD_S, lambda: self._finish_load(engine, artifact, run_number)
             )
         return outcome
 
-    def _get_ready(self, engine: Engine, artifact: Artifact, run_number: int) -> None:
+    def _finish_load(self, engine: Engine, artifact: Artifact, run_number: int) -> None:
         if engine.run_number == run_number and artifact in engine.memory:
             engine.ready.add(artifact)
 
@@ -460,7 +461,7 @@
         }
         remaining.pop(order.upstream, None)
         is_withdrawn = order.artifact not in self.configuration.list_artifacts()
-        self.bases[order.id] = UnloadBasis(controller, is_withdrawn, remaining)
+        self.unload_bases[order.id] = UnloadBasis(controller, is_withdrawn, remaining)
 
     def _check_last_copy(
         self, engine: Engine, artifact: Artifact, order: Order
@@ -471,7 +472,7 @@
         others = [each for each in self.engines.values() if each is not engine]
         if any(artifact in each.ready for each in others):
             return
-        basis = self.bases[order.id]
+        basis = self.unload_bases[order.id]
         if self._is_loss_expected(basis, engine, artifact):
             return
         if self._is_remaining_crashed(basis, artifact):
