--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -1,10 +1,11 @@
 """Crash statements that processes exchange through the store.
 
-An edge writes which requests it had in progress at a runner that crashed, and which
-requests with such charges have succeeded. Each process reads all statements along with
-the other keys of the store, so that they apply with a leader, with a standby and
-without any scheduler. The keys have no lease: a statement stays valid after the edge
-that wrote it has stopped.
+An edge writes a charge for each request that it had in progress at a runner that
+crashed, and a clearance for a charged request that has succeeded. The leader writes
+which requests are blocked. Each process reads all statements along with the other keys
+of the store, so that they apply with a leader, with a standby and without any
+scheduler. The keys have no lease: a statement stays valid after the edge that wrote it
+has stopped.
 """
 
 from collections.abc import Iterable
@@ -48,7 +49,7 @@
 
 @frozen(kw_only=True)
 class ClearanceStatement:
-    """A request has succeeded, so it did not cause some crashes."""
+    """A request has succeeded, so it did not cause the crashes that are listed."""
 
     clearance: Clearance
 
--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -33,8 +33,9 @@
 response to the leader is 0.8 s old."""
 
 OWN_WATCH_S: Final = 0.5
-"""The same for a watch of any other process while the leader relays nothing. With its
-margin, it must detect a silent connection in the remainder of the two seconds."""
+"""Time for which a watch of any other process waits for changes while the leader relays
+nothing. Together with the time for which a late response is awaited, it must detect a
+silent connection in the remainder of the two seconds."""
 
 STALE_WATCH_S: Final = 0.01
 STALE_AGE_S: Final = 3.0
@@ -43,7 +44,8 @@
 
 OUTAGE_S: Final = 1.5
 """Time without a response after which keys may have expired. The entry of a runner
-expires after three heartbeats, 3.6 s, and an outage is detected late."""
+expires after three heartbeats, 3.6 s; this is shorter, since an outage is detected
+late."""
 
 LEADER_WATCH_INTERVAL_S: Final = 0.25
 """Minimum time between the starts of two watches of the leader. Runners write their
@@ -51,8 +53,9 @@
 Without the interval, the leader would make a call for each entry."""
 
 OWN_WATCH_INTERVAL_S: Final = 0.4
-"""The same for any other process. Without it, each announcement would wake all of many
-processes that start together, and each of their calls is billed."""
+"""Minimum time between the starts of two watches of any other process. Without it, if
+many processes start together, the announcement of each would end the watches of all
+others, and each watch is billed."""
 
 OWN_WATCHES_PER_S: Final = 120.0
 """Watches that all processes together start per second without a leader. With 48
@@ -60,8 +63,9 @@
 started one every 0.4 s, five seconds without a leader would cost 2,500 calls."""
 
 MAX_OWN_WATCH_INTERVAL_S: Final = 2.0
-"""Maximum time between two such watches, reached with 240 processes. With so many, a
-drain and a configuration must take effect within four seconds."""
+"""Maximum time between the starts of two watches of a process without a leader, reached
+with 240 processes. With so many, a drain and a configuration must take effect within
+four seconds."""
 
 FIRST_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 1.0
@@ -247,7 +251,8 @@
 
     async def _async_step(self) -> None:
         if self.revision is None or self._needs_snapshot:
-            # A snapshot may be some seconds old if the store still keeps later changes.
+            # A snapshot may be some seconds old while the store still keeps the changes
+            # since, which the next watch returns.
             exact, requested_at = self._needs_snapshot, self.boot_clock()
             snapshot = await self.store.async_list("", exact=exact)
             self._needs_snapshot = False
--- a/mangoway/coordination/presence.py
+++ b/mangoway/coordination/presence.py
@@ -26,12 +26,13 @@
 leader removes the address of an edge sooner, but may have run on the same host."""
 
 RENEW_S: Final = 1.0
-"""A third of the lease, so that two renewals may fail. A scheduler that loses its lease
-loses leadership."""
+"""Time between two renewals of the lease: a third of it, so that two renewals may fail.
+A scheduler that loses its lease loses leadership."""
 
 EDGE_RENEW_S: Final = 1.5
-"""The same for an edge. One renewal may fail, since the key of an edge can be written
-again. Most renewals are sent by edges, and each is a store call that is billed."""
+"""Time between two renewals by an edge. Only one renewal may fail, which is enough
+because the key of an edge can be written again. Most renewals are sent by edges, and
+each is a store call that is billed."""
 
 ANNOUNCE_SPREAD_S: Final = 0.5
 """Time over which processes spread the rewriting of lost keys. After an outage of the
--- a/mangoway/coordination/statement_maintainer.py
+++ b/mangoway/coordination/statement_maintainer.py
@@ -116,7 +116,7 @@
         return [each.key.removeprefix(self.prefix) for each in items]
 
     def _list_missing_blocks(self) -> tuple[Write, ...]:
-        """Return writes for block statements that the store lacks in this form."""
+        """Return writes for block statements that are missing or have other charges."""
         missing = []
         for content in self.tracker.list_blocked()[-MAX_BLOCKED:]:
             statement = BlockStatement(
--- a/tests/coordination/test_view.py
+++ b/tests/coordination/test_view.py
@@ -110,7 +110,10 @@
 
     @pytest.mark.parametrize("runners", [30, 300, 3000])
     def test_snapshot_causes_one_notification(self, runners: int) -> None:
-        """Listeners iterate over all runners, so one per runner would be quadratic."""
+        """Guard against a notification for each runner.
+
+        Each listener iterates over all runners, so the cost would be quadratic.
+        """
         view, notifications = FleetView(), list[int]()
         view.on_change.append(lambda: notifications.append(len(view.runners)))
         items = tuple(
