--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -67,8 +67,8 @@
 another edge before their deadline."""
 
 RETRY_AFTER_STOP_S: Final = 0.1
-"""Retry delay of requests rejected by a stopping edge; short, since another edge can
-serve them, but not zero, so that the retries of a restart are spread."""
+"""Retry delay of requests rejected by a stopping edge: short, since another edge can
+serve them, but not zero, so that retries are spread when an edge restarts."""
 
 
 def run(settings: EdgeSettings) -> None:
--- a/mangoway/daemons/fleet_process.py
+++ b/mangoway/daemons/fleet_process.py
@@ -36,7 +36,7 @@
 """Interval between two checks for entries that vanished in an outage."""
 
 MIN_LOGGED_PAUSE_S: Final = 0.5
-"""Delay of the event loop from which a pause of the process is logged."""
+"""Minimum delay of the event loop that is logged as a pause of the process."""
 
 RESTART_DELAY_S: Final = 0.5
 """Delay before a background task that failed is restarted."""
--- a/mangoway/daemons/key_hand_over.py
+++ b/mangoway/daemons/key_hand_over.py
@@ -87,11 +87,11 @@
         self, chunks: AsyncIterable[pb.KeyChunk]
     ) -> pb.HandOverReply:
         """Receive a complete hand-over and add its records and answers."""
-        intake = HandOverAssembler(time.time())
+        assembler = HandOverAssembler(time.time())
         async for chunk in chunks:
-            intake.add(chunk)
+            assembler.add(chunk)
             await asyncio.sleep(0)
-        hand_over = intake.finish()
+        hand_over = assembler.finish()
         answers = {stored.id: stored for stored in hand_over.answers}
         records = iter(hand_over.records)
         while batch := tuple(islice(records, HAND_OVER_BATCH_RECORDS)):
--- a/mangoway/daemons/lease.py
+++ b/mangoway/daemons/lease.py
@@ -31,7 +31,10 @@
 
     @property
     def held(self) -> bool:
-        """Return whether this process holds the lease and has not detected its loss."""
+        """Return whether this process counts the lease as held.
+
+        Another process may already hold it, since its loss is detected late.
+        """
         return self._held_until is not None
 
     async def async_run(self) -> None:
--- a/mangoway/daemons/order_sender.py
+++ b/mangoway/daemons/order_sender.py
@@ -29,7 +29,7 @@
 
 @define(eq=False)
 class OrderSender:
-    """Sends orders while this process may order, and reports their outcomes."""
+    """Sends orders while this process is allowed to, and reports their outcomes."""
 
     process: FleetProcess
     leadership: Leadership
--- a/mangoway/daemons/report_reader.py
+++ b/mangoway/daemons/report_reader.py
@@ -1,4 +1,4 @@
-"""Reads reports of runners while a scheduler leads, the most overdue first."""
+"""Reads reports of runners while a scheduler grants, the most overdue first."""
 
 from collections.abc import Callable
 from typing import Final
@@ -19,21 +19,23 @@
 about a sixth of a store call."""
 
 QUIET_REPORT_PERIOD_S: Final = 1.0
-"""Interval for a quiet runner, which has received no order for this time, so that
-nothing changes there."""
+"""Interval between two reports of a quiet runner: one that has received no order for
+this time, so that nothing changes there."""
 
 URGENT_REPORT_PERIOD_S: Final = 0.1
-"""Interval for a runner that gets no orders until its state is known."""
+"""Interval between two reports of a runner whose state is unknown, and which gets no
+orders until it is known."""
 
 MAX_QUIET_REPORTS_PER_S: Final = 100.0
-"""Maximum reports of quiet runners that are read per second, which lengthens their
-interval with more than a hundred runners: changes without an order are shown by the
-entries of runners. Reading each of 3,000 runners every second took more than a core,
-and the connections to them more open files than a host allows."""
+"""Maximum reports of quiet runners that are read per second. With more than a hundred
+runners, it lengthens their interval, which is acceptable because the entries of runners
+show changes that happen without an order. Reading a report of each of 3,000 runners
+every second took more than a core, and the connections to them needed more open files
+than a host allows."""
 
 MAX_CONCURRENT_READS: Final = 32
 """Maximum reports that are read concurrently: when a scheduler starts to lead, the
-reports of all runners are due, and each takes half a millisecond of its core."""
+reports of all runners are due, and each takes half a millisecond of processor time."""
 
 URGENT_FROM_LOAD_SHARE: Final = 0.85
 """Share of the expected duration of a load after which its end is checked for: the
--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -260,8 +260,8 @@
     def _measure_share(self) -> float:
         """Return the share of each quota that this process grants.
 
-        It is the share of edges connected to it: the others may use another scheduler,
-        or choose runners on their own.
+        It is the share of the known edges that are connected to it: the others may use
+        another scheduler, or choose runners on their own.
         """
         if self.process.clock() < self._granting_changed_at + SCHEDULER_STARTUP_S:
             return 1.0
--- a/tests/daemons/test_metrics_server.py
+++ b/tests/daemons/test_metrics_server.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics listener of a controller."""
+"""Tests of the metrics server of a process."""
 
 import aiohttp
 import pytest
@@ -8,7 +8,7 @@
 
 
 class TestMetricsServer:
-    """Answers of the listener."""
+    """Answers of the metrics server."""
 
     @pytest.mark.parametrize(
         ("path", "status", "text"),
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -33,9 +33,9 @@
     """Background tasks of a scheduler."""
 
     async def test_all_tasks_are_started(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Guard against a crash keeper that does not run.
+        """Guard against a statement maintainer that does not run.
 
-        Blocked requests stay in the store only while it maintains them.
+        Without it, no block statement is written to the store.
         """
         scheduler = SchedulerProcess(make_settings())
         started: list[object] = []
