--- a/mangoway/platform/documents.py
+++ b/mangoway/platform/documents.py
@@ -138,7 +138,7 @@
 def _read_draining(fields: Mapping[str, Any]) -> bool:
     state = fields.get("state")
     if state not in (READY, DRAINING):
-        raise DocumentError(f"unknown state: {state!r}")
+        raise DocumentError(f"state is neither ready nor draining: {state!r}")
     return bool(state == DRAINING)
 
 
--- a/mangoway/platform/runners.py
+++ b/mangoway/platform/runners.py
@@ -93,7 +93,7 @@
     async def async_send_order(
         self, address: str, runner_id: str, order: RunnerOrder
     ) -> OrderAnswer:
-        """Send an order to a runner, which refuses it if its ID is another one.
+        """Send an order to a runner; a runner with another ID refuses it.
 
         Raises:
             RunnerUnreachableError: If there is no valid response; the order may still
