--- a/mangoway/models/customer.py
+++ b/mangoway/models/customer.py
@@ -9,7 +9,8 @@
 
 DIGEST_BYTES: Final = 16
 _SECRET: Final = secrets.token_bytes(32)
-"""Random key of this process; its digests cannot be compared to those of others."""
+"""Random key of this process's digests, so that they cannot be compared to those of
+other processes."""
 
 
 @frozen(kw_only=True)
--- a/mangoway/models/fleet.py
+++ b/mangoway/models/fleet.py
@@ -6,7 +6,7 @@
 from attrs import frozen
 
 MEMBER_KEYS: Final = "members/"
-"""Prefix of the keys under which processes register in the store."""
+"""Prefix of the keys under which processes announce themselves in the store."""
 
 
 class Role(Enum):
