--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -264,7 +264,7 @@
         return self.edges[key]
 
     def teardown(self) -> None:
-        if hasattr(self, "seen"):
+        if hasattr(self, "windows"):
             assert self.windows.find_excess() == 0
 
 
