--- a/mangoway/policy/edge/choice.py
+++ b/mangoway/policy/edge/choice.py
@@ -8,9 +8,9 @@
 from ...models.runner import RunnerEntry
 
 OTHER_DATA_CENTRE_LOAD = 0.34
-"""Load, as a fraction of its slots, by which a runner of another data centre must be
-less loaded to be chosen: two of six slots. Traffic between data centres costs money,
-but waiting for a slot costs more."""
+"""Load, as a fraction of the slots, that is added to a runner of another data centre
+before the comparison: two of six slots. Traffic between data centres costs money, but
+waiting for a slot costs more."""
 
 
 @define(eq=False)
@@ -44,7 +44,7 @@
 ) -> RunnerEntry | None:
     """Return the runner with the least load from this process; None if there is none.
 
-    Runners of the own data centre are preferred.
+    `OTHER_DATA_CENTRE_LOAD` is added to the load of runners of other data centres.
     """
 
     def compute_load(entry: RunnerEntry) -> tuple[float, float]:
--- a/mangoway/policy/edge/health.py
+++ b/mangoway/policy/edge/health.py
@@ -16,7 +16,7 @@
     """Health of one runner."""
 
     failures: int = 0
-    """Consecutive failures since the last success."""
+    """Failures since the last success; one to connect adds `FAILURES_TO_AVOID`."""
 
     avoided: bool = False
     next_attempt_at: float = 0.0
@@ -41,7 +41,7 @@
         Args:
             runner_id: The runner.
             now: Time in seconds.
-            unreachable: Whether the connection failed, for which one failure is enough.
+            unreachable: Whether connecting failed; a single such failure is enough.
 
         Returns:
             The consecutive failures if the runner becomes avoided now, else 0.
--- a/mangoway/policy/edge/shares.py
+++ b/mangoway/policy/edge/shares.py
@@ -110,7 +110,7 @@
 
 @define(eq=False)
 class DisconnectedShare:
-    """The share of a runner's limit that an edge uses without a scheduler."""
+    """The share of a runner's limit that an edge uses while it is disconnected."""
 
     _selection: MemberSelection = field(factory=MemberSelection, init=False)
 
@@ -119,6 +119,6 @@
         self._selection.set_members(own, members)
 
     def measure(self, runner_id: str) -> float:
-        """Return the share of a runner's limit, 0 to 1."""
+        """Return the share of a runner's limit, 0 to 1; 0 if other edges use it."""
         count = min(MAX_DISCONNECTED_EDGES, max(1, len(self._selection.members)))
         return DISCONNECTED_SHARE / count * self._selection.get(runner_id, count)
