--- a/mangoway/policy/membership/core.py
+++ b/mangoway/policy/membership/core.py
@@ -161,7 +161,7 @@
     def _start_leaving(
         self, successor: IncarnationId | None, now: float
     ) -> list[MembershipAction]:
-        """Notify every live peer at once, to get no new work after a few seconds."""
+        """Notify every live peer at once, so that new work stops within seconds."""
         leaving = evolve(self._own, state=MemberState.LEAVING, successor=successor)
         self._change_own(leaving, now)
         return [self._send(address) for address in self._list_live()]
--- a/mangoway/policy/membership/listing.py
+++ b/mangoway/policy/membership/listing.py
@@ -1,4 +1,4 @@
-"""Content of the host list, which may be outdated."""
+"""Addresses to probe and leaving processes, from a host list that may be outdated."""
 
 from attrs import define, field
 
