--- a/mangoway/policy/configuration/const.py
+++ b/mangoway/policy/configuration/const.py
@@ -30,7 +30,7 @@
 
 START_PEERS: Final = 3
 """Peers from which a starting process fetches at the same time during an outage of the
-service."""
+service, and number of their responses after which it waits for no more of them."""
 
 START_PEER_WAIT_S: Final = 2.0
 """Time for which a starting process waits for the responses of its peers."""
--- a/mangoway/policy/configuration/core.py
+++ b/mangoway/policy/configuration/core.py
@@ -260,9 +260,9 @@
     def _may_apply_at_start(self, version: ConfigVersion, now: float) -> bool:
         """Return whether a starting process may apply `version`.
 
-        A version from the service may be applied. During an outage, a version from a
-        peer may be applied once several peers had time to respond. If a newer version
-        was reported, it is awaited for up to `START_MAX_WAIT_S`.
+        A version that is not older than the head version may be applied at once. During
+        an outage, another one may be applied once several peers have responded or had
+        the time to. If a newer one was reported, it is awaited for `START_MAX_WAIT_S`.
         """
         if self._head and version >= self._head:
             return True
