--- a/mangoway/edge/admission.py
+++ b/mangoway/edge/admission.py
@@ -86,8 +86,8 @@
 
     view: FleetView
     measure_age: Callable[[], float]
-    """Returns the age of this host's state in seconds, measured by a clock that also
-    runs while the host is suspended. Later changes may be missing here."""
+    """Returns the age of this host's state in seconds: changes that are more recent may
+    be missing here. The clock behind it also runs while the host is suspended."""
 
     revoke_s: float | None
     """Time after which a revoked key must be rejected everywhere. If None, hosts that
--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -53,7 +53,7 @@
     was_sent: bool = True
     reason: str = ""
     is_model_missing: bool = False
-    """Whether the runner doesn't have the model, or is a different runner."""
+    """Whether the runner lacks the model, or isn't the runner that was addressed."""
 
     error: BufferedResponse | None = None
     """The error response of the runner, if it sent one."""
--- a/mangoway/edge/const.py
+++ b/mangoway/edge/const.py
@@ -14,9 +14,9 @@
 """Time limit of the search for another runner while the current one is silent."""
 
 MAX_GRANT_REQUESTS: Final = 3
-"""Grants that are requested one after the other while each is for a runner that is
-known here to be leaving or in a cooldown. The scheduler receives that within
-milliseconds."""
+"""Maximum number of grant requests in a row for one attempt. Another one is sent if the
+granted runner is known here to leave or to be in a cooldown; the scheduler receives the
+same information within milliseconds."""
 
 MAX_IDLE_PER_RUNNER: Final = 8
 """Idle connections kept to one runner. Runners accept about 100 to 600 connections in
@@ -37,7 +37,7 @@
 """Reason for rejecting a request that needs a retry for which no credit is left."""
 
 MAX_STATE_AGE_SHARE: Final = 0.7
-"""Part of the time until a revoked key must be rejected, for which a host continues to
+"""Share of the time until a revoked key must be rejected, for which a host continues to
 serve without updates from the store. The rest covers a store whose watches receive
 nothing for a second."""
 
--- a/mangoway/edge/delivery.py
+++ b/mangoway/edge/delivery.py
@@ -8,7 +8,11 @@
 
 
 class StreamBrokenError(Exception):
-    """A stream can't continue, for example because an event is missing."""
+    """A stream can't continue.
+
+    Either an event is missing, or a runner responded without a stream although the
+    caller has already received part of one.
+    """
 
 
 @define(eq=False)
--- a/mangoway/edge/plain_grant_provider.py
+++ b/mangoway/edge/plain_grant_provider.py
@@ -34,7 +34,7 @@
     health: HealthTracker = field(factory=HealthTracker, init=False)
 
     def forget_removed_runners(self) -> None:
-        """Forget the failures of runners that were removed."""
+        """Remove the health of runners that are no longer in the fleet."""
         self.health.keep_only(set(self.view.runners))
 
     def find_runner(
--- a/mangoway/edge/request_log.py
+++ b/mangoway/edge/request_log.py
@@ -97,7 +97,7 @@
     def log_failed(
         self, status: int | None, reason: str, runner_id: str | None
     ) -> None:
-        """Log a request that may have run and failed; no status if it was cut off."""
+        """Log a request that may have run and failed; status None if it was cut off."""
         self._count("failed", status or 0)
         log_event(
             log.RequestFailed(
--- a/mangoway/edge/retry_budgets.py
+++ b/mangoway/edge/retry_budgets.py
@@ -32,7 +32,7 @@
         self.get(service).record_request(self.clock(), share)
 
     def try_acquire(self, service: str) -> RetryCredit | None:
-        """Take the credit for one retry; return None if there is none."""
+        """Acquire the credit for one retry; return None if the budget is exhausted."""
         share = self.share.measure(self.boot_clock())
         return self.get(service).try_acquire(self.clock(), share)
 
--- a/mangoway/edge/retry_payment.py
+++ b/mangoway/edge/retry_payment.py
@@ -25,13 +25,13 @@
     """Credit for the current attempt, until it has certainly reached a runner."""
 
     def try_acquire(self) -> bool:
-        """Take a credit for the next retry if needed; return False if none is left."""
+        """Acquire a credit for the next retry if needed; return whether one is held."""
         if self._next is None:
             self._next = self.budgets.try_acquire(self.service)
         return self._next is not None
 
     def begin_attempt(self) -> None:
-        """Assign the credit taken for the next attempt to the attempt that starts."""
+        """Assign the credit for the next attempt to the attempt that starts."""
         self._current, self._next = self._next, None
 
     def settle_attempt(self, *, was_sent: bool) -> None:
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -1,6 +1,7 @@
 """Search for the runners of one request.
 
-Runners with a model engine come with a grant, and plain runners are chosen here.
+A grant names the runner if the service has a model engine. The runners of plain
+services are chosen by this edge.
 """
 
 import asyncio
--- a/mangoway/edge/signal_tracker.py
+++ b/mangoway/edge/signal_tracker.py
@@ -44,7 +44,7 @@
         return len(times)
 
     def keep_only(self, runner_ids: set[str]) -> None:
-        """Forget all other runners."""
+        """Remove all other runners."""
         for runner_id in set(self._times) - runner_ids:
             del self._times[runner_id]
 
@@ -139,7 +139,7 @@
         ]
 
     def keep_only(self, runner_ids: set[str]) -> None:
-        """Forget all other runners."""
+        """Remove all other runners."""
         self.limits.keep_only(runner_ids, self.clock())
         self.cooldowns.keep_only(runner_ids)
         self.sends.keep_only(runner_ids)
--- a/tests/edge/test_cooldowns.py
+++ b/tests/edge/test_cooldowns.py
@@ -97,7 +97,7 @@
         assert await async_count_second_attempts(service, path, first, prepare) == 0
 
     async def test_grant_for_a_runner_in_a_cooldown_is_not_used(self) -> None:
-        """The scheduler may learn of it later than this edge."""
+        """The scheduler may receive the signal later than this edge."""
         async with RawServer(answer(make_ok())) as cooling_down, start_edge() as edge:
             edge.add("r1", cooling_down, "llm")
             start_cooldown(edge, "r1")
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -90,7 +90,7 @@
         assert {each.identity for each in last.charges} == {CRASHING, OTHER}
 
     def test_recently_served_request_is_not_charged(self) -> None:
-        """A request of many callers is running at each runner that is killed."""
+        """A request that many callers send is running whenever any runner is killed."""
         harness = CrashFilterHarness()
         for life in ("l1", "l2", "l3"):
             harness.crash_filter.record_success(OTHER)
--- a/tests/edge/test_identity.py
+++ b/tests/edge/test_identity.py
@@ -25,7 +25,7 @@
 
 
 class TestSameRequest:
-    """Repeats of the same request."""
+    """The same request, sent several times."""
 
     @pytest.mark.parametrize(
         "name", ["X-Request-Id", "X-Deadline-Ms", "Last-Event-Id", "traceparent"]
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -100,7 +100,7 @@
         assert await async_count_second_attempts(service, path, first, prepare) == 0
 
     async def test_grant_for_a_leaving_runner_is_requested_again(self) -> None:
-        """The scheduler may learn of it later than this edge."""
+        """The scheduler may receive the signal later than this edge."""
         async with (
             RawServer(answer(make_ok())) as leaving,
             RawServer(answer(*make_stream(make_event(1)))) as other,
--- a/tests/edge/test_plain_grant_provider.py
+++ b/tests/edge/test_plain_grant_provider.py
@@ -9,7 +9,7 @@
 from ..fakes.fleet import make_runner, make_table
 
 
-def make_placer(view: FleetView) -> PlainGrantProvider:
+def make_grant_provider(view: FleetView) -> PlainGrantProvider:
     return PlainGrantProvider(
         data_centre="dc1",
         view=view,
@@ -25,7 +25,7 @@
         view = FleetView()
         view.apply_table(make_table())
         view.update_runner(make_runner("p1", service="plain"))
-        grant_provider = make_placer(view)
+        grant_provider = make_grant_provider(view)
         grant_provider.record_result("p1", EndKind.UNREACHABLE)
         grant_provider.forget_removed_runners()
         assert not grant_provider.health.record_success("p2")
