--- a/mangoway/policy/configuration/core.py
+++ b/mangoway/policy/configuration/core.py
@@ -262,7 +262,8 @@
 
         A version that is not older than the head version may be applied at once. During
         an outage, another one may be applied once several peers have responded or had
-        the time to. If a newer one was reported, it is awaited for `START_MAX_WAIT_S`.
+        the time to. If a newer one was reported, that one is awaited for up to
+        `START_MAX_WAIT_S`.
         """
         if self._head and version >= self._head:
             return True
