--- a/mangoway/scheduling/connection_backoff.py
+++ b/mangoway/scheduling/connection_backoff.py
@@ -14,18 +14,18 @@
 HANDSHAKE_TIMEOUT_S: Final = 0.5
 HANDSHAKE_TIMEOUT_S_PER_PROCESS: Final = 0.004
 MAX_HANDSHAKE_TIMEOUT_S: Final = 6.0
-"""Time for which a new connection may be silent, the same per process of the system in
-case that is longer, and the maximum. The time doubles with each silent connection. A
-scheduler with half a core completes about 300 handshakes a second. A process that
-disconnects before its turn wastes the scheduler's work and connects again."""
+"""Time for which a new connection may be silent: the minimum, the time per process of
+the system, and the maximum. It doubles with each silent connection. A scheduler
+with half a core completes about 300 handshakes a second. A process that disconnects
+before its turn wastes the scheduler's work and connects again."""
 
 RETRY_DELAY_S: Final = 1.0
 MAX_RETRY_DELAY_S: Final = 4.0
 RETRY_JITTER: Final = 0.25
 """Time for which a silent scheduler is skipped, its maximum as it doubles, and the
-largest random part added to it. The kernel of a host whose processes are frozen still
-accepts connections, and hundreds of processes must not reconnect all at once."""
-
+largest random share of it that is added. The kernel of a host whose processes are
+frozen still accepts connections, and hundreds of processes must not reconnect all at
+once."""
 
 MAX_FAILURES: Final = 6
 """Consecutive failures that are counted; from there on, all times are at their
--- a/mangoway/scheduling/grant_provider.py
+++ b/mangoway/scheduling/grant_provider.py
@@ -79,7 +79,7 @@
         return True
 
     def remove(self, request_id: str) -> None:
-        """Forget a request that no longer waits."""
+        """Remove a request that no longer waits."""
         self._futures.pop(request_id, None)
 
     def pop_all(self) -> "list[tuple[GrantRequest, asyncio.Future[GrantResponse]]]":
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -1,4 +1,4 @@
-"""Server of a scheduler: passes messages to the core and carries out its actions."""
+"""Server of a scheduler: passes messages to the core and executes its actions."""
 
 import asyncio
 from collections.abc import Callable
@@ -128,7 +128,7 @@
         self._send_to_all(self._make_heartbeat())
 
     def _send_to_all(self, message: Message) -> None:
-        """Encode a message once and send it to all; a long one takes a millisecond."""
+        """Send a message to all; it is encoded once, as that may take a millisecond."""
         if not self._links:
             return
         frame = encode_frame([message])
@@ -136,7 +136,7 @@
             link.send_frame(frame)
 
     def handle(self, event: Event) -> None:
-        """Handle an event with the core and carry out its actions."""
+        """Handle an event with the core and execute its actions."""
         self._execute(self.core.handle(event, self.clock()))
 
     def _execute(self, actions: list[Action]) -> None:
--- a/mangoway/scheduling/store_feed.py
+++ b/mangoway/scheduling/store_feed.py
@@ -50,14 +50,14 @@
     """Returns the seconds for which vanished keys are still kept after an outage."""
 
     _links: dict[Link, None] = field(factory=dict, init=False)
-    """Followers that have received a snapshot, in their order."""
+    """Followers that have received a snapshot, in the order in which they got it."""
 
     _waiting: deque[tuple[Link, int]] = field(factory=deque, init=False)
     """Followers that wait for a snapshot, with the revision that each has already."""
 
     _next_turn: asyncio.Handle | None = field(default=None, init=False)
     _pending_changes: dict[str, Change] = field(factory=dict, init=False)
-    """The last change of each key that was not relayed yet, in their order."""
+    """The last change of each key that was not relayed yet, oldest first."""
 
     _recent_changes: deque[Change] = field(factory=deque, init=False)
     """The most recent changes, oldest first."""
@@ -214,7 +214,7 @@
         self._send_to_all(message)
 
     def _send_to_all(self, message: Message) -> None:
-        """Encode a message once and send it to all; a long one takes a millisecond."""
+        """Send a message to all; it is encoded once, as that may take a millisecond."""
         if not self._links:
             return
         frame = encode_frame([message])
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -28,7 +28,7 @@
 
 @asynccontextmanager
 async def start_two() -> AsyncIterator[tuple[Scheduler, Scheduler, Edge]]:
-    """Start a leader, a standby, and an edge that knows both and follows the leader."""
+    """Start a leader, a standby, and an edge with both in its view, at the leader."""
     leader, standby, edge = Scheduler(), Scheduler(), Edge()
     standby.leading = False
     try:
@@ -143,7 +143,7 @@
             assert isinstance(granted, Grant)
 
     async def test_edge_returns_to_a_leader_that_still_leads(self) -> None:
-        """A standby that hears the leader grants nothing, so the edge must leave it."""
+        """A standby with a live leader grants nothing, so the edge must leave it."""
         async with start_two() as (leader, _standby, edge):
             first = edge.view.leader
             assert first is not None
