--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run soaks: `python -m tests.soak --seeds 50`."""
+"""Command line of the soak test: `python -m tests.soak --seeds 50`."""
 
 import argparse
 import asyncio
@@ -12,17 +12,24 @@
 
 
 def main() -> None:
-    """Run soaks of the given or of fresh seeds; exit code 1 if one fails."""
+    """Run soaks with the given or new random seeds; exit with 1 if one fails."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=4, help="how many fresh seeds")
-    parser.add_argument("--seed", type=int, action="append", help="a certain seed")
+    parser.add_argument(
+        "--seeds", type=int, default=4, help="number of new random seeds"
+    )
+    parser.add_argument(
+        "--seed",
+        type=int,
+        action="append",
+        help="seed to run; may be given several times",
+    )
     parser.add_argument("--at-once", type=int, default=2)
     parser.add_argument("--fault-s", type=float, default=FAULT_S)
     parser.add_argument(
-        "--crashing", type=int, help="requests that make their runners crash"
+        "--crashing", type=int, help="number of requests that crash their runners"
     )
     parser.add_argument("--edges", type=int, default=EDGES, help="number of edges")
-    parser.add_argument("--folder", type=Path, help="where logs are kept")
+    parser.add_argument("--folder", type=Path, help="folder for the logs")
     options = parser.parse_args()
     seeds = options.seed or [
         SystemRandom().randrange(1, 10**9) for _ in range(options.seeds)
@@ -38,7 +45,7 @@
             options.edges,
         )
     )
-    failed = [each.seed for each in results if each.broken]
+    failed = [each.seed for each in results if each.violations]
     print(f"{len(results)} seeds, {len(failed)} failed {failed}; logs in {folder}")
     sys.exit(1 if failed else 0)
 
@@ -51,11 +58,11 @@
     crashing: int | None = None,
     edges: int = EDGES,
 ) -> list[Result]:
-    """Run soaks, a few at a time."""
-    places = asyncio.Semaphore(at_once)
+    """Run soaks, at most `at_once` at a time."""
+    slots = asyncio.Semaphore(at_once)
 
     async def async_one(seed: int) -> Result:
-        async with places:
+        async with slots:
             logs = folder / str(seed)
             logs.mkdir(parents=True, exist_ok=True)
             result = await async_soak(seed, logs, fault_s, crashing, edges)
@@ -66,15 +73,16 @@
 
 
 def print_result(result: Result) -> None:
-    """Print what a soak showed."""
-    verdict = "FAILED" if result.broken else "held"
+    """Print the result of a soak."""
+    verdict = "FAILED" if result.violations else "held"
     print(
         f"seed {result.seed}: {verdict}, {result.served} of {result.calls} served; "
-        f"{result.crashes} crashes by requests, {result.held_back} others held back; "
+        f"{result.crashes} crashes by requests, "
+        f"{result.wrongly_blocked} other requests blocked; "
         f"{', '.join(result.faults)}",
         flush=True,
     )
-    for each in result.broken[:10]:
+    for each in result.violations[:10]:
         print(f"  {each}", flush=True)
 
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they ask for addresses, keep connections, and read answers closely."""
+"""Callers that resolve addresses, reuse connections and check responses."""
 
 import asyncio
 import time
@@ -9,15 +9,15 @@
 from attrs import define, field
 
 from .records import RETRY_STATUSES, Call, Kind, Records
-from .runners import CRASH_MARK, EVENTS
+from .runners import CRASH_MARK, EVENT_COUNT
 
 DEADLINE_S = 3.0
 GIVE_UP_SHARE = 0.03
 RETRIES = 3
-"""Times that a caller sends a request again that was refused or has failed."""
+"""Maximum number of times that a caller resends a rejected or failed request."""
 
 EQUAL_SHARE = 0.2
-"""Part of the requests that differ from others by their model only."""
+"""Share of the requests that differ from each other by their model only."""
 
 DIRECTORY_TIMEOUT_S = 1.0
 HOST = "soak.example"
@@ -30,23 +30,23 @@
 CHOICES = (Kind.SAFE, Kind.ONCE, Kind.ONCE, Kind.STREAM, Kind.STREAM, Kind.FIXED_STREAM)
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
-_numbers = count(1)
+_request_numbers = count(1)
 
 
 @define(eq=False)
 class Caller:
-    """One caller with its kept connections."""
+    """A caller that reuses its connections."""
 
     random: Random
     records: Records
     directories: list[str]
     models: list[str]
-    wanted: list[str]
-    """Models that most requests are for; the soak moves them."""
+    popular_models: list[str]
+    """Models that most requests use; a fault of the soak changes them."""
 
     _addresses: list[str] = field(factory=list, init=False)
-    _until: float = field(default=0.0, init=False)
-    _avoided: set[str] = field(factory=set, init=False)
+    _addresses_valid_until: float = field(default=0.0, init=False)
+    _avoided_edges: set[str] = field(factory=set, init=False)
 
     async def async_run(self) -> None:
         """Send requests until cancelled."""
@@ -56,22 +56,22 @@
                 if edge is None:
                     await asyncio.sleep(0.1)
                     continue
-                await self._async_ask(session, edge)
+                await self._async_send(session, edge)
                 await asyncio.sleep(self.random.uniform(0.01, 0.1))
 
-    async def _async_ask(self, session: aiohttp.ClientSession, edge: str) -> None:
-        """Send a request, and again under other ids where that does no harm."""
+    async def _async_send(self, session: aiohttp.ClientSession, edge: str) -> None:
+        """Send a request, and resend it under new ids where that is safe."""
         kind = self.random.choice(CHOICES)
         call = await self.async_call(session, edge, kind)
         for _ in range(RETRIES):
-            again = call.status in RETRY_STATUSES or not kind.runs_once
-            if call.whole or call.given_up or not again:
+            may_resend = call.status in RETRY_STATUSES or not kind.runs_once
+            if call.whole or call.given_up or not may_resend:
                 return
             await asyncio.sleep(self.random.uniform(0.02, 0.1))
-            other = await self._async_choose(session)
-            if other is None:
+            other_edge = await self._async_choose(session)
+            if other_edge is None:
                 return
-            call = await self.async_call(session, other, kind, like=call)
+            call = await self.async_call(session, other_edge, kind, like=call)
 
     async def async_call(
         self,
@@ -82,17 +82,17 @@
         crashing: str = "",
         like: Call | None = None,
     ) -> Call:
-        """Send one request and read its answer.
+        """Send one request and check its response.
 
         Args:
-            session: Keeps the connections.
-            edge: Where to send it.
-            kind: What may be repeated.
+            session: HTTP session with the reused connections.
+            edge: Address of the edge.
+            kind: Whether the request may be retried or resumed.
             version: Configuration that added its route; None: the first one.
-            crashing: Name of the request if it makes its runners crash.
-            like: An earlier one that it is, but for its id; None: it is a new one.
+            crashing: Name of the request if it crashes its runners.
+            like: Earlier call with the same content; None for a new request.
         """
-        request_id = f"{next(_numbers):08x}"
+        request_id = f"{next(_request_numbers):08x}"
         call = Call(
             request_id=request_id,
             kind=kind,
@@ -105,9 +105,9 @@
         call.key = self._choose_key(call, like)
         path = PATHS[kind] if version is None else f"/added-{version}/x"
         self.records.calls[request_id] = call
-        leaves = self.random.random() < GIVE_UP_SHARE and version is None
-        leaves = leaves and not crashing
-        patience_s = 0.05 if leaves else DEADLINE_S + 1.0
+        gives_up = self.random.random() < GIVE_UP_SHARE and version is None
+        gives_up = gives_up and not crashing
+        patience_s = 0.05 if gives_up else DEADLINE_S + 1.0
         try:
             async with asyncio.timeout(patience_s):
                 await self._async_exchange(session, call, f"http://{edge}{path}")
@@ -115,10 +115,10 @@
             call.given_up = True
         except CONNECT_ERRORS:
             del self.records.calls[request_id]
-            self._avoided.add(edge)
+            self._avoided_edges.add(edge)
         except (aiohttp.ClientError, ConnectionError):
-            call.broken = True
-            self._avoided.add(edge)
+            call.was_disconnected = True
+            self._avoided_edges.add(edge)
         call.ended_at = time.monotonic()
         return call
 
@@ -141,52 +141,52 @@
         async with session.post(url, headers=headers, data=body) as response:
             call.status = response.status
             call.signature = response.headers.get("X-Response-Signature", "")
-            self._note_signals(call, response)
+            self._record_signals(call, response)
             answer = await response.read()
         if call.status == 200:
             call.whole = True
-            call.mixed = find_fault(call, answer.decode())
+            call.mixed = find_response_fault(call, answer.decode())
         elif call.status in RETRY_STATUSES:
             call.reason = answer.decode()
             retry_after_s = float(response.headers.get("Retry-After") or 0)
             await asyncio.sleep(min(retry_after_s, DEADLINE_S / 3))
 
-    def _note_signals(self, call: Call, response: aiohttp.ClientResponse) -> None:
-        """Note what a runner's answer, as an edge has passed it on, says of it."""
+    def _record_signals(self, call: Call, response: aiohttp.ClientResponse) -> None:
+        """Record the signals of a runner that an edge forwarded with its response."""
         runner_id = call.signature.partition(".")[0]
         signals = self.records.signals
         if "Server-Limit" in response.headers:
-            signals.note_passed_on(signals.limits, runner_id, call.edge)
+            signals.record_forwarded(signals.limits, runner_id, call.edge)
         if "Server-Leaving" in response.headers:
-            signals.note_passed_on(signals.leaving, runner_id, call.edge)
+            signals.record_forwarded(signals.leaving, runner_id, call.edge)
 
     def _choose_fields(self, call: Call, like: Call | None) -> None:
-        """Choose what tells a request from others."""
+        """Choose the model and the prompt of a request."""
         if like is not None:
             call.model, call.subject = like.model, like.subject
             return
         popular = self.random.random() < 0.8
-        call.model = self.random.choice(self.wanted if popular else self.models)
+        call.model = self.random.choice(self.popular_models if popular else self.models)
         call.subject = call.request_id.lstrip("0")
         if call.crashing:
-            call.model, call.subject = self.wanted[0], "c"
+            call.model, call.subject = self.popular_models[0], "c"
         elif self.random.random() < EQUAL_SHARE:
             call.subject = "e"
 
     def _choose_key(self, call: Call, like: Call | None) -> str:
-        """Choose the key that a request shows; the same one when it comes again."""
+        """Choose the API key of a request; a resent request keeps its key."""
         if like is not None:
             return like.key
         customers = self.records.customers
         if call.crashing:
-            return customers.get_first()
+            return customers.get_first_key()
         return customers.choose(self.random, good=call.version is not None)
 
     async def _async_choose(self, session: aiohttp.ClientSession) -> str | None:
-        if time.monotonic() > self._until or not self._addresses:
+        if time.monotonic() > self._addresses_valid_until or not self._addresses:
             await self._async_resolve(session)
-        left = [each for each in self._addresses if each not in self._avoided]
-        return self.random.choice(left or self._addresses or [""]) or None
+        usable = [each for each in self._addresses if each not in self._avoided_edges]
+        return self.random.choice(usable or self._addresses or [""]) or None
 
     async def _async_resolve(self, session: aiohttp.ClientSession) -> None:
         for directory in self.random.sample(self.directories, len(self.directories)):
@@ -200,14 +200,16 @@
                 continue
             if answer.get("addresses"):
                 self._addresses = answer["addresses"]
-                self._until = time.monotonic() + min(5.0, answer["ttl_s"])
-                self._avoided.clear()
+                self._addresses_valid_until = time.monotonic() + min(
+                    5.0, answer["ttl_s"]
+                )
+                self._avoided_edges.clear()
                 return
 
 
 @define(eq=False)
 class CrashingCaller(Caller):
-    """A caller that sends one request, which makes its runners crash, for ever."""
+    """A caller that keeps sending one request that crashes its runners."""
 
     kind: Kind = Kind.SAFE
     name: str = ""
@@ -223,13 +225,13 @@
                 await asyncio.sleep(self.random.uniform(0.1, 0.4))
 
 
-def find_fault(call: Call, text: str) -> str:
-    """Return what is wrong with a success; empty if nothing is."""
+def find_response_fault(call: Call, text: str) -> str:
+    """Return the fault of a successful response; empty if there is none."""
     if call.kind in (Kind.SAFE, Kind.ONCE):
-        wanted = f"{call.request_id} 50"
-        return "" if text == wanted else f"body {text!r}"
+        expected_body = f"{call.request_id} 50"
+        return "" if text == expected_body else f"body {text!r}"
     expected = "".join(
         f"id: {number}\ndata: {call.request_id} {number}\n\n"
-        for number in range(1, EVENTS + 1)
+        for number in range(1, EVENT_COUNT + 1)
     )
     return "" if text == expected else f"events {text!r}"
--- a/tests/soak/customers.py
+++ b/tests/soak/customers.py
@@ -1,4 +1,4 @@
-"""Customers of a soak: their keys, and what must hold of requests that show them."""
+"""Customers of a soak, their API keys and the checks of requests that use them."""
 
 import time
 from pathlib import Path
@@ -8,22 +8,22 @@
 from attrs import define, field
 
 REVOKE_S = 5.0
-"""Time after which a key that was taken away lets nobody in, on no host."""
+"""Time after which every host rejects a removed key."""
 
 KNOWN_S = 2.0
-"""Time after which no host says any more that it doesn't know a key."""
+"""Time after which every host accepts a new key."""
 
-BAD_SHARE = 0.05
-"""Part of the requests that show a key that was never in force, or is no more."""
+INVALID_KEY_SHARE = 0.05
+"""Share of the requests with a removed key or a key that never existed."""
 
 NAMES = ("acme", "borealis")
-STRANGER = "stranger-0f3d9a51c7"
-"""A key that no configuration ever held."""
+UNKNOWN_KEY = "stranger-0f3d9a51c7"
+"""A key that never was in any configuration."""
 
 
 @define(eq=False)
 class Key:
-    """A key of a customer, and when the store took it and its end."""
+    """API key of a customer, with the times of its acceptance and its removal."""
 
     text: str
     customer: str
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class Customers:
-    """All keys that there were."""
+    """All current and removed keys."""
 
     random: Random
     keys: list[Key] = field(factory=list, init=False)
@@ -43,7 +43,7 @@
             self._add(name)
 
     def make_document(self) -> list[dict[str, Any]]:
-        """Return the customers as the operator writes them."""
+        """Return the customers as they stand in the configuration."""
         return [
             {
                 "name": name,
@@ -57,21 +57,21 @@
             for number, name in enumerate(NAMES)
         ]
 
-    def note_accepted(self, now: float) -> None:
-        """Note that the store has taken the customers as they are."""
+    def record_accepted(self, now: float) -> None:
+        """Record that the store accepted the current keys."""
         for each in self.keys:
             if each.accepted_at is None:
                 each.accepted_at = now
 
     def change_key(self, now: float) -> None:
-        """Give a customer another key, and take the older ones away."""
+        """Replace the keys of a random customer by a new one."""
         name = self.random.choice(NAMES)
         for each in self.list_keys(name):
             each.removed_at = now
         self._add(name)
 
     def list_keys(self, customer: str) -> list[Key]:
-        """Return the keys of a customer that are in force."""
+        """Return the current keys of a customer."""
         return [
             each
             for each in self.keys
@@ -79,11 +79,16 @@
         ]
 
     def choose(self, random: Random, *, good: bool) -> str:
-        """Return a key for a request, in one of some a bad one."""
+        """Return a key for a request.
+
+        Args:
+            random: Source of the choice.
+            good: Whether the key must be accepted; else some are invalid.
+        """
         now = time.monotonic()
-        if not good and random.random() < BAD_SHARE:
+        if not good and random.random() < INVALID_KEY_SHARE:
             old = [each.text for each in self.keys if each.removed_at is not None]
-            return random.choice([STRANGER, *old])
+            return random.choice([UNKNOWN_KEY, *old])
         known = [
             each.text
             for each in self.keys
@@ -93,34 +98,34 @@
         ]
         return random.choice(known) if known else self.keys[0].text
 
-    def get_first(self) -> str:
-        """Return the first key that is in force, for who always shows the same."""
+    def get_first_key(self) -> str:
+        """Return the first current key, for callers that keep using one key."""
         return next(each.text for each in self.keys if each.removed_at is None)
 
     def check(self, key: str, sent_at: float, status: int | None, ran: bool) -> str:
-        """Return what is wrong with how a request was treated; empty if nothing is."""
+        """Return the fault in the handling of a request; empty if there is none."""
         if not key:
             return ""
         found = next((each for each in self.keys if each.text == key), None)
         if found is None:
-            return "a stranger's request ran" if ran else ""
+            return "a request with an unknown key ran" if ran else ""
         removed_at = found.removed_at
         if removed_at is not None:
             late = sent_at > removed_at + REVOKE_S
-            return "it ran with a key that was taken away" if ran and late else ""
+            return "it ran with a removed key" if ran and late else ""
         accepted_at = found.accepted_at
         is_old = accepted_at is not None and sent_at - accepted_at > KNOWN_S
-        return "its key was said to be unknown" if status == 401 and is_old else ""
+        return "its valid key was rejected" if status == 401 and is_old else ""
 
     def find_owner(self, key: str) -> str:
-        """Return the customer whose key it is or was; empty for a stranger's."""
+        """Return the customer that a key belongs to; empty for an unknown key."""
         return next((each.customer for each in self.keys if each.text == key), "")
 
     def find_in_logs(self, folder: Path) -> list[str]:
-        """Return what the logs of a folder tell of keys."""
-        texts = [STRANGER, *(each.text for each in self.keys)]
+        """Return a violation for each log file in a folder that contains a key."""
+        texts = [UNKNOWN_KEY, *(each.text for each in self.keys)]
         return [
-            f"key: a key stands in {path.name}"
+            f"key: {path.name} contains a key"
             for path in sorted(folder.rglob("*"))
             if path.is_file()
             and any(each in path.read_text(errors="replace") for each in texts)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,8 @@
-"""Faults of a soak; each runs for a while, and several overlap."""
+"""Faults of a soak; each lasts for some time, and several may overlap.
+
+The names of the functions that `fault` and `plan` register are printed, and sorted
+for the random choice.
+"""
 
 import asyncio
 import time
@@ -12,17 +16,17 @@
 from .store import StoreFault
 from .world import MODELS, Node, World
 
-REFUSING_SHARE = 0.6
-"""Part of the spells in which runners refuse; in the others they fail."""
+REJECTING_SHARE = 0.6
+"""Share of the periods in which runners reject requests; else they fail them."""
 
 START_S = 3.0
-"""Time in which a process starts on a busy machine."""
+"""Time in which a process starts on a busy host."""
 
 Fault = Callable[[World], Awaitable[None]]
 FAULTS: dict[str, Fault] = {}
 PLANNED: set[str] = set()
-"""Names of those that are planned work or none of the system's trouble: bounds in time
-hold beside them."""
+"""Names of the faults that are planned work or no fault of the system; time bounds
+hold during them."""
 
 
 def fault(call: Fault) -> Fault:
@@ -39,7 +43,7 @@
 
 @fault
 async def async_kill_process(world: World) -> None:
-    """Kill a process; it starts again."""
+    """Kill a process, which is restarted."""
     node = _choose(world)
     if node is not None and node.process is not None:
         span = world.records.begin(f"kill {node.name}")
@@ -64,7 +68,7 @@
 
 @fault
 async def async_freeze_process(world: World) -> None:
-    """Pause a process, and let it go on."""
+    """Pause a process, and resume it."""
     node = _choose(world)
     if node is None or node.process is None:
         return
@@ -79,7 +83,7 @@
 
 @plan
 async def async_restart_process(world: World) -> None:
-    """Ask a process to stop: it must break nothing off; it starts again."""
+    """Stop a process by SIGTERM, which must not interrupt requests; it is restarted."""
     node = _choose(world)
     if node is None or node.process is None or len(world.list_nodes("edge")) < 2:
         return
@@ -87,22 +91,22 @@
     node.stopping = True
     process = node.process
     process.terminate()
-    # A process that was frozen meanwhile ends once it goes on.
+    # A process that another fault paused meanwhile ends once it is resumed.
     with _disturb(world, node):
         code = await process.async_wait(20.0)
-    world.records.signals.forget(node.callers)
-    # While it starts it doesn't take signals yet, and has nothing to break off.
+    world.records.signals.remove_edge(node.callers)
+    # A process that is still starting handles no signals yet, and has no requests.
     starting = span.began - node.started_at < START_S
-    calm = world.records.is_calm(span.began, time.monotonic())
-    if code != 0 and calm and not starting:
-        world.records.broken.append(f"exit: {node.name} stopped with {code}")
+    is_undisturbed = world.records.has_no_fault(span.began, time.monotonic())
+    if code != 0 and is_undisturbed and not starting:
+        world.records.violations.append(f"exit: {node.name} stopped with {code}")
     await asyncio.sleep(1.0)
     _end(span)
 
 
 @fault
 async def async_hurt_store(world: World) -> None:
-    """Let the store refuse, fall silent, be slow, or lose answers."""
+    """Let the store reject calls, stop responding, be slow, or lose responses."""
     kinds = [each for each in StoreFault if each is not StoreFault.NONE]
     kind = world.random.choice(kinds)
     span = world.records.begin(f"store {kind.value}")
@@ -114,8 +118,8 @@
 
 @plan
 async def async_forget_history(world: World) -> None:
-    """Let the store drop its history."""
-    world.store.forget_history()
+    """Let the store discard its history of changes."""
+    world.store.discard_history()
 
 
 @fault
@@ -143,7 +147,7 @@
 
 @fault
 async def async_mute_open_connections(world: World) -> None:
-    """Let open connections to a runner or the store go silent, while new ones work."""
+    """Drop all data on open connections to a runner or the store; new ones work."""
     relays = [each.store_relay for each in world.nodes]
     relays += [each.relay for each in world.runners if each.relay is not None]
     span = world.records.begin("mute connections")
@@ -154,7 +158,7 @@
 
 @fault
 async def async_cut_runner(world: World) -> None:
-    """Reset or silence all connections to a runner."""
+    """Reset all connections to a runner, or drop what it sends."""
     runner = world.random.choice(world.runners)
     if runner.relay is None:
         return
@@ -171,7 +175,7 @@
 
 @fault
 async def async_crash_runner(world: World) -> None:
-    """Let a runner crash; another one comes, empty."""
+    """Crash a runner, and start another one without models."""
     runner = world.random.choice(world.runners)
     if len(_list_peers(world, runner.service)) < 2:
         return
@@ -186,7 +190,7 @@
 
 @plan
 async def async_replace_runner(world: World) -> None:
-    """Start a runner, and drain another."""
+    """Start a runner, and drain another one."""
     leaving = world.random.choice(world.runners)
     models: dict[str, set[str]] | None = None if leaving.models is None else {}
     await world.async_add_runner(leaving.service, models)
@@ -196,64 +200,64 @@
 
 @fault
 async def async_break_answers(world: World) -> None:
-    """Let a runner lose a part of its answers after it ran them."""
+    """Let a runner lose a share of its responses after it ran the requests."""
     runner = world.random.choice(world.runners)
     span = world.records.begin(f"answers of {runner.runner_id}")
-    runner.failing = 0.3
+    runner.fail_share = 0.3
     await asyncio.sleep(world.random.uniform(0.5, 3.0))
-    runner.failing = 0.0
+    runner.fail_share = 0.0
     _end(span)
 
 
-async def async_refuse_in_spells(world: World, random: Random) -> None:
-    """Let runners refuse or fail most requests in spells, until cancelled.
+async def async_reject_periodically(world: World, random: Random) -> None:
+    """Let runners reject or fail most requests for some periods, until cancelled.
 
-    Repeats are wanted then, beside whatever faults the seed brings.
+    This causes many retries during the other faults of the seed.
     """
     while True:
         await asyncio.sleep(random.uniform(0.5, 3.0))
         span = world.records.begin("runners refuse")
-        refusing = random.random() < REFUSING_SHARE
+        is_rejecting = random.random() < REJECTING_SHARE
         for runner in world.runners:
-            runner.shedding = 0.9 if refusing else 0.0
-            runner.failing = 0.0 if refusing else 0.9
+            runner.reject_share = 0.9 if is_rejecting else 0.0
+            runner.fail_share = 0.0 if is_rejecting else 0.9
         await asyncio.sleep(random.uniform(0.5, 3.0))
         for runner in world.runners:
-            runner.shedding = runner.failing = 0.0
+            runner.reject_share = runner.fail_share = 0.0
         _end(span)
 
 
-async def async_say_in_spells(world: World, random: Random) -> None:
-    """Let runners limit, rest and leave in spells that overlap, until cancelled."""
-    ways = (_async_limit, _async_limit, _async_rest, _async_leave)
+async def async_signal_periodically(world: World, random: Random) -> None:
+    """Let runners send limits, cooldowns and leaving signals, until cancelled."""
+    signal_kinds = (_async_limit, _async_limit, _async_rest, _async_leave)
     while True:
         await asyncio.sleep(random.uniform(0.2, 1.2))
         runner = random.choice(world.runners)
-        world.start_task(random.choice(ways)(world, runner, random))
+        world.start_task(random.choice(signal_kinds)(world, runner, random))
 
 
 async def _async_limit(world: World, runner: RunnerStandIn, random: Random) -> None:
-    """Let a runner name a limit that what it got just before doesn't exceed."""
+    """Let a runner send a limit that its recent requests don't exceed."""
     if runner.limit is not None:
         return
-    lately = world.records.signals.count_lately(runner.runner_id)
-    least = (lately - LIMIT_SLACK) / LIMIT_WINDOW_S
-    runner.name_limit(round(max(random.uniform(0.0, 6.0), least), 2))
+    recent = world.records.signals.count_recent(runner.runner_id)
+    min_limit = (recent - LIMIT_SLACK) / LIMIT_WINDOW_S
+    runner.start_limit(round(max(random.uniform(0.0, 6.0), min_limit), 2))
     await asyncio.sleep(random.uniform(2.0, 8.0))
-    runner.lift_limit()
+    runner.end_limit()
 
 
 async def _async_rest(world: World, runner: RunnerStandIn, random: Random) -> None:
-    """Let a runner refuse most requests, and ask for rest each time."""
+    """Let a runner reject most requests with a cooldown."""
     span = world.records.begin("runners refuse")
-    runner.shedding, runner.rest_s = 0.9, random.uniform(0.6, 3.0)
+    runner.reject_share, runner.cooldown_s = 0.9, random.uniform(0.6, 3.0)
     await asyncio.sleep(random.uniform(1.0, 5.0))
-    runner.shedding = runner.rest_s = 0.0
+    runner.reject_share = runner.cooldown_s = 0.0
     _end(span)
 
 
 async def _async_leave(world: World, runner: RunnerStandIn, random: Random) -> None:
-    """Let a runner say that it leaves before the store hears of it."""
+    """Let a runner signal that it leaves before its entry in the store does."""
     if runner not in world.runners or runner.leaving is not None:
         return
     models: dict[str, set[str]] | None = None if runner.models is None else {}
@@ -261,14 +265,14 @@
     if runner not in world.runners:
         return
     world.runners.remove(runner)
-    runner.say_leaving()
+    runner.start_leaving()
     await asyncio.sleep(random.uniform(1.0, 3.0) * DRAIN_S)
     await runner.async_drain()
 
 
 @plan
 async def async_change_configuration(world: World) -> None:
-    """Let the operator write several versions one after the other."""
+    """Write several versions of the configuration in succession."""
     for _ in range(world.random.randrange(1, 4)):
         world.write_configuration()
         await asyncio.sleep(world.random.uniform(0.05, 0.5))
@@ -277,14 +281,14 @@
 
 @plan
 async def async_take_key_away(world: World) -> None:
-    """Let the operator give a customer another key."""
+    """Replace the API keys of a customer."""
     world.records.customers.change_key(time.monotonic())
     world.write_configuration()
 
 
 @fault
 async def async_cut_off_and_take_key_away(world: World) -> None:
-    """Cut several processes from the store, and take a key away meanwhile."""
+    """Cut several processes from the store, and replace a key meanwhile."""
     nodes = world.random.sample(world.nodes, max(1, len(world.nodes) // 2))
     span = world.records.begin(f"cut {len(nodes)} from the store")
     for node in nodes:
@@ -302,8 +306,8 @@
 
 @plan
 async def async_move_demand(world: World) -> None:
-    """Let other models be the popular ones."""
-    world.wanted[:] = world.random.sample(MODELS, len(world.wanted))
+    """Change the models that most requests use."""
+    world.popular_models[:] = world.random.sample(MODELS, len(world.popular_models))
 
 
 def _choose(world: World) -> Node | None:
@@ -319,7 +323,7 @@
 def _disturb(
     world: World, node: Node, *, ended: bool = False, cut: bool = False
 ) -> Iterator[None]:
-    """Excuse a node from what an edge is bound to, for as long as this lasts."""
+    """Record that a node is disturbed while the context lasts."""
     signals = world.records.signals
     disturbance = signals.disturb(node.callers, cut=cut)
     try:
@@ -327,7 +331,7 @@
     finally:
         disturbance.ended = time.monotonic()
         if ended:
-            signals.forget(node.callers)
+            signals.remove_edge(node.callers)
 
 
 def _end(span: Span) -> None:
--- a/tests/soak/runners.py
+++ b/tests/soak/runners.py
@@ -1,4 +1,4 @@
-"""Stand-ins of runners: plain ones, and engines that hold models."""
+"""Stand-ins for runners: plain ones, and engines with loaded models."""
 
 import asyncio
 import time
@@ -13,33 +13,33 @@
 
 from ..stand_ins.relay import Relay
 from .records import Records, Run
-from .signals import Leaving, LimitSpell
+from .signals import Leaving, LimitPeriod
 from .store import StoreStandIn
 
-EVENTS = 12
-EVENT_S = 0.04
+EVENT_COUNT = 12
+EVENT_INTERVAL_S = 0.04
 WORK_S = 0.03
 LOAD_S = 0.3
 DISK_LOAD_S = 0.15
-ROOM = 3
-"""Models that fit an engine's memory."""
+MODEL_CAPACITY = 3
+"""Number of models that fit an engine's memory."""
 
 ADAPTER_SLOTS = 4
 CRASH_MARK = b"crash:"
-"""What the body of a request begins with that makes its runner crash."""
+"""Prefix of the body of a request that crashes its runner."""
 
 CRASH_AFTER_S = 0.05
-"""Time from the begin of such a request to the crash."""
+"""Time from the start of such a request to the crash."""
 
-STAY_S = 4.0
-"""Time for which a leaving runner still serves."""
+DRAIN_SERVING_S = 4.0
+"""Time for which a draining runner still serves."""
 
-_numbers = count(1)
+_run_numbers = count(1)
 
 
 @define(eq=False)
 class RunnerStandIn:
-    """One life of a runner, announced in the store through a relay."""
+    """One incarnation of a runner, announced in the store and reached by a relay."""
 
     service: str
     data_centre: str
@@ -50,36 +50,36 @@
     """Models and their adapters; None for a plain service."""
 
     on_crash: "Callable[[RunnerStandIn], None]" = lambda runner: None
-    """Told when a request makes it crash."""
+    """Called when a request crashes the runner."""
 
-    runner_id: str = field(factory=lambda: f"i-{next(_numbers):04d}", init=False)
+    runner_id: str = field(factory=lambda: f"i-{next(_run_numbers):04d}", init=False)
     relay: Relay | None = field(default=None, init=False)
     draining: bool = field(default=False, init=False)
-    failing: float = field(default=0.0, init=False)
-    """Share of the requests that fail, or lose their answers, after they ran."""
+    fail_share: float = field(default=0.0, init=False)
+    """Share of the requests that fail, or lose their responses, after they ran."""
 
-    shedding: float = field(default=0.0, init=False)
-    """Share of the requests that it refuses as not run."""
+    reject_share: float = field(default=0.0, init=False)
+    """Share of the requests that it rejects as not run."""
 
-    rest_s: float = field(default=0.0, init=False)
-    """Rest that it asks for when it refuses a request; 0: it asks for none."""
+    cooldown_s: float = field(default=0.0, init=False)
+    """Cooldown that it sends when it rejects a request; 0 for none."""
 
-    limit: LimitSpell | None = field(default=None, init=False)
-    """What its answers say of the requests a second that it takes."""
+    limit: LimitPeriod | None = field(default=None, init=False)
+    """Limit on its requests a second that its responses carry."""
 
     leaving: Leaving | None = field(default=None, init=False)
-    """What its answers say of its leaving."""
+    """Leaving signal that its responses carry."""
 
     _site: web.AppRunner | None = field(default=None, init=False)
     _order_count: int = field(default=0, init=False)
     _busy_until: float = field(default=0.0, init=False)
     _fence: tuple[int, str] = field(default=(0, ""), init=False)
-    _beats: int = field(default=0, init=False)
+    _heartbeat_count: int = field(default=0, init=False)
     _active: int = field(default=0, init=False)
     _crashed: bool = field(default=False, init=False)
 
     async def async_start(self) -> None:
-        """Listen, and announce the runner."""
+        """Start to listen, and announce the runner."""
         app = web.Application()
         app.router.add_get("/v1/report", self._async_report)
         app.router.add_post("/v1/order", self._async_order)
@@ -92,7 +92,7 @@
         self.announce()
 
     async def async_crash(self, *, removed: bool = True) -> None:
-        """End at once, with all that runs."""
+        """Stop at once, and abort all requests."""
         if removed:
             self.store.remove(f"servers/{self.runner_id}")
             self.records.leaving.setdefault(self.runner_id, time.monotonic())
@@ -102,17 +102,17 @@
             await self._site.cleanup()
 
     async def async_drain(self) -> None:
-        """Announce the leaving, serve on for a while, and end."""
+        """Announce that the runner leaves, serve for some more time, and stop."""
         self.draining = True
         self.announce()
         self.records.leaving[self.runner_id] = time.monotonic()
-        await asyncio.sleep(STAY_S)
+        await asyncio.sleep(DRAIN_SERVING_S)
         await self.async_crash()
 
     def announce(self) -> None:
-        """Write the runner's entry."""
+        """Write the runner's entry to the store."""
         assert self.relay is not None
-        self._beats += 1
+        self._heartbeat_count += 1
         fields: dict[str, Any] = {
             "service": self.service,
             "address": self.relay.relay_address,
@@ -120,7 +120,7 @@
             "version": 1,
             "slots": 8,
             "state": "draining" if self.draining else "ready",
-            "seq": self._beats,
+            "seq": self._heartbeat_count,
         }
         if self.models is not None:
             fields |= {"phase": "colocated", "models": self._list_models()}
@@ -149,65 +149,65 @@
 
     async def _async_order(self, request: web.Request) -> web.Response:
         order = await request.json()
-        status = self._judge_order(request, order)
+        status = self._find_rejection(request, order)
         if status is not None:
             return web.json_response({}, status=status)
         self._order_count += 1
-        return web.json_response({}, status=self._carry_out(order))
+        return web.json_response({}, status=self._execute_order(order))
 
-    def _judge_order(self, request: web.Request, order: Any) -> int | None:
-        """Return the status of an order that is refused; None if it is not."""
+    def _find_rejection(self, request: web.Request, order: Any) -> int | None:
+        """Return the status of a rejected order; None if it is accepted."""
         if request.headers.get("X-Expect-Instance") != self.runner_id:
             return 421
         fence, holder = int(order["fence"]), str(order["holder"])
         if fence < self._fence[0]:
             return 412
         if fence == self._fence[0] and holder != self._fence[1]:
-            self.records.broken.append(f"one: two holders use the fence {fence}")
+            self.records.violations.append(f"one: two schedulers use the fence {fence}")
         self._fence = (fence, holder)
         if time.monotonic() < self._busy_until:
             return 409
-        wanted = order.get("precondition")
-        return 409 if wanted not in (None, self._order_count) else None
+        expected_count = order.get("precondition")
+        return 409 if expected_count not in (None, self._order_count) else None
 
-    def _carry_out(self, order: Any) -> int:
+    def _execute_order(self, order: Any) -> int:
         models = self.models if self.models is not None else {}
         name, adapter = order["model"], order.get("adapter")
-        load = order["operation"] == "model_load"
+        is_load = order["operation"] == "model_load"
         if adapter:
             adapters = models.get(name)
             if adapters is None:
                 return 400
-            if load:
+            if is_load:
                 adapters.add(adapter)
             else:
                 adapters.discard(adapter)
-        elif load:
+        elif is_load:
             self._busy_until = time.monotonic() + LOAD_S
             models[name] = set()
         else:
             models.pop(name, None)
-        held = sum(len(each) for each in models.values())
-        if len(models) > ROOM or held > ADAPTER_SLOTS:
-            self.records.broken.append(f"limit: {self.runner_id} holds {models}")
-        return 202 if load or not adapter else 200
+        adapter_count = sum(len(each) for each in models.values())
+        if len(models) > MODEL_CAPACITY or adapter_count > ADAPTER_SLOTS:
+            self.records.violations.append(f"limit: {self.runner_id} holds {models}")
+        return 202 if is_load or not adapter else 200
 
-    def name_limit(self, limit: float) -> None:
-        """Name a limit in all answers from now on."""
+    def start_limit(self, limit: float) -> None:
+        """Send a limit with all responses from now on."""
         self.limit = self.records.signals.begin_limit(self.runner_id, limit)
 
-    def lift_limit(self) -> None:
-        """Name no limit any more."""
+    def end_limit(self) -> None:
+        """Stop sending the limit."""
         if self.limit is not None:
             self.limit.ended = time.monotonic()
             self.limit = None
 
-    def say_leaving(self) -> None:
-        """Say in all answers from now on that the runner leaves."""
+    def start_leaving(self) -> None:
+        """Send the leaving signal with all responses from now on."""
         self.leaving = self.records.signals.begin_leaving(self.runner_id)
 
-    def _say(self) -> dict[str, str]:
-        """Return the fields in which an answer says something of the runner."""
+    def _make_signal_headers(self) -> dict[str, str]:
+        """Return the response headers with the signals of the runner."""
         fields = {}
         if self.limit is not None:
             fields["Server-Limit"] = f"{self.limit.limit:g}"
@@ -218,39 +218,45 @@
     async def _async_serve(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
         request_id = request.headers.get("X-Request-Id", "")
-        self.records.note_arrival(self.service, self.runner_id, request_id)
-        if self.random.random() < self.shedding:
-            return self._refuse(request_id, 503)
+        self.records.record_arrival(self.service, self.runner_id, request_id)
+        if self.random.random() < self.reject_share:
+            return self._reject(request_id, 503)
         model, _, adapter = request.headers.get("X-Model", "").partition("/")
         if request.headers.get("X-Expect-Instance") != self.runner_id:
-            return self._refuse(request_id)
+            return self._reject(request_id)
         if self.models is not None:
-            held = self.models.get(model)
+            loaded_adapters = self.models.get(model)
             loading = time.monotonic() < self._busy_until
-            if held is None or loading or (adapter and adapter not in held):
-                return self._refuse(request_id)
-        signature = f"{self.runner_id}.{request_id}.{next(_numbers)}"
+            if (
+                loaded_adapters is None
+                or loading
+                or (adapter and adapter not in loaded_adapters)
+            ):
+                return self._reject(request_id)
+        signature = f"{self.runner_id}.{request_id}.{next(_run_numbers)}"
         run = Run(
             runner_id=self.runner_id,
             at=time.monotonic(),
             signature=signature,
             customer=",".join(request.headers.getall("X-Tenant", [])),
-            saw_key="Authorization" in request.headers,
+            received_key="Authorization" in request.headers,
             crashing=body.removeprefix(CRASH_MARK).decode()
             if body.startswith(CRASH_MARK)
             else "",
         )
-        self.records.note_run(request_id, run)
+        self.records.record_run(request_id, run)
         if run.crashing:
-            return await self._async_end_by(request, run)
+            return await self._async_crash_on_request(request, run)
         headers = {"X-Request-Id": request_id, "X-Response-Signature": signature}
-        headers |= self._say()
+        headers |= self._make_signal_headers()
         if self.models is None:
-            return await self._async_answer(request, headers, body)
+            return await self._async_respond(request, headers, body)
         return await self._async_stream(request, headers, request_id)
 
-    async def _async_end_by(self, request: web.Request, run: Run) -> web.Response:
-        """Crash, since a request makes the runner do so."""
+    async def _async_crash_on_request(
+        self, request: web.Request, run: Run
+    ) -> web.Response:
+        """Crash the runner because of a request."""
         if self.models is not None:
             response = web.StreamResponse(
                 headers={"X-Response-Signature": run.signature}
@@ -261,23 +267,23 @@
         if not self._crashed:
             self._crashed = True
             self.on_crash(self)
-        await asyncio.sleep(STAY_S)
+        await asyncio.sleep(DRAIN_SERVING_S)
         return web.Response()
 
-    def _refuse(self, request_id: str, status: int = 421) -> web.Response:
+    def _reject(self, request_id: str, status: int = 421) -> web.Response:
         headers = {"X-Request-Id": request_id, "X-Not-Executed": "1"}
-        headers |= self._say()
-        if status == 503 and self.rest_s:
-            headers["Retry-After"] = f"{self.rest_s:g}"
+        headers |= self._make_signal_headers()
+        if status == 503 and self.cooldown_s:
+            headers["Retry-After"] = f"{self.cooldown_s:g}"
             edge = self.records.find_edge(request_id)
-            self.records.signals.note_refusal(self.runner_id, edge, self.rest_s)
+            self.records.signals.record_rejection(self.runner_id, edge, self.cooldown_s)
         return web.Response(status=status, headers=headers)
 
-    async def _async_answer(
+    async def _async_respond(
         self, request: web.Request, headers: dict[str, str], body: bytes
     ) -> web.Response:
         await asyncio.sleep(WORK_S * self.random.uniform(0.5, 4))
-        if self.random.random() < self.failing:
+        if self.random.random() < self.fail_share:
             _abort(request)
         text = f"{headers['X-Request-Id']} {len(body)}"
         return web.Response(text=text, headers=headers)
@@ -287,13 +293,17 @@
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers=headers)
         response.content_type = "text/event-stream"
-        first = int(request.headers.get("Last-Event-Id") or 0) + 1
-        cut_at = EVENTS // 2 if self.random.random() < self.failing else EVENTS + 1
+        first_event = int(request.headers.get("Last-Event-Id") or 0) + 1
+        cut_at = (
+            EVENT_COUNT // 2
+            if self.random.random() < self.fail_share
+            else EVENT_COUNT + 1
+        )
         self._active += 1
         try:
             await response.prepare(request)
-            for number in range(first, EVENTS + 1):
-                await asyncio.sleep(EVENT_S)
+            for number in range(first_event, EVENT_COUNT + 1):
+                await asyncio.sleep(EVENT_INTERVAL_S)
                 event = f"id: {number}\ndata: {request_id} {number}\n\n".encode()
                 if number >= cut_at:
                     await response.write(event[: len(event) // 2])
@@ -302,7 +312,7 @@
                 await response.write(event)
             await response.write_eof()
         except ConnectionResetError:
-            # The other end has left; that is seen there.
+            # The client has disconnected; the check of its call covers that.
             pass
         finally:
             self._active -= 1
@@ -310,6 +320,6 @@
 
 
 def _abort(request: web.Request) -> None:
-    """Break the connection of a request off, unless its other end has left."""
+    """Abort the connection of a request unless its client has disconnected."""
     if request.transport is not None:
         request.transport.abort()
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -1,4 +1,4 @@
-"""What runners said of themselves in their answers, and what reached them since."""
+"""Signals of runners in their responses, and checks of the requests that follow."""
 
 import time
 from bisect import bisect_left, bisect_right
@@ -6,62 +6,62 @@
 
 from attrs import define, field
 
-STABLE_S = 3.0
-"""Time from the first answer that names a limit from which the limit is held."""
+LIMIT_SETTLE_S = 3.0
+"""Time from the first response with a limit until the limit must be kept."""
 
 LIMIT_WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
 LIMIT_SLACK = 5
-"""A window may hold this many times what the limit allows, and as many more."""
+"""A window may contain LIMIT_FACTOR times what the limit allows, plus LIMIT_SLACK."""
 
 DRAIN_S = 2.0
-"""Time from an answer that says that its runner leaves, from which no request may be
-sent there."""
+"""Time from a response with a leaving signal until no request may be sent to the
+runner."""
 
-LATELY_S = 1.2
-"""Time before a limit is named whose requests are in its first window."""
+RECENT_S = 1.2
+"""Time before the start of a limit whose requests count in its first window."""
 
-REST_ARRIVALS = 2
-"""Requests of an edge that may reach a runner in the rest that it asked for."""
+COOLDOWN_ARRIVALS = 2
+"""Requests of an edge that may reach a runner during its cooldown."""
 
-TOLD_S = 0.5
-"""Time from an answer by which the edge that got it must act on it."""
+REACTION_S = 0.5
+"""Time from a response until the edge that received it must act on its signal."""
 
 
 @define(eq=False)
-class LimitSpell:
-    """A time in which a runner names a limit."""
+class LimitPeriod:
+    """Period in which a runner sends a limit."""
 
     runner_id: str
     limit: float
     began: float
     ended: float | None = None
-    told: dict[str, float] = field(factory=dict, init=False)
-    """When each edge first got an answer that names it."""
+    received_at: dict[str, float] = field(factory=dict, init=False)
+    """Time at which each edge first received a response with it."""
 
     @property
     def allowed(self) -> float:
-        """Return the requests that a window may hold."""
+        """Return the requests that a window may contain."""
         return LIMIT_FACTOR * self.limit * LIMIT_WINDOW_S + LIMIT_SLACK
 
 
 @define(eq=False)
 class Leaving:
-    """A runner that says in its answers that it leaves."""
+    """Leaving signal of a runner."""
 
     runner_id: str
-    told: dict[str, float] = field(factory=dict, init=False)
-    """When each edge first got an answer that says so."""
+    received_at: dict[str, float] = field(factory=dict, init=False)
+    """Time at which each edge first received a response with the signal."""
 
 
 @define(eq=False)
-class Rest:
-    """A time for which a runner that refused a request wants none of its edge."""
+class Cooldown:
+    """Period in which a runner that rejected a request must get none of that edge."""
 
     runner_id: str
     edge: str
     began: float
-    """Time from which the edge must act on it."""
+    """Time from which the edge must keep to it."""
 
     ended: float
     arrivals: int = 0
@@ -69,174 +69,181 @@
 
 @define(eq=False)
 class Disturbance:
-    """A time in which an edge was restarted, paused or cut off."""
+    """Period in which an edge was restarted, paused or cut off from the store."""
 
     edge: str
     began: float
     ended: float | None = None
     cut: bool = False
-    """Whether the edge ran on, but was cut off."""
+    """Whether the edge kept running, but was cut off from the store."""
 
-    def excuses(self, edge: str, began: float, ended: float) -> bool:
-        """Return whether it touches a time of an edge."""
-        over = self.ended is not None and self.ended + STABLE_S < began
-        return edge == self.edge and self.began <= ended and not over
+    def overlaps(self, edge: str, began: float, ended: float) -> bool:
+        """Return whether it overlaps a period of an edge."""
+        is_over = self.ended is not None and self.ended + LIMIT_SETTLE_S < began
+        return edge == self.edge and self.began <= ended and not is_over
 
 
 @define(eq=False)
 class SignalRecords:
-    """Statements and arrivals of all runners, as the runners see them."""
+    """Signals of all runners, and the requests that reached them."""
 
-    limits: list[LimitSpell] = field(factory=list, init=False)
+    limits: list[LimitPeriod] = field(factory=list, init=False)
     leaving: list[Leaving] = field(factory=list, init=False)
-    rests: list[Rest] = field(factory=list, init=False)
+    cooldowns: list[Cooldown] = field(factory=list, init=False)
     disturbances: list[Disturbance] = field(factory=list, init=False)
-    broken: list[str] = field(factory=list, init=False)
+    violations: list[str] = field(factory=list, init=False)
     _arrivals: dict[str, list[tuple[float, str]]] = field(factory=dict, init=False)
     """Time and edge of each request that reached a runner."""
 
-    def note_arrival(self, runner_id: str, edge: str, sent_at: float = 0.0) -> None:
-        """Note that a request reached a runner.
+    def record_arrival(self, runner_id: str, edge: str, sent_at: float = 0.0) -> None:
+        """Record that a request reached a runner.
 
         Args:
             runner_id: The runner.
             edge: The edge to which it was sent.
-            sent_at: When its caller sent it.
+            sent_at: Time at which its caller sent it.
         """
         rows = self._arrivals.setdefault(runner_id, [])
         rows.append((time.monotonic(), edge))
         for each in self.leaving:
             if each.runner_id == runner_id:
                 self._check_leaving(each, edge, sent_at)
-        self._check_rests(runner_id, edge)
+        self._check_cooldowns(runner_id, edge)
 
     def begin_leaving(self, runner_id: str) -> Leaving:
-        """Note that a runner says from now on that it leaves."""
+        """Record that a runner sends the leaving signal from now on."""
         leaving = Leaving(runner_id)
         self.leaving.append(leaving)
         return leaving
 
-    def note_refusal(self, runner_id: str, edge: str, rest_s: float) -> None:
-        """Note that a runner refuses a request, and asks for rest if that is not 0."""
-        if rest_s > 0:
+    def record_rejection(self, runner_id: str, edge: str, cooldown_s: float) -> None:
+        """Record that a runner rejects a request, with a cooldown unless that is 0."""
+        if cooldown_s > 0:
             now = time.monotonic()
-            self.rests.append(Rest(runner_id, edge, now + TOLD_S, now + rest_s))
+            self.cooldowns.append(
+                Cooldown(runner_id, edge, now + REACTION_S, now + cooldown_s)
+            )
 
-    def _check_rests(self, runner_id: str, edge: str) -> None:
+    def _check_cooldowns(self, runner_id: str, edge: str) -> None:
         now = time.monotonic()
-        for rest in self.rests:
-            if (rest.runner_id, rest.edge) != (runner_id, edge):
+        for cooldown in self.cooldowns:
+            if (cooldown.runner_id, cooldown.edge) != (runner_id, edge):
                 continue
-            if not rest.began < now < rest.ended:
+            if not cooldown.began < now < cooldown.ended:
                 continue
-            rest.arrivals += 1
-            if rest.arrivals == REST_ARRIVALS + 1:
-                if not self._is_excused(edge, rest.began, now):
-                    self.broken.append(
-                        f"budget: {runner_id} got more than {REST_ARRIVALS} requests "
-                        f"of {edge} in a rest of {rest.ended - rest.began:.1f} s"
+            cooldown.arrivals += 1
+            if cooldown.arrivals == COOLDOWN_ARRIVALS + 1:
+                if not self._is_disturbed(edge, cooldown.began, now):
+                    self.violations.append(
+                        f"budget: {runner_id} got more than {COOLDOWN_ARRIVALS} "
+                        f"requests of {edge} in a cooldown of "
+                        f"{cooldown.ended - cooldown.began:.1f} s"
                     )
 
     def _check_leaving(self, leaving: Leaving, edge: str, sent_at: float) -> None:
-        told_at = leaving.told.get(edge)
-        if told_at is None or sent_at <= told_at + DRAIN_S:
+        signalled_at = leaving.received_at.get(edge)
+        if signalled_at is None or sent_at <= signalled_at + DRAIN_S:
             return
-        if not self._is_excused(edge, told_at, sent_at, cut_off=False):
-            self.broken.append(
+        if not self._is_disturbed(edge, signalled_at, sent_at, cut_off=False):
+            self.violations.append(
                 f"drain: a request reached {leaving.runner_id} "
-                f"{sent_at - told_at:.1f} s after {edge} had been told that it leaves"
+                f"{sent_at - signalled_at:.1f} s after {edge} had received "
+                "its leaving signal"
             )
 
-    def begin_limit(self, runner_id: str, limit: float) -> LimitSpell:
-        """Note that a runner names a limit from now on."""
-        spell = LimitSpell(runner_id, limit, time.monotonic())
-        self.limits.append(spell)
-        return spell
+    def begin_limit(self, runner_id: str, limit: float) -> LimitPeriod:
+        """Record that a runner sends a limit from now on."""
+        period = LimitPeriod(runner_id, limit, time.monotonic())
+        self.limits.append(period)
+        return period
 
-    def note_answer(self, said: LimitSpell | Leaving | None, edge: str) -> None:
-        """Note that an edge gets an answer that says something of its runner."""
-        if said is not None:
-            said.told.setdefault(edge, time.monotonic())
+    def record_response(self, signal: LimitPeriod | Leaving | None, edge: str) -> None:
+        """Record that an edge received a response, with a signal if it had one."""
+        if signal is not None:
+            signal.received_at.setdefault(edge, time.monotonic())
 
-    def note_passed_on(
-        self, statements: Sequence[LimitSpell | Leaving], runner_id: str, edge: str
+    def record_forwarded(
+        self, statements: Sequence[LimitPeriod | Leaving], runner_id: str, edge: str
     ) -> None:
-        """Note that a caller got an answer that says something of its runner.
+        """Record that a caller received a response with a signal of a runner.
 
-        What a runner has sent may be lost before an edge has read it.
+        A response that a runner sent may be lost before the edge has read it; one that
+        reached the caller was read by its edge.
         """
-        said = [each for each in statements if each.runner_id == runner_id]
-        self.note_answer(said[-1] if said else None, edge)
+        signals = [each for each in statements if each.runner_id == runner_id]
+        self.record_response(signals[-1] if signals else None, edge)
 
     def disturb(self, edge: str, *, cut: bool = False) -> Disturbance:
-        """Note that an edge is disturbed from now on.
+        """Record that an edge is disturbed from now on.
 
         Args:
             edge: Its address for callers.
-            cut: Whether it runs on and knows what it was told.
+            cut: Whether it keeps running, with the signals that it received.
         """
         disturbance = Disturbance(edge, time.monotonic(), cut=cut)
         self.disturbances.append(disturbance)
         return disturbance
 
-    def forget(self, edge: str) -> None:
-        """Note that an edge has ended, with all that it was told."""
-        for said in (*self.limits, *self.leaving):
-            said.told.pop(edge, None)
-        self.rests = [each for each in self.rests if each.edge != edge]
+    def remove_edge(self, edge: str) -> None:
+        """Remove an edge that has ended, with the signals that it received."""
+        for signal in (*self.limits, *self.leaving):
+            signal.received_at.pop(edge, None)
+        self.cooldowns = [each for each in self.cooldowns if each.edge != edge]
 
     def count_arrivals(self, runner_id: str, began: float, ended: float) -> int:
-        """Return the requests that reached a runner in `[began, ended]`."""
+        """Return the number of requests that reached a runner in `[began, ended]`."""
         rows = self._arrivals.get(runner_id, [])
         first = bisect_left(rows, began, key=lambda row: row[0])
         return bisect_right(rows, ended, key=lambda row: row[0]) - first
 
-    def count_lately(self, runner_id: str) -> int:
-        """Return the requests that reached a runner in the last moments."""
+    def count_recent(self, runner_id: str) -> int:
+        """Return the number of requests that reached a runner recently."""
         now = time.monotonic()
-        return self.count_arrivals(runner_id, now - LATELY_S, now)
+        return self.count_arrivals(runner_id, now - RECENT_S, now)
 
     def check(self) -> list[str]:
-        """Return the promises that were broken."""
-        broken = list(self.broken)
-        for spell in self.limits:
-            broken += self._check_limit(spell)
-        return broken
-
-    def _check_limit(self, spell: LimitSpell) -> list[str]:
-        """Check each window that ends while a limit is held."""
-        for ended, _ in self._arrivals.get(spell.runner_id, []):
-            held_until = spell.ended or ended
-            if not spell.began + STABLE_S <= ended <= held_until:
+        """Return the violated guarantees."""
+        violations = list(self.violations)
+        for period in self.limits:
+            violations += self._check_limit(period)
+        return violations
+
+    def _check_limit(self, period: LimitPeriod) -> list[str]:
+        """Check each window that ends while a limit must be kept."""
+        for ended, _ in self._arrivals.get(period.runner_id, []):
+            ends_at = period.ended or ended
+            if not period.began + LIMIT_SETTLE_S <= ended <= ends_at:
                 continue
-            count = self._count_told(spell, ended)
-            if count > spell.allowed:
+            count = self._count_bound(period, ended)
+            if count > period.allowed:
                 return [
-                    f"limit: {spell.runner_id} named {spell.limit} a second and got "
-                    f"{count} requests in {LIMIT_WINDOW_S} s; {spell.allowed:.0f} "
-                    f"allowed; {ended - spell.began:.1f} s after it began"
+                    f"limit: {period.runner_id} sent a limit of {period.limit} a "
+                    f"second and got {count} requests in {LIMIT_WINDOW_S} s; "
+                    f"{period.allowed:.0f} allowed; {ended - period.began:.1f} s "
+                    f"after its start"
                 ]
         return []
 
-    def _count_told(self, spell: LimitSpell, ended: float) -> int:
-        """Return the requests of a window by edges that had been told."""
+    def _count_bound(self, period: LimitPeriod, ended: float) -> int:
+        """Return the number of requests in a window by edges that had the limit."""
         began = ended - LIMIT_WINDOW_S
-        rows = self._arrivals[spell.runner_id]
+        rows = self._arrivals[period.runner_id]
         first = bisect_right(rows, began, key=lambda row: row[0])
         last = bisect_right(rows, ended, key=lambda row: row[0])
         bound = {
             edge
-            for edge, told_at in spell.told.items()
-            if told_at <= ended - TOLD_S and not self._is_excused(edge, began, ended)
+            for edge, signalled_at in period.received_at.items()
+            if signalled_at <= ended - REACTION_S
+            and not self._is_disturbed(edge, began, ended)
         }
         return sum(1 for _, edge in rows[first:last] if edge in bound)
 
-    def _is_excused(
+    def _is_disturbed(
         self, edge: str, began: float, ended: float, *, cut_off: bool = True
     ) -> bool:
-        """Return whether an edge was disturbed; being cut off may be no excuse."""
+        """Return whether an edge was disturbed, with or without being cut off."""
         return any(
-            each.excuses(edge, began, ended)
+            each.overlaps(edge, began, ended)
             for each in self.disturbances
             if cut_off or not each.cut
         )
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: faults in series and overlapping, then a calm time, then the checks."""
+"""One soak: random faults, some at the same time, then recovery, then the checks."""
 
 import asyncio
 import time
@@ -12,57 +12,57 @@
 from .faults import (
     FAULTS,
     PLANNED,
-    async_refuse_in_spells,
-    async_say_in_spells,
+    async_reject_periodically,
+    async_signal_periodically,
 )
 from .records import Kind, Records
 from .world import EDGES, World
 
 FAULT_S: Final = 8.0
-"""Time in which faults begin."""
+"""Time in which faults start."""
 
 RECOVERY_S: Final = 12.0
-"""Time after the last fault until the system must serve again as a whole."""
+"""Time after the last fault within which the system must have recovered."""
 
 LAST_CALLS_S: Final = 2.0
-"""Time at the end in which at least half of the requests must be served."""
+"""Time at the end in which at least half of the requests must succeed."""
 
-LEAST_SERVED: Final = 0.5
-FAULTS_AT_ONCE: Final = 3
-PLANNED_EACH: Final = 3
-"""One seed in so many sees planned work alone, beside which all bounds in time hold."""
+MIN_SERVED_SHARE: Final = 0.5
+MAX_CONCURRENT_FAULTS: Final = 3
+PLANNED_ONE_IN: Final = 3
+"""One seed in so many has planned work only, during which all time bounds hold."""
 
 
-CRASHING_EACH: Final = 4
-CRASHING_REST: Final = 2
-"""One seed in so many, with this rest, sees requests that make their runners crash."""
+CRASHING_DIVISOR: Final = 4
+CRASHING_REMAINDER: Final = 2
+"""Seeds with this remainder by this divisor have requests that crash runners."""
 
 
-REFUSING_EACH: Final = 3
-REFUSING_REST: Final = 1
-"""One seed in so many, with this rest, sees runners that refuse or fail in spells."""
+REJECTING_DIVISOR: Final = 3
+REJECTING_REMAINDER: Final = 1
+"""Seeds with this remainder by this divisor have runners that reject or fail."""
 
 
-SAYING_EACH: Final = 2
-SAYING_REST: Final = 0
-"""One seed in so many, with this rest, sees runners that limit, rest and leave."""
+SIGNALLING_DIVISOR: Final = 2
+SIGNALLING_REMAINDER: Final = 0
+"""Seeds with this remainder by this divisor have runners that send signals."""
 
 
 @define(eq=False)
 class Result:
-    """What a soak showed."""
+    """Result of a soak."""
 
     seed: int
     faults: list[str] = field(factory=list)
     calls: int = 0
     served: int = 0
     crashes: int = 0
-    """Crashes that requests caused."""
+    """Number of crashes that requests caused."""
 
-    held_back: int = 0
-    """Innocent requests that were refused as if they had caused them."""
+    wrongly_blocked: int = 0
+    """Harmless requests that were rejected as if they had caused crashes."""
 
-    broken: list[str] = field(factory=list)
+    violations: list[str] = field(factory=list)
 
 
 async def async_soak(
@@ -75,25 +75,25 @@
     """Run one soak.
 
     Args:
-        seed: What all its choices come from.
-        folder: Where the logs of its processes go.
-        fault_s: Time in which faults begin, in seconds.
-        crashing: Requests that make their runners crash; None: as the seed says.
+        seed: Seed of all random choices.
+        folder: Folder for the logs of the processes.
+        fault_s: Time in which faults start, in seconds.
+        crashing: Number of requests that crash runners; None: derived from the seed.
         edges: Number of edges.
     """
     result = Result(seed)
     if crashing is None:
-        crashing = 2 if seed % CRASHING_EACH == CRASHING_REST else 0
+        crashing = 2 if seed % CRASHING_DIVISOR == CRASHING_REMAINDER else 0
     async with Launcher(folder) as launcher:
         world = World(seed, launcher, edges=edges)
         await world.async_start()
         kinds = list(Kind)
         for number in range(crashing):
             world.send_crashing_requests(kinds[(seed + number) % len(kinds)])
-        if seed % REFUSING_EACH == REFUSING_REST:
-            world.start_task(async_refuse_in_spells(world, Random(seed)))
-        if seed % SAYING_EACH == SAYING_REST:
-            world.start_task(async_say_in_spells(world, Random(seed)))
+        if seed % REJECTING_DIVISOR == REJECTING_REMAINDER:
+            world.start_task(async_reject_periodically(world, Random(seed)))
+        if seed % SIGNALLING_DIVISOR == SIGNALLING_REMAINDER:
+            world.start_task(async_signal_periodically(world, Random(seed)))
         try:
             await _async_disturb(world, result, fault_s)
             await _async_recover(world.records, result)
@@ -102,39 +102,39 @@
     result.calls = len(world.records.calls)
     result.served = sum(1 for each in world.records.calls.values() if each.whole)
     result.crashes = sum(len(each) for each in world.records.crashes.values())
-    result.held_back = world.records.count_held_back()
-    result.broken += world.records.check()
-    result.broken += world.records.customers.find_in_logs(folder)
+    result.wrongly_blocked = world.records.count_wrongly_blocked()
+    result.violations += world.records.check()
+    result.violations += world.records.customers.find_in_logs(folder)
     return result
 
 
 async def _async_disturb(world: World, result: Result, fault_s: float) -> None:
-    """Begin faults at random times, several at once, and wait for their ends."""
+    """Start faults at random times, some at the same time, and wait for their ends."""
     end = time.monotonic() + fault_s
-    under_way: set[asyncio.Task[None]] = set()
-    names = sorted(PLANNED if world.seed % PLANNED_EACH == 0 else FAULTS)
+    running: set[asyncio.Task[None]] = set()
+    names = sorted(PLANNED if world.seed % PLANNED_ONE_IN == 0 else FAULTS)
     while time.monotonic() < end:
         await asyncio.sleep(world.random.uniform(0.1, 1.2))
-        under_way = {each for each in under_way if not each.done()}
-        if len(under_way) >= FAULTS_AT_ONCE:
+        running = {each for each in running if not each.done()}
+        if len(running) >= MAX_CONCURRENT_FAULTS:
             continue
         name = world.random.choice(names)
         result.faults.append(name)
-        under_way.add(world.start_task(FAULTS[name](world)))
-    await asyncio.gather(*under_way, return_exceptions=True)
+        running.add(world.start_task(FAULTS[name](world)))
+    await asyncio.gather(*running, return_exceptions=True)
 
 
 async def _async_recover(records: Records, result: Result) -> None:
-    """Wait for the bound of the recovery, or until it serves again."""
+    """Wait until the system has recovered, or add a violation at the time bound."""
     end = time.monotonic() + RECOVERY_S
     while True:
         began = time.monotonic()
         await asyncio.sleep(LAST_CALLS_S)
-        last = [each for each in records.calls.values() if each.sent_at > began]
-        served = sum(1 for each in last if each.whole)
-        ended = sum(1 for each in last if each.ended_at)
-        if ended and served >= LEAST_SERVED * ended:
+        recent_calls = [each for each in records.calls.values() if each.sent_at > began]
+        served = sum(1 for each in recent_calls if each.whole)
+        ended = sum(1 for each in recent_calls if each.ended_at)
+        if ended and served >= MIN_SERVED_SHARE * ended:
             return
         if time.monotonic() > end:
-            result.broken.append(f"recover: {served} of {ended} requests are served")
+            result.violations.append(f"recover: {served} of {ended} requests succeeded")
             return
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, by its published calls, with faults."""
+"""A stand-in for the platform's store with its published calls, and with faults."""
 
 import asyncio
 import base64
@@ -17,18 +17,18 @@
 
 
 class StoreFault(Enum):
-    """How the store misbehaves."""
+    """Fault of the store."""
 
     NONE = "none"
     REFUSING = "refusing"
-    """Answers 503: nothing is done."""
+    """Responds with 503, without any effect."""
 
     SILENT = "silent"
-    """Takes calls and never answers; nothing is done."""
+    """Accepts calls and never responds, without any effect."""
 
     SLOW = "slow"
     LOSING = "losing"
-    """Carries writes out, and loses half of their answers."""
+    """Executes writes, and loses half of their responses."""
 
 
 @define
@@ -42,7 +42,7 @@
     lease: int
 
     def encode(self) -> dict[str, Any]:
-        """Return it as calls show it."""
+        """Return the item as calls return it."""
         return {
             "key": self.key,
             "value": base64.b64encode(self.value).decode(),
@@ -64,16 +64,16 @@
     revision: int = field(default=1, init=False)
     address: str = field(default="", init=False)
     _leases: dict[int, tuple[float, float]] = field(factory=dict, init=False)
-    """Time to live and end of each lease."""
+    """Time to live and expiry time of each lease."""
 
     _lease_ids: Any = field(factory=lambda: count(1), init=False)
-    _forgotten: int = field(default=0, init=False)
+    _discarded_revision: int = field(default=0, init=False)
     _changed: asyncio.Event = field(factory=asyncio.Event, init=False)
     _site: web.AppRunner | None = field(default=None, init=False)
 
     async def async_start(self) -> None:
-        """Listen on a free port of the loopback."""
-        app = web.Application(middlewares=[self._async_misbehave])
+        """Listen on a free loopback port."""
+        app = web.Application(middlewares=[self._async_apply_fault])
         app.router.add_get("/v1/kv-key", self._async_get)
         app.router.add_get("/v1/kv-range", self._async_range)
         app.router.add_get("/v1/kv-watch", self._async_watch)
@@ -92,33 +92,33 @@
             await self._site.cleanup()
 
     def expire(self) -> None:
-        """End the leases whose time is over."""
+        """Remove expired leases and their keys."""
         for lease, (_, ends_at) in list(self._leases.items()):
             if ends_at < self.clock():
                 self._drop_lease(lease)
 
-    def forget_history(self) -> None:
-        """Drop the changes so far, so that watches have to begin anew."""
+    def discard_history(self) -> None:
+        """Discard the changes so far, so that watches must start from a snapshot."""
         self.history.clear()
-        self._forgotten = self.revision
+        self._discarded_revision = self.revision
 
     def write(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key; returns the new revision."""
+        """Write a key, and return the new revision."""
         self.revision += 1
         known = self.items.get(key)
         created = self.revision if known is None else known.created
         item = StoredItem(key, value, self.revision, created, lease)
         self.items[key] = item
-        self._note(item.encode())
+        self._add_change(item.encode())
         return self.revision
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._note({"key": key, "revision": self.revision, "removed": True})
+            self._add_change({"key": key, "revision": self.revision, "removed": True})
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _add_change(self, event: dict[str, Any]) -> None:
         self.history.append((self.revision, event))
         self._changed.set()
         self._changed = asyncio.Event()
@@ -129,7 +129,7 @@
             self.remove(key)
 
     @web.middleware
-    async def _async_misbehave(self, request: web.Request, handler: Any) -> Any:
+    async def _async_apply_fault(self, request: web.Request, handler: Any) -> Any:
         self.expire()
         if self.fault is StoreFault.REFUSING:
             return web.json_response({}, status=503)
@@ -153,14 +153,14 @@
     async def _async_range(self, request: web.Request) -> web.Response:
         prefix, after = request.query["prefix"], request.query.get("after", "")
         keys = sorted(key for key in self.items if key.startswith(prefix))
-        shown = [self.items[key].encode() for key in keys if key > after]
+        found = [self.items[key].encode() for key in keys if key > after]
         return web.json_response(
-            {"items": shown, "more_pages": False, "current_rev": self.revision}
+            {"items": found, "more_pages": False, "current_rev": self.revision}
         )
 
     async def _async_watch(self, request: web.Request) -> web.Response:
         after = int(request.query["after"])
-        if after < self._forgotten:
+        if after < self._discarded_revision:
             return web.json_response({}, status=410)
         events = self._list_events(after)
         if not events:
@@ -180,8 +180,8 @@
         for each in body.get("precondition") or []:
             known = self.items.get(each["key"])
             if each["revision"] != (0 if known is None else known.revision):
-                shown = [] if known is None else [known.encode()]
-                return web.json_response({"items": shown}, status=412)
+                current = [] if known is None else [known.encode()]
+                return web.json_response({"items": current}, status=412)
         writes = body.get("set_keys") or []
         if any(each["lease"] and each["lease"] not in self._leases for each in writes):
             return web.json_response({}, status=404)
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -1,23 +1,22 @@
-"""Requests that make their runners crash, sent again and again to the real programs.
-
-What users saw: answers cut off and refused for half a minute, while one runner after
-the other ended. One of the requests, an ordinary one but for that, made each runner
-crash that began to run it. The edge that had it sent it to a second runner, as it does
-with all that a crash cuts off; its caller sent it once more under another id; and it
-came back later at other hosts. To each edge each arrival was a new request.
-
-The order of events: runner A crashes with the request and some twenty others; all are
-repeated elsewhere; runner B crashes; the caller's retry arrives at another edge; runner
-C crashes. From here on everybody could know the request, and nobody does: it is sent to
-runners for as long as it comes.
-
-The cause: what a process learns from a crash, it learns about the runner only, and no
-other process hears of it. Evidence, from the lines of crashed runners (354) in one run
-of each case below, without the mend: the identities of the four requests stand in the
-lines of 6 to 29 lives of runners, those of 166 others in two lives at most.
-
-Bounds are those that were promised: three crashes, and three runs more once three
-seconds have gone by.
+"""Requests that crash each runner that runs them, sent again and again.
+
+The failure: responses were cut off and requests rejected for half a minute while one
+runner after the other crashed, each because of the same request. After a crash the
+edge retried this request at a second runner, like all interrupted ones; its caller
+sent it again under another id; and later it arrived at other edges, each of which
+treated it as a new request. Runner A crashes with the request and some twenty others,
+all of which are retried; runner B crashes; the caller's retry arrives at another edge;
+runner C crashes. From then on the request could be identified, but it was sent to
+runners for as long as it arrived.
+
+The cause: processes drew conclusions from a crash about the runner only, and shared
+none of them. The identity of the request is evidence enough: in the log lines of
+crashed runners (354) of one run of each case below without the protection, the
+identities of the four requests stand in the lines of 6 to 29 incarnations of runners,
+those of 166 others in two incarnations at most.
+
+The bounds are the promised ones: three crashes, and three runs more once three seconds
+have passed.
 """
 
 import asyncio
@@ -32,26 +31,26 @@
 from .world import World
 
 SEED = 27
-ON_ITS_WAY = 1
-"""Runs that may be on their way when the third crash is told."""
+ALREADY_SENT = 1
+"""Runs that may have been sent when the third crash is reported."""
 
 LEADER_KEY = "mangoway/scheduler"
 FOLLOW_S = 2.0
-"""Time in which all edges hear of a new leader and connect to it, on a busy machine."""
+"""Time in which all edges find a new leader and connect to it, on a busy host."""
 
 CRASH_TIMEOUT_S = 15.0
-"""Time in which each of the requests could be known."""
+"""Time within which each of the requests can be identified."""
 
 WATCHED_S = 4.0
-"""Time for which they are still sent once they have to be known."""
+"""Time for which they are still sent once they must be blocked."""
 
 
-async def async_leave_alone(world: World) -> None:
-    """Disturb nothing."""
+async def async_do_nothing(world: World) -> None:
+    """Cause no fault."""
 
 
 async def async_kill_schedulers(world: World) -> None:
-    """Kill the schedulers one after the other; they start again."""
+    """Kill the schedulers one after the other; they are restarted."""
     for node in world.list_nodes("scheduler"):
         assert node.process is not None
         node.stopping = True
@@ -60,9 +59,9 @@
 
 
 async def async_cut_edges_from_store(world: World) -> None:
-    """Cut all edges from the store once they follow the leader, which reaches it.
+    """Cut all edges from the store once they are connected to the leader.
 
-    An edge that knows of no scheduler yet and loses the store can hear of nothing.
+    An edge that loses the store before it has found a scheduler receives no statements.
     """
     await async_wait_until(lambda: LEADER_KEY in world.store.items, CRASH_TIMEOUT_S)
     await asyncio.sleep(FOLLOW_S)
@@ -71,19 +70,19 @@
         node.store_relay.switches.refuse_new = True
 
 
-async def async_watch(
+async def async_run_world(
     tmp_path: Path,
     schedulers: int,
     disturb: Callable[[World], Awaitable[None]],
-    prepare: Callable[[World], Awaitable[None]] = async_leave_alone,
+    prepare: Callable[[World], Awaitable[None]] = async_do_nothing,
 ) -> World:
-    """Send a request of each kind that makes runners crash; return what was seen.
+    """Send a crashing request of each kind, and return the world with its records.
 
     Args:
-        tmp_path: Where the logs of the processes go.
-        schedulers: Number of schedulers; 0: each edge chooses alone.
-        disturb: Runs once the requests can be known.
-        prepare: Runs before they come.
+        tmp_path: Folder for the logs of the processes.
+        schedulers: Number of schedulers; 0: each edge chooses runners by itself.
+        disturb: Runs once the requests can be identified.
+        prepare: Runs before the requests are sent.
     """
     async with Launcher(tmp_path) as launcher:
         world = World(
@@ -108,18 +107,18 @@
 
 
 async def async_wait_for_crashes(world: World, names: list[str]) -> None:
-    """Wait until each of the requests could be known."""
+    """Wait until each of the requests can be identified."""
 
-    def are_due() -> bool:
-        return all(world.records.find_noticed(each) is not None for each in names)
+    def are_identified() -> bool:
+        return all(world.records.find_identified_at(each) is not None for each in names)
 
-    await async_wait_until(are_due, CRASH_TIMEOUT_S)
+    await async_wait_until(are_identified, CRASH_TIMEOUT_S)
 
 
-def check(world: World) -> None:
-    """Check that no request ran too often once it was to be known."""
+def check_violations(world: World) -> None:
+    """Check that no request ran too often once it had to be blocked."""
     records = world.records
-    late = {name: records.count_late_retries(name) for name in records.crashes}
+    late = {name: records.count_late_runs(name) for name in records.crashes}
     assert len(late) == len(Kind)
     assert all(each <= RETRIES_ALLOWED for each in late.values()), late
     assert records.check() == []
@@ -127,36 +126,36 @@
 
 @pytest.mark.process
 class TestCrashingRequests:
-    """Such requests at services with engines and plain ones, of each kind."""
+    """Crashing requests of each kind, at services with engines and plain ones."""
 
     @pytest.mark.parametrize(
         ("schedulers", "disturb"),
         [
-            pytest.param(2, async_leave_alone, id="leader"),
-            pytest.param(0, async_leave_alone, id="no_scheduler"),
+            pytest.param(2, async_do_nothing, id="leader"),
+            pytest.param(0, async_do_nothing, id="no_scheduler"),
             pytest.param(2, async_kill_schedulers, id="change_of_leader"),
         ],
     )
-    async def test_they_are_sent_to_runners_no_more(
+    async def test_crashing_requests_are_blocked(
         self,
         schedulers: int,
         disturb: Callable[[World], Awaitable[None]],
         tmp_path: Path,
     ) -> None:
-        check(await async_watch(tmp_path, schedulers, disturb))
+        check_violations(await async_run_world(tmp_path, schedulers, disturb))
 
-    async def test_edges_that_lost_the_store_tell_each_other(
+    async def test_edges_without_the_store_exchange_crash_statements(
         self, tmp_path: Path
     ) -> None:
-        """What each says goes through the leader as well.
+        """Statements are relayed by the leader as well.
 
-        Each edge for itself would learn it from three crashes of its own, soon enough
-        for the bound in time: twelve in all.
+        Without them each edge would identify a request from three crashes of its own,
+        within the time bound, but with twelve crashes in all.
         """
         prepare = async_cut_edges_from_store
-        world = await async_watch(tmp_path, 2, async_leave_alone, prepare)
-        check(world)
+        world = await async_run_world(tmp_path, 2, async_do_nothing, prepare)
+        check_violations(world)
         crashes = {name: len(each) for name, each in world.records.crashes.items()}
-        assert all(each <= CRASHES_ALLOWED + ON_ITS_WAY for each in crashes.values()), (
-            crashes
-        )
+        assert all(
+            each <= CRASHES_ALLOWED + ALREADY_SENT for each in crashes.values()
+        ), crashes
--- a/tests/soak/test_leaving_runners.py
+++ b/tests/soak/test_leaving_runners.py
@@ -1,4 +1,4 @@
-"""Runners that say in their answers that they leave, before the real programs."""
+"""Runners that signal in their responses that they leave, with the real programs."""
 
 import asyncio
 from pathlib import Path
@@ -8,23 +8,23 @@
 from ..stand_ins.launcher import Launcher
 from .signals import DRAIN_S
 from .store import StoreFault
-from .test_runner_limits import choose_busy
+from .test_runner_limits import choose_busiest
 from .world import World
 
 SEED = 39
 BUSY_S = 3.0
-"""Time in which runners are found and get their usual work."""
+"""Time in which runners are found and get their usual load."""
 
-HELD_S = DRAIN_S + 3.0
-"""Time for which the runner serves on."""
+LEAVING_S = DRAIN_S + 3.0
+"""Time for which the runner keeps serving."""
 
 
 @pytest.mark.process
 class TestLeavingRunners:
-    """Each edge that was told sends no more, whatever the store says."""
+    """Edges that received the signal stop sending, whatever the store contains."""
 
     @pytest.mark.parametrize("service", ["llm", "plain"])
-    async def test_nothing_is_sent_to_a_runner_that_leaves_in_an_outage(
+    async def test_no_request_is_sent_to_a_leaving_runner_in_a_store_outage(
         self, service: str, tmp_path: Path
     ) -> None:
         async with Launcher(tmp_path) as launcher:
@@ -33,8 +33,8 @@
             try:
                 await asyncio.sleep(BUSY_S)
                 world.store.fault = StoreFault.SILENT
-                choose_busy(world, service).say_leaving()
-                await asyncio.sleep(HELD_S)
+                choose_busiest(world, service).start_leaving()
+                await asyncio.sleep(LEAVING_S)
                 world.store.fault = StoreFault.NONE
                 await asyncio.sleep(DRAIN_S)
             finally:
--- a/tests/soak/test_runner_limits.py
+++ b/tests/soak/test_runner_limits.py
@@ -1,4 +1,4 @@
-"""Runners that name how many requests they take, before the real programs."""
+"""Runners that send a rate limit, with the real programs."""
 
 import asyncio
 from pathlib import Path
@@ -11,29 +11,31 @@
 
 SEED = 39
 LIMIT = 4.0
-"""Requests a second that a runner names; it gets some 15 a second without."""
+"""Limit of a runner in requests a second; without it, it gets some 15 a second."""
 
 BUSY_S = 3.0
-"""Time in which runners are found and get their usual work."""
+"""Time in which runners are found and get their usual load."""
 
-HELD_S = 8.0
-"""Time for which the limit is named: two windows."""
+LIMITED_S = 8.0
+"""Time for which the limit is sent: two windows."""
 
-LEAST_USED = 0.5
-"""Part of what the runner takes that must reach it."""
+MIN_USED_SHARE = 0.5
+"""Share of the limit that must reach the runner."""
 
 
-def choose_busy(world: World, service: str) -> RunnerStandIn:
-    """Return the runner of a service that got most requests lately."""
+def choose_busiest(world: World, service: str) -> RunnerStandIn:
+    """Return the runner of a service that got most requests recently."""
     now = asyncio.get_running_loop().time()
     runners = [each for each in world.runners if each.service == service]
-    count = world.records.signals.count_arrivals
-    return max(runners, key=lambda each: count(each.runner_id, now - BUSY_S, now))
+    count_arrivals = world.records.signals.count_arrivals
+    return max(
+        runners, key=lambda each: count_arrivals(each.runner_id, now - BUSY_S, now)
+    )
 
 
 @pytest.mark.process
 class TestRunnerLimits:
-    """A limit holds over all edges together."""
+    """A limit applies to all edges together."""
 
     @pytest.mark.parametrize("service", ["llm", "plain"])
     async def test_runner_gets_no_more_than_its_limit_from_all_edges(
@@ -44,13 +46,13 @@
             await world.async_start()
             try:
                 await asyncio.sleep(BUSY_S)
-                runner = choose_busy(world, service)
-                runner.name_limit(LIMIT)
+                runner = choose_busiest(world, service)
+                runner.start_limit(LIMIT)
                 began = asyncio.get_running_loop().time()
-                await asyncio.sleep(HELD_S)
+                await asyncio.sleep(LIMITED_S)
             finally:
                 await world.async_stop()
         signals = world.records.signals
-        got = signals.count_arrivals(runner.runner_id, began, began + HELD_S)
+        arrivals = signals.count_arrivals(runner.runner_id, began, began + LIMITED_S)
         assert world.records.check() == []
-        assert got >= LEAST_USED * LIMIT * HELD_S
+        assert arrivals >= MIN_USED_SHARE * LIMIT * LIMITED_S
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks for CI, and those that failed once."""
+"""Short soaks for CI, with fixed seeds and seeds that failed once."""
 
 from pathlib import Path
 
@@ -8,27 +8,29 @@
 
 SHORT_S = 4.0
 SEEDS = (3, 4)
-"""Planned work alone, and all faults."""
+"""One seed with planned work only, and one with all faults."""
 
 FAILED_ONCE = {
-    126094347: "checks: a scheduler that still started ended by SIGTERM; streams that "
-    "lasted for their route's timeout on a busy machine counted as lost",
+    126094347: "checks: a starting scheduler ended by SIGTERM; streams that lasted for "
+    "their route's timeout on a busy host counted as lost",
     116518305: "checks: the same timeout",
 }
-"""Seeds that failed, with their causes."""
+"""Seeds that failed once, with the causes."""
 
 
 @pytest.mark.process
 class TestSoak:
-    """The real programs under faults from outside."""
+    """The real programs under external faults."""
 
     @pytest.mark.parametrize("seed", SEEDS)
-    async def test_promises_hold(self, seed: int, tmp_path: Path) -> None:
+    async def test_guarantees_hold(self, seed: int, tmp_path: Path) -> None:
         result = await async_soak(seed, tmp_path, SHORT_S)
-        assert result.broken == []
+        assert result.violations == []
         assert result.served > 0
 
     @pytest.mark.parametrize("seed", FAILED_ONCE)
-    async def test_seed_that_failed_once_holds(self, seed: int, tmp_path: Path) -> None:
+    async def test_seed_that_failed_once_passes(
+        self, seed: int, tmp_path: Path
+    ) -> None:
         result = await async_soak(seed, tmp_path, SHORT_S)
-        assert result.broken == []
+        assert result.violations == []
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The system's processes and all that they meet, on the loopback."""
+"""The system's processes with the store, runners and callers around them."""
 
 import asyncio
 import time
@@ -28,29 +28,29 @@
 EDGES: Final = 3
 SCHEDULERS: Final = 2
 ENGINES: Final = 3
-PLAIN: Final = 2
+PLAIN_RUNNERS: Final = 2
 CALLERS: Final = 20
 MODELS: Final = [f"m{number}" for number in range(10)]
 """One more than the engines have room for."""
 
 GRACE_S: Final = 6.0
 RESTART_S: Final = 0.3
-"""Pause between the end of a process and its next start, as a service manager makes."""
+"""Delay between the end of a process and its restart, as of a service manager."""
 
-COME_BACK_S: Final = 1.0
-"""Time from a crash that a request caused to the next start of the runner."""
+RUNNER_RESTART_S: Final = 1.0
+"""Time from a crash that a request caused to the restart of the runner."""
 
-LAPSE_S: Final = 1.5
-"""Time from there until the entry of its earlier life is removed."""
+ENTRY_REMOVAL_S: Final = 1.5
+"""Time from the restart until the entry of the earlier incarnation is removed."""
 
-BEAT_S: Final = 0.5
+HEARTBEAT_S: Final = 0.5
 START_TIMEOUT_S: Final = 15.0
 READY_CHECK_S: Final = 0.05
 
 
 @define(eq=False)
 class Node:
-    """One program on one host, over its restarts."""
+    """One program on one host, across its restarts."""
 
     name: str
     program: str
@@ -60,8 +60,8 @@
     callers: str = ""
     directory: str = ""
     process: Process | None = None
-    wanted: bool = True
-    """Whether it is started again when it ends."""
+    restarts: bool = True
+    """Whether it is restarted when it ends."""
 
     stopping: bool = False
     """Whether its end is expected."""
@@ -71,25 +71,25 @@
 
 @define(eq=False)
 class World:
-    """Store, runners, callers and the real programs."""
+    """Store, runners, callers and the processes of the system."""
 
     seed: int
     launcher: Launcher
     edges: int = EDGES
     schedulers: int = SCHEDULERS
     engines: int = ENGINES
-    plain: int = PLAIN
+    plain: int = PLAIN_RUNNERS
     callers: int = CALLERS
     random: Random = field(init=False)
     records: Records = field(factory=Records, init=False)
     store: StoreStandIn = field(init=False)
     nodes: list[Node] = field(factory=list, init=False)
     runners: list[RunnerStandIn] = field(factory=list, init=False)
-    wanted: list[str] = field(factory=lambda: MODELS[:2], init=False)
+    popular_models: list[str] = field(factory=lambda: MODELS[:2], init=False)
     version: int = field(default=0, init=False)
     _added: list[int] = field(factory=list, init=False)
     _crashing: int = field(default=0, init=False)
-    """Requests that make their runners crash, so far."""
+    """Number of requests that crash runners, so far."""
 
     _tasks: set[asyncio.Task[Any]] = field(factory=set, init=False)
 
@@ -99,11 +99,11 @@
         self.records.customers = Customers(Random(self.seed))
 
     async def async_start(self) -> None:
-        """Start everything, and wait until the edges are ready."""
+        """Start all parts, and wait until the edges are ready."""
         await self.store.async_start()
         for number in range(self.engines):
-            held = [MODELS[(number * 3 + each) % len(MODELS)] for each in range(3)]
-            await self.async_add_runner("llm", {name: set() for name in held})
+            names = [MODELS[(number * 3 + each) % len(MODELS)] for each in range(3)]
+            await self.async_add_runner("llm", {name: set() for name in names})
         for _ in range(self.plain):
             await self.async_add_runner("plain", None)
         self.write_configuration()
@@ -111,16 +111,16 @@
             await self._async_add_node(f"scheduler-{number}", "scheduler")
         for number in range(self.edges):
             await self._async_add_node(f"edge-{number}", "edge")
-        self.start_task(self._async_beat())
+        self.start_task(self._async_send_heartbeats())
         await self._async_wait_ready()
         for number in range(self.callers):
             caller = self._make_caller(number)
             self.start_task(caller.async_run())
 
     async def async_stop(self) -> None:
-        """End everything; the launcher ends the processes."""
+        """Stop all parts."""
         for node in self.nodes:
-            node.wanted = False
+            node.restarts = False
             node.stopping = True
         for task in tuple(self._tasks):
             task.cancel()
@@ -133,7 +133,7 @@
         await self.store.async_stop()
 
     def start_task(self, run: Any) -> "asyncio.Task[Any]":
-        """Run something in the background until the end."""
+        """Run a coroutine in the background until the end of the soak."""
         task = asyncio.get_running_loop().create_task(run)
         self._tasks.add(task)
         task.add_done_callback(self._end_task)
@@ -143,17 +143,17 @@
         self, service: str, models: dict[str, set[str]] | None
     ) -> RunnerStandIn:
         """Start a runner."""
-        centre = f"dc-{len(self.runners) % 2 + 1}"
+        data_centre = f"dc-{len(self.runners) % 2 + 1}"
         runner = RunnerStandIn(
-            service, centre, self.store, self.records, self.random, models
+            service, data_centre, self.store, self.records, self.random, models
         )
-        runner.on_crash = self._note_crash
+        runner.on_crash = self._handle_crash
         await runner.async_start()
         self.runners.append(runner)
         return runner
 
     def send_crashing_requests(self, kind: Kind) -> str:
-        """Let a caller send a request that makes its runners crash.
+        """Start a caller that keeps sending a request that crashes its runners.
 
         Returns:
             The name of the request.
@@ -166,7 +166,7 @@
             records=plain.records,
             directories=plain.directories,
             models=plain.models,
-            wanted=plain.wanted,
+            popular_models=plain.popular_models,
             kind=kind,
             name=name,
         )
@@ -174,7 +174,7 @@
         return name
 
     def write_configuration(self) -> None:
-        """Let the operator write a new version, with one more route."""
+        """Write a new version of the configuration, with one more route."""
         self.version += self.random.randrange(1, 4)
         if self.records.accepted:
             self._added.append(self.version)
@@ -188,10 +188,10 @@
         }
         self.store.write("op/config", orjson.dumps(document))
         self.records.accepted[self.version] = time.monotonic()
-        self.records.customers.note_accepted(time.monotonic())
+        self.records.customers.record_accepted(time.monotonic())
 
     async def async_probe_configuration(self) -> None:
-        """Ask each edge for a route of the newest version, a little later."""
+        """Send a request for the newest route to each edge, once it must be applied."""
         if not self._added:
             return
         version = self._added[-1]
@@ -201,27 +201,27 @@
             for node in self.list_nodes("edge"):
                 await caller.async_call(session, node.callers, Kind.SAFE, version)
 
-    def _note_crash(self, runner: RunnerStandIn) -> None:
-        """Let a runner that a request made crash come back under another id."""
+    def _handle_crash(self, runner: RunnerStandIn) -> None:
+        """Restart a runner that a request crashed, under another id."""
         if runner in self.runners:
             self.runners.remove(runner)
-            self.start_task(self._async_come_back(runner))
+            self.start_task(self._async_restart_runner(runner))
 
-    async def _async_come_back(self, runner: RunnerStandIn) -> None:
+    async def _async_restart_runner(self, runner: RunnerStandIn) -> None:
         span = self.records.begin(f"crash {runner.runner_id}", caused=True)
         await runner.async_crash(removed=False)
-        await asyncio.sleep(COME_BACK_S)
+        await asyncio.sleep(RUNNER_RESTART_S)
         models = runner.models
-        held: dict[str, set[str]] | None = None
+        restarted_models: dict[str, set[str]] | None = None
         if models is not None:
-            held = {name: set() for name in models}
-        await self.async_add_runner(runner.service, held)
+            restarted_models = {name: set() for name in models}
+        await self.async_add_runner(runner.service, restarted_models)
         span.ended = time.monotonic()
-        await asyncio.sleep(LAPSE_S)
+        await asyncio.sleep(ENTRY_REMOVAL_S)
         self.store.remove(f"servers/{runner.runner_id}")
 
     def list_nodes(self, program: str) -> list[Node]:
-        """Return the nodes that run a program and are up."""
+        """Return the nodes with a running process of a program."""
         return [
             each
             for each in self.nodes
@@ -232,8 +232,8 @@
         ]
 
     async def async_start_node(self, node: Node) -> None:
-        """Start a node's program, and again whenever it ends."""
-        while node.wanted:
+        """Start a node's program, and restart it whenever it ends."""
+        while node.restarts:
             node.stopping = False
             process = await self.launcher.async_start(
                 node.name, "mangoway", node.program, *node.flags
@@ -241,7 +241,7 @@
             node.process, node.started_at = process, time.monotonic()
             code = await process.child.wait()
             if not node.stopping:
-                self.records.broken.append(f"exit: {node.name} ended with {code}")
+                self.records.violations.append(f"exit: {node.name} ended with {code}")
             await asyncio.sleep(RESTART_S)
 
     def _make_caller(self, number: int) -> Caller:
@@ -250,7 +250,7 @@
             records=self.records,
             directories=[each.directory for each in self.nodes if each.directory],
             models=MODELS,
-            wanted=self.wanted,
+            popular_models=self.popular_models,
         )
 
     async def _async_add_node(self, name: str, program: str) -> None:
@@ -289,10 +289,10 @@
                         raise TimeoutError(f"{node.name} is not ready")
                     await asyncio.sleep(READY_CHECK_S)
 
-    async def _async_beat(self) -> None:
-        """Write the runners' heartbeats."""
+    async def _async_send_heartbeats(self) -> None:
+        """Write the runners' heartbeats to the store."""
         while True:
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_S)
             self.store.expire()
             for runner in self.runners:
                 if f"servers/{runner.runner_id}" in self.store.items:
@@ -301,7 +301,7 @@
     def _end_task(self, task: "asyncio.Task[Any]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.records.broken.append(f"soak: {task.exception()!r}")
+            self.records.violations.append(f"soak: {task.exception()!r}")
 
 
 async def _async_is_ready(session: aiohttp.ClientSession, node: Node) -> bool:
