--- a/demo/tally.py
+++ b/demo/tally.py
@@ -40,7 +40,7 @@
     def _make_row(self, kind: str) -> tuple[object, ...]:
         results = self.results[kind]
         endings = Counter(result.ending for result in results)
-        spent = [r.seconds * 1000 for r in results if r.ending is Ending.ANSWERED]
+        spent = [r.duration_s * 1000 for r in results if r.ending is Ending.ANSWERED]
         cuts = quantiles(spent, n=20) if len(spent) > 1 else [0.0] * 19
         counts = (endings[ending] for ending in Ending)
         return (kind, len(results), *counts, round(cuts[9]), round(cuts[18]))
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -96,7 +96,7 @@
         store.put("a", b"1")
         await asyncio.sleep(3)
         store.put("b", b"2")
-        store.forget_history()
+        store.discard_history()
         store.down = False
         await asyncio.sleep(3)
         task.cancel()
--- a/tests/daemons/test_lease.py
+++ b/tests/daemons/test_lease.py
@@ -88,7 +88,7 @@
         holder = Holder(store, "a")
         holder.start()
         await asyncio.sleep(0.1)
-        store.lapse_lease(KEY)
+        store.expire_lease(KEY)
         await store.async_acquire_lease(KEY, "b", TTL_S, CallRank.SAFETY)
         await asyncio.sleep(TTL_S / 2)
         assert holder.changes == ["gained", "lost"]
--- a/tests/fakes/coordination_store.py
+++ b/tests/fakes/coordination_store.py
@@ -57,7 +57,7 @@
         del self.items[key]
         self._note(Change(key=key, revision=self.revision, item=None))
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Drop all changes before now."""
         self.forgotten = self.revision
         self._history.clear()
--- a/tests/fakes/key_value.py
+++ b/tests/fakes/key_value.py
@@ -117,7 +117,7 @@
     def close(self) -> None:
         """Hold no connections."""
 
-    def lapse_lease(self, key: str) -> None:
+    def expire_lease(self, key: str) -> None:
         """Let a lease run out now, as when its holder was paused."""
         self._leases.pop(key, None)
 
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -235,7 +235,7 @@
         scheduler, edge = SlowScheduler(after_s=1.5), Edge()
         try:
             edge.follow(await scheduler.async_start())
-            await async_wait_until(lambda: edge.link.leading, most_s=12.0)
+            await async_wait_until(lambda: edge.link.leading, timeout_s=12.0)
             assert scheduler.connections <= 3
         finally:
             edge.task.cancel()
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -101,7 +101,7 @@
             configure_quotas(scheduler, edge)
             assert edge.client.consume_quota("acme", 2.5 * RATE) == 0.0
             await async_wait_until(
-                lambda: edge.client.consume_quota("acme", 200.0) > 0, most_s=1.0
+                lambda: edge.client.consume_quota("acme", 200.0) > 0, timeout_s=1.0
             )
             # The quota is overdrawn by one and a half times the rate.
             assert edge.client.consume_quota("acme", 200.0) > 1.0
@@ -201,7 +201,7 @@
             quotas = second.server.core.state.quotas
             clock = second.server.clock
             await async_wait_until(
-                lambda: (quotas.get_balance("acme", clock()) or 0) < 0, most_s=2.0
+                lambda: (quotas.get_balance("acme", clock()) or 0) < 0, timeout_s=2.0
             )
             await asyncio.sleep(0)
             answer = await receive(
--- a/tests/stand_ins/caller.py
+++ b/tests/stand_ins/caller.py
@@ -52,7 +52,7 @@
     ending: Ending
     detail: str = ""
     tries: int = 1
-    seconds: float = 0.0
+    duration_s: float = 0.0
     first_token_s: float | None = None
 
 
@@ -225,8 +225,8 @@
         first_token_s = None
         if last.first_token_at is not None:
             first_token_s = last.first_token_at - began
-        spent = time.monotonic() - start
-        return Result(last.ending, last.detail, tries, spent, first_token_s)
+        duration_s = time.monotonic() - start
+        return Result(last.ending, last.detail, tries, duration_s, first_token_s)
 
     async def _async_try_once(
         self, send: Send, avoid: str, deadline_s: float
