--- a/tests/fakes/coordination_store.py
+++ b/tests/fakes/coordination_store.py
@@ -1,4 +1,4 @@
-"""A coordination store in memory, in the time of the running loop."""
+"""An in-memory coordination store in the time of the running event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,57 +16,59 @@
     Write,
 )
 
-ANSWER_S = 0.004
+RESPONSE_S = 0.004
 
 
 class FakeCoordinationStore:
-    """Keys, leases and watches, with faults that a test switches on."""
+    """Keys, leases and watches, with faults that tests switch on."""
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
         self.leases: dict[int, float] = {}
-        """Time at which each lease ends."""
+        """Expiry time of each lease."""
 
         self.revision = 0
         self.calls: list[str] = []
         self.down = False
         self.lose_answers = 0
-        """Commits that take effect and are not answered."""
+        """Number of commits that take effect and get no response."""
 
         self.silent_watches = False
         self.stale_list = False
-        """Whether a reading that may be old is one of the empty store."""
+        """Whether a list that may be stale is that of the empty store."""
 
-        self.forgotten = 0
-        """Revision before which changes are not kept."""
+        self.discarded_revision = 0
+        """Revision up to which changes are discarded."""
 
         self._ttls: dict[int, float] = {}
         self._history: list[Change] = []
         self._changed = asyncio.Event()
 
     def put(self, key: str, value: bytes, lease_id: int = 0) -> None:
-        """Write a key from outside."""
+        """Write a key, as another client would."""
         self.revision += 1
         item = Item(key=key, value=value, revision=self.revision, lease_id=lease_id)
         self.items[key] = item
-        self._note(Change(key=key, revision=self.revision, item=item))
+        self._add_change(Change(key=key, revision=self.revision, item=item))
 
     def remove(self, key: str) -> None:
-        """Remove a key from outside."""
+        """Remove a key, as another client would."""
         self.revision += 1
         del self.items[key]
-        self._note(Change(key=key, revision=self.revision, item=None))
+        self._add_change(Change(key=key, revision=self.revision, item=None))
 
     def discard_history(self) -> None:
-        """Drop all changes before now."""
-        self.forgotten = self.revision
+        """Discard all changes so far."""
+        self.discarded_revision = self.revision
         self._history.clear()
 
     def end_lease(self, lease_id: int) -> None:
-        """End a lease from outside."""
+        """End a lease, and remove its keys."""
         self.leases.pop(lease_id, None)
-        bound = [each for each in self.items.values() if each.lease_id == lease_id]
-        for item in bound:
+        lease_items = [
+            each for each in self.items.values() if each.lease_id == lease_id
+        ]
+        for item in lease_items:
             self.remove(item.key)
 
     async def async_read(self, key: str) -> Item | None:
@@ -84,7 +86,7 @@
 
     async def async_watch(self, prefix: str, revision: int, wait_s: float) -> Changes:
         await self._async_begin("watch")
-        if revision < self.forgotten:
+        if revision < self.discarded_revision:
             raise HistoryLostError(revision)
         end = self._now() + wait_s
         while True:
@@ -144,11 +146,11 @@
         self.end_lease(lease_id)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing; there are no connections."""
 
     async def _async_begin(self, call: str) -> None:
         self.calls.append(call)
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(RESPONSE_S)
         if self.down:
             raise StoreUnavailableError("down")
         self._expire()
@@ -158,7 +160,7 @@
             if self._now() >= ends_at:
                 self.end_lease(lease_id)
 
-    def _note(self, change: Change) -> None:
+    def _add_change(self, change: Change) -> None:
         self._history.append(change)
         self._changed.set()
         self._changed = asyncio.Event()
@@ -177,5 +179,5 @@
 
 
 def loop_clock() -> Callable[[], float]:
-    """Return the clock of the running loop."""
+    """Return the clock of the running event loop."""
     return asyncio.get_running_loop().time
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,7 +1,7 @@
-"""A model engine in virtual time: the truth that tests and measures compare with.
+"""A model engine in virtual time: the ground truth for tests and measurements.
 
-Decoding is fluid: all decoding requests of a batch advance at the same speed.
-Prompts are read one after the other beside the decoding, highest priority first.
+All decoding requests of a batch advance continuously at the same speed. Prompts are
+prefilled one after the other in parallel to the decoding, highest priority first.
 """
 
 import math
@@ -34,7 +34,7 @@
 
 @frozen(kw_only=True)
 class EngineSettings:
-    """Size, speed and manners of an engine."""
+    """Size, speed and options of an engine."""
 
     upstream: UpstreamId
     memory_mb: int = 80_000
@@ -42,7 +42,7 @@
     accelerators: int = 1
     max_running: int = 16
     stream_tokens_per_second: float = 60.0
-    """Decode speed of one request that has the engine for itself."""
+    """Decode speed of one request that runs alone."""
 
     tokens_per_second: float = 480.0
     """Decode speed of the whole engine."""
@@ -50,28 +50,28 @@
     prefill_tokens_per_second: float = 8000.0
     checks_fences: bool = False
     block_tokens: int = 64
-    """Prompt tokens that one prefix hash stands for."""
+    """Prompt tokens for each prefix hash."""
 
     cache_blocks: int = 512
-    """Prefix blocks that the cache holds at most."""
+    """Maximum number of prefix blocks in the cache."""
 
     reported_changes: int = 24
-    """Newest cache changes that each report repeats."""
+    """Number of newest cache changes in each report."""
 
 
 class SubmitOutcome(Enum):
-    """Answer of an engine to a new attempt."""
+    """Result of submitting an attempt to an engine."""
 
     ACCEPTED = "accepted"
     NOT_READY = "not_ready"
-    """The artifact is not in memory; the attempt certainly did not run."""
+    """The artifact is not loaded; the attempt did not run."""
 
     DOWN = "down"
 
 
 @frozen(kw_only=True)
 class TokensProduced:
-    """An attempt has this many tokens of the whole answer, resumed ones included."""
+    """Number of tokens of an attempt's answer so far, with those resumed from."""
 
     attempt_id: AttemptId
     tokens: int
@@ -79,7 +79,7 @@
 
 @frozen(kw_only=True)
 class AttemptFinished:
-    """An attempt's answer is whole."""
+    """The answer of an attempt is complete."""
 
     attempt_id: AttemptId
     tokens: int
@@ -90,7 +90,7 @@
 
 @define(kw_only=True)
 class _Sequence:
-    """One attempt inside the engine."""
+    """One attempt in the engine."""
 
     attempt_id: AttemptId
     artifact: Artifact
@@ -101,11 +101,11 @@
     max_tokens: int
     tokens: float
     prefill_left: float = 0.0
-    told: int = 0
+    reported_tokens: int = 0
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Return the place in the order of service; lower goes first."""
+        """Return the sort key in the order of service; the lowest is first."""
         return (-self.priority, self.arrival)
 
 
@@ -120,11 +120,11 @@
 
 
 class EngineModel:
-    """A model engine without I/O; the caller passes the time in.
+    """A model engine without I/O; the caller passes the time to each method.
 
-    `over_size` becomes True, and stays so, if an accepted order ever took the
-    memory over its size. The engine does not refuse such an order: the count is
-    the truth that the system is checked against.
+    `over_size` becomes and stays True once an accepted order made the memory exceed
+    its size. The engine does not reject such an order, since the system is checked
+    against this ground truth.
     """
 
     def __init__(
@@ -155,7 +155,7 @@
         self._cache = PrefixCache(settings.cache_blocks, settings.reported_changes)
 
     def describe(self) -> EngineDescription:
-        """Return what the engine says of itself."""
+        """Return the description of the engine."""
         settings = self.settings
         return EngineDescription(
             upstream=settings.upstream,
@@ -169,28 +169,28 @@
 
     @property
     def memory_mb(self) -> int:
-        """Return the memory that is taken now, KV cache floor included."""
-        taken = sum(resident.memory_mb for resident in self._residents.values())
-        return self.settings.kv_cache_floor_mb + taken
+        """Return the memory in use, including the KV cache floor."""
+        loaded_mb = sum(resident.memory_mb for resident in self._residents.values())
+        return self.settings.kv_cache_floor_mb + loaded_mb
 
     @property
     def running(self) -> int:
-        """Return the attempts in the batch."""
+        """Return the number of attempts in the batch."""
         return len(self._prefilling) + len(self._decoding)
 
     @property
     def waiting(self) -> int:
-        """Return the attempts that wait for a place in the batch."""
+        """Return the number of attempts that wait to enter the batch."""
         return len(self._waiting)
 
     def is_ready(self, artifact: Artifact) -> bool:
-        """Return whether the artifact, and its base, can take attempts."""
+        """Return whether the artifact and its base are ready for attempts."""
         needed = (artifact, artifact.base)
-        found = [self._residents.get(one) for one in needed]
-        return all(one is not None and one.state is Residency.READY for one in found)
+        found = [self._residents.get(each) for each in needed]
+        return all(each is not None and each.state is Residency.READY for each in found)
 
     def holds(self, artifact: Artifact) -> bool:
-        """Return whether the artifact is in memory or on its way there."""
+        """Return whether the artifact is loaded or loading."""
         resident = self._residents.get(artifact)
         return resident is not None and resident.state is not Residency.UNLOADING
 
@@ -205,7 +205,7 @@
         prefix_hashes: tuple[int, ...] = (),
         resume_from: int = 0,
     ) -> SubmitOutcome:
-        """Take an attempt; call `advance` first to have the outputs until now."""
+        """Submit an attempt; call `advance` first to get the outputs so far."""
         if self.is_down:
             return SubmitOutcome.DOWN
         if not self.is_ready(artifact):
@@ -220,25 +220,25 @@
             prefix_hashes=prefix_hashes,
             max_tokens=max(max_tokens, resume_from + 1),
             tokens=float(resume_from),
-            told=resume_from,
+            reported_tokens=resume_from,
         )
         self._waiting.append(sequence)
         self._admit()
         return SubmitOutcome.ACCEPTED
 
     def cancel(self, now: float, attempt_id: AttemptId) -> int | None:
-        """End an attempt; return its tokens so far, None if it is not here."""
+        """Cancel an attempt; return its tokens so far, None if it is unknown."""
         for group in (self._waiting, self._prefilling, self._decoding):
             for sequence in group:
                 if sequence.attempt_id == attempt_id:
                     group.remove(sequence)
-                    self._end_unloads()
+                    self._finish_unloads()
                     self._admit()
                     return math.floor(sequence.tokens + _EPSILON)
         return None
 
     def order(self, now: float, order: Order) -> OrderOutcome | None:
-        """Take an order; None means that the engine is down and does not answer."""
+        """Execute an order; return None if the engine is down and can't respond."""
         if self.is_down:
             return None
         if order.incarnation != self.incarnation:
@@ -255,11 +255,11 @@
 
     @property
     def fence(self) -> FenceNumber:
-        """Return the highest fence seen; 0 if the engine does not check."""
+        """Return the highest fence received; 0 if the engine doesn't check fences."""
         return self._fence
 
     def report(self, now: float) -> EngineReport:
-        """Return load, memory and cache as they are after the last `advance`."""
+        """Return load, memory and cache as of the last `advance`."""
         tokens = sum(s.prompt_tokens + s.tokens for s in self._decoding)
         return EngineReport(
             upstream=self.settings.upstream,
@@ -282,9 +282,9 @@
         )
 
     def crash(self, now: float) -> tuple[AttemptId, ...]:
-        """Lose everything; return the attempts that were cut off."""
+        """Crash, and lose all state; return the interrupted attempts."""
         groups = (self._waiting, self._prefilling, self._decoding)
-        lost = tuple(s.attempt_id for group in groups for s in group)
+        interrupted = tuple(s.attempt_id for group in groups for s in group)
         for group in groups:
             group.clear()
         for resident in self._residents.values():
@@ -293,31 +293,31 @@
         self._cache.clear()
         self._fence = FenceNumber(0)
         self.is_down = True
-        return lost
+        return interrupted
 
     def restart(self, now: float, incarnation: IncarnationId) -> None:
-        """Come back empty as a new incarnation."""
+        """Restart without loaded artifacts, as a new incarnation."""
         self._now = now
         self.incarnation = incarnation
         self.is_down = False
 
     def next_event_time(self) -> float:
-        """Return when a load, a prompt or an answer ends if nothing else happens."""
+        """Return when the next load, prefill or answer ends without further input."""
         times = [self._next_step_time()]
         if any(r.state is Residency.LOADING for r in self._residents.values()):
             times.append(self._store.next_event_time())
         return min(times)
 
     def advance(self, now: float) -> list[EngineOutput]:
-        """Let time pass up to `now`; return what came out on the way, in order."""
+        """Advance the time to `now`; return the outputs until then, in order."""
         outputs: list[EngineOutput] = []
         while not self.is_down and self._now < now:
             step_end = min(now, max(self._now, self._next_step_time()))
             self._progress(step_end, outputs)
         self._now = max(self._now, now)
         self._store.advance(now)
-        self._end_loads()
-        outputs.extend(self._tell_tokens())
+        self._finish_loads()
+        outputs.extend(self._report_tokens())
         return outputs
 
     def _next_step_time(self) -> float:
@@ -337,20 +337,20 @@
     def _progress(self, until: float, outputs: list[EngineOutput]) -> None:
         elapsed = until - self._now
         if self._decoding:
-            made = elapsed * self._speed()
+            new_tokens = elapsed * self._speed()
             for sequence in self._decoding:
-                sequence.tokens += made
-            self.decoded_tokens += made * len(self._decoding)
+                sequence.tokens += new_tokens
+            self.decoded_tokens += new_tokens * len(self._decoding)
         if self._prefilling:
-            read = elapsed * self.settings.prefill_tokens_per_second
-            self._prefilling[0].prefill_left -= read
+            prefilled = elapsed * self.settings.prefill_tokens_per_second
+            self._prefilling[0].prefill_left -= prefilled
         self._now = until
-        # An answer of one token ends as soon as its prompt was read.
-        self._end_prompts()
-        self._end_answers(outputs)
+        # An answer of one token ends together with its prefill.
+        self._finish_prefills()
+        self._finish_answers(outputs)
         self._admit()
 
-    def _end_answers(self, outputs: list[EngineOutput]) -> None:
+    def _finish_answers(self, outputs: list[EngineOutput]) -> None:
         limit = _EPSILON * 1000
         ended = [s for s in self._decoding if s.max_tokens - s.tokens <= limit]
         if not ended:
@@ -362,9 +362,9 @@
                     attempt_id=sequence.attempt_id, tokens=sequence.max_tokens
                 )
             )
-        self._end_unloads()
+        self._finish_unloads()
 
-    def _end_prompts(self) -> None:
+    def _finish_prefills(self) -> None:
         if not self._prefilling or self._prefilling[0].prefill_left > _EPSILON * 1000:
             return
         sequence = self._prefilling.pop(0)
@@ -383,18 +383,18 @@
             self._insert_prefilling(sequence)
 
     def _insert_prefilling(self, sequence: _Sequence) -> None:
-        place = min(1, len(self._prefilling))
-        while place < len(self._prefilling):
-            if self._prefilling[place].rank > sequence.rank:
+        index = min(1, len(self._prefilling))
+        while index < len(self._prefilling):
+            if self._prefilling[index].rank > sequence.rank:
                 break
-            place += 1
-        self._prefilling.insert(place, sequence)
+            index += 1
+        self._prefilling.insert(index, sequence)
 
-    def _tell_tokens(self) -> Iterable[EngineOutput]:
+    def _report_tokens(self) -> Iterable[EngineOutput]:
         for sequence in self._decoding:
             tokens = math.floor(sequence.tokens + _EPSILON)
-            if tokens > sequence.told:
-                sequence.told = tokens
+            if tokens > sequence.reported_tokens:
+                sequence.reported_tokens = tokens
                 yield TokensProduced(attempt_id=sequence.attempt_id, tokens=tokens)
 
     def _load(self, now: float, order: Order) -> OrderOutcome:
@@ -424,7 +424,7 @@
         return OrderOutcome.ACCEPTED
 
     def _unload(self, now: float, artifact: Artifact) -> OrderOutcome:
-        """Begin an unload, which waits for attempts; adapters go with their base."""
+        """Start an unload, which waits for attempts; a base includes its adapters."""
         if artifact not in self._residents:
             return OrderOutcome.REFUSED_UNKNOWN
         for resident in self._residents.values():
@@ -432,22 +432,22 @@
                 if resident.state is Residency.LOADING:
                     self._store.abandon(now, resident.load_key)
                 resident.state = Residency.UNLOADING
-        self._end_unloads()
+        self._finish_unloads()
         return OrderOutcome.ACCEPTED
 
-    def _end_loads(self) -> None:
+    def _finish_loads(self) -> None:
         for resident in self._residents.values():
             if resident.state is Residency.LOADING and self._store.is_done(
                 resident.load_key
             ):
                 resident.state = Residency.READY
 
-    def _end_unloads(self) -> None:
-        """Free what unloads once no attempt uses it."""
+    def _finish_unloads(self) -> None:
+        """Free the memory of unloading artifacts that no attempt uses any more."""
         unloading = [
-            one
-            for one in self._residents.values()
-            if one.state is Residency.UNLOADING and not self._is_used(one.artifact)
+            each
+            for each in self._residents.values()
+            if each.state is Residency.UNLOADING and not self._is_used(each.artifact)
         ]
         for resident in unloading:
             del self._residents[resident.artifact]
--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -16,7 +16,7 @@
 
 WEIGHTS_MB = 70_000.0
 RUNNER_MB = 225_000.0
-"""Room for three models and the adapters."""
+"""Memory for three models and the adapters."""
 
 
 def make_model(name: str, load_s: float = 1.2, adapters: int = 0) -> ModelProfile:
@@ -165,7 +165,7 @@
     only: tuple[str, ...] = (),
     repeat: bool = False,
 ) -> GrantRequest:
-    """Return the question of an edge for a place."""
+    """Return the request of an edge for a grant."""
     return GrantRequest(
         request_id=request_id,
         edge=edge,
--- a/tests/fakes/key_value.py
+++ b/tests/fakes/key_value.py
@@ -20,7 +20,7 @@
 
 @define
 class Lease:
-    """Holder of a lease key."""
+    """Owner of a lease key, and its expiry time."""
 
     owner: str
     expires_at: float
@@ -28,25 +28,25 @@
 
 @define
 class FakeKeyValueStore:
-    """Implements `KeyValueStore`; the public attributes below are its switches."""
+    """In-memory `KeyValueStore`; its public attributes are the switches."""
 
     down: bool = False
-    """Every call fails and certainly did not run."""
+    """Whether every call fails without having run."""
 
     delay_s: float = 0.0
-    """Time each call takes."""
+    """Duration of each call."""
 
     lost_answers: int = 0
-    """Number of coming commits that take effect but whose answers are lost."""
+    """Number of future commits that take effect but get no response."""
 
     failed_commits: int = 0
-    """Number of coming commits that fail ambiguously without taking effect."""
+    """Number of future commits that fail ambiguously without taking effect."""
 
     stalled: bool = False
-    """Watches stay open and yield nothing."""
+    """Whether watches stay open and yield nothing."""
 
     calls: int = 0
-    """Calls so far, for measurements."""
+    """Number of calls so far, for measurements."""
 
     writes: int = 0
     _values: dict[str, StoredValue] = field(factory=dict)
@@ -72,7 +72,7 @@
         await self._async_start()
         if self.failed_commits:
             self.failed_commits -= 1
-            raise make_outage(Verdict.MAY_HAVE_RUN)
+            raise make_unavailable_error(Verdict.MAY_HAVE_RUN)
         current = tuple(self._find(put.key) for put in puts)
         if any(p.expected != c.revision for p, c in zip(puts, current, strict=True)):
             return TransactionResult(
@@ -81,13 +81,13 @@
         self._write(puts)
         if self.lost_answers:
             self.lost_answers -= 1
-            raise make_outage(Verdict.MAY_HAVE_RUN)
+            raise make_unavailable_error(Verdict.MAY_HAVE_RUN)
         return TransactionResult(succeeded=True, revision=Revision(self._revision))
 
     async def async_acquire_lease(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        """Take or renew a lease key; False while another owner holds it."""
+        """Acquire or renew a lease key; return False while another owner has it."""
         await self._async_start()
         now = asyncio.get_running_loop().time()
         lease = self._leases.get(key)
@@ -97,35 +97,35 @@
         return True
 
     async def async_release_lease(self, key: str, owner: str, rank: CallRank) -> None:
-        """Give up a lease key that this owner holds."""
+        """Release a lease key of this owner."""
         await self._async_start()
         lease = self._leases.get(key)
         if lease and lease.owner == owner:
             del self._leases[key]
 
     async def watch(self, prefix: str) -> AsyncIterator[StoredValue]:
-        """Yield changes under a prefix; it may stall or end without notice."""
-        seen = len(self._changes)
+        """Yield changes under a prefix; may stall, or end without an error."""
+        position = len(self._changes)
         while not self.down:
-            while not self.stalled and seen < len(self._changes):
-                change = self._changes[seen]
-                seen += 1
+            while not self.stalled and position < len(self._changes):
+                change = self._changes[position]
+                position += 1
                 if change.key.startswith(prefix):
                     yield change
             await asyncio.sleep(WATCH_POLL_S)
 
     def close(self) -> None:
-        """Hold no connections."""
+        """Do nothing; there are no connections."""
 
     def expire_lease(self, key: str) -> None:
-        """Let a lease run out now, as when its holder was paused."""
+        """Expire a lease now, as if its owner had been paused."""
         self._leases.pop(key, None)
 
     async def _async_start(self) -> None:
         self.calls += 1
         await asyncio.sleep(self.delay_s)
         if self.down:
-            raise make_outage(Verdict.NOT_RUN)
+            raise make_unavailable_error(Verdict.NOT_RUN)
 
     def _find(self, key: str) -> StoredValue:
         absent = StoredValue(key=key, value=None, revision=Revision(0))
@@ -146,6 +146,6 @@
             self._changes.append(change)
 
 
-def make_outage(verdict: Verdict) -> MangowayError:
-    """Return the error of a call that got no answer."""
+def make_unavailable_error(verdict: Verdict) -> MangowayError:
+    """Return the error of a call without a response."""
     return MangowayError(ErrorCode.PLATFORM_UNAVAILABLE, "no answer", verdict)
--- a/tests/fakes/link.py
+++ b/tests/fakes/link.py
@@ -1,4 +1,4 @@
-"""A link that loses, delays and doubles orders on their way to an engine."""
+"""A link that loses, delays and duplicates orders to an engine."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 
 @frozen(kw_only=True)
 class LinkFaults:
-    """Shares of orders (0 to 1) that meet each fault."""
+    """Share of orders with each fault, from 0 to 1."""
 
     lost: float = 0.0
     delayed: float = 0.0
@@ -26,12 +26,12 @@
     time: float
     order: Order
     answers: bool
-    """Whether the sender gets the engine's answer to this arrival."""
+    """Whether the sender receives the engine's response to this arrival."""
 
 
 @define
 class OrderLink:
-    """Decide when, and how often, each order arrives."""
+    """Chooses when and how often each order arrives."""
 
     random: Random
     latency_s: float = 0.001
--- a/tests/fakes/polling.py
+++ b/tests/fakes/polling.py
@@ -1,4 +1,4 @@
-"""Waiting for something that other tasks bring about."""
+"""Waiting for a condition that other tasks fulfil."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 async def async_wait_until(
     condition: Callable[[], bool], timeout_s: float = TIMEOUT_S
 ) -> None:
-    """Wait until a condition holds.
+    """Wait until a condition is true.
 
     Raises:
-        TimeoutError: If it doesn't within some seconds.
+        TimeoutError: If it is still false after the timeout.
     """
     for _ in range(int(timeout_s / PERIOD_S)):
         if condition():
             return
         await asyncio.sleep(PERIOD_S)
-    raise TimeoutError("the condition did not come to hold")
+    raise TimeoutError("the condition is still false")
--- a/tests/fakes/prefix_cache.py
+++ b/tests/fakes/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The cache of prompt prefixes in an engine, limited in blocks."""
+"""Cache of prompt prefixes in an engine, with a limited number of blocks."""
 
 from collections import OrderedDict, deque
 
@@ -6,7 +6,7 @@
 
 
 class PrefixCache:
-    """Blocks of prompts, the least recently used of which go first."""
+    """Blocks of prompts, of which the least recently used are evicted."""
 
     def __init__(self, blocks: int, reported_changes: int) -> None:
         self._limit = blocks
@@ -15,7 +15,7 @@
         self._changes: deque[CacheChange] = deque(maxlen=reported_changes)
 
     def count(self, hashes: tuple[int, ...]) -> int:
-        """Return how many leading blocks are here, and note their use."""
+        """Return the number of leading blocks in the cache, and mark them as used."""
         count = 0
         for block in hashes:
             if block not in self._blocks:
@@ -25,7 +25,7 @@
         return count
 
     def add(self, hashes: tuple[int, ...]) -> None:
-        """Take the blocks of a prompt that was read."""
+        """Add the blocks of a prefilled prompt."""
         added = tuple(block for block in hashes if block not in self._blocks)
         for block in hashes:
             self._blocks[block] = None
@@ -41,10 +41,10 @@
             self._changes.append(change)
 
     def list_changes(self) -> tuple[CacheChange, ...]:
-        """Return the newest changes; older ones are missed."""
+        """Return the newest changes; older ones are dropped."""
         return tuple(self._changes)
 
     def clear(self) -> None:
-        """Lose everything; the sequence goes on."""
+        """Clear the cache; the sequence numbers continue."""
         self._blocks.clear()
         self._changes.clear()
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -55,23 +55,23 @@
 
 
 class TestMemory:
-    """The engine counts what is really in memory."""
+    """The engine counts the memory that is in use."""
 
-    def test_memory_is_taken_when_the_order_is_accepted(self) -> None:
+    def test_memory_is_used_from_the_acceptance_of_the_order(self) -> None:
         engine = build_engine()
         assert engine.order(0.0, build_order(1)) is OrderOutcome.ACCEPTED
         assert engine.memory_mb == 4096 + WEIGHTS_MB
         assert not engine.is_ready(CHAT)
         assert not engine.over_size
 
-    def test_order_beyond_the_size_is_seen(self) -> None:
+    def test_order_beyond_the_memory_size_is_recorded(self) -> None:
         engine = build_engine()
         engine.order(0.0, build_order(1))
         engine.order(0.0, build_order(2, LOGS))
         assert engine.over_size
         assert engine.peak_memory_mb == 4096 + 2 * WEIGHTS_MB
 
-    def test_doubled_load_counts_once(self) -> None:
+    def test_duplicated_load_counts_once(self) -> None:
         engine = build_engine()
         engine.order(0.0, build_order(1))
         engine.order(0.0, build_order(1))
@@ -92,14 +92,14 @@
 class TestFences:
     """Old fences and other incarnations."""
 
-    def test_engine_that_checks_refuses_an_old_fence(self) -> None:
+    def test_engine_with_the_check_rejects_an_old_fence(self) -> None:
         engine = build_engine()
         engine.order(0.0, build_order(5))
         assert engine.order(0.0, build_order(4, LOGS)) is (
             OrderOutcome.REFUSED_STALE_FENCE
         )
 
-    def test_engine_that_does_not_check_obeys_an_old_fence(self) -> None:
+    def test_engine_without_the_check_accepts_an_old_fence(self) -> None:
         engine = build_engine(checks_fences=False)
         engine.order(0.0, build_order(5))
         assert engine.order(0.0, build_order(4, LOGS)) is OrderOutcome.ACCEPTED
@@ -121,7 +121,7 @@
         for number in range(16):
             engine.submit(now, AttemptId(str(number)), CHAT, 8, 301)
         outputs = engine.advance(now + 10.2)
-        finished = [one for one in outputs if isinstance(one, AttemptFinished)]
+        finished = [each for each in outputs if isinstance(each, AttemptFinished)]
         # 480 tokens a second for 16 streams of 300 tokens after the first one.
         assert len(finished) == 16
 
@@ -136,7 +136,7 @@
         order = [o.attempt_id for o in outputs if isinstance(o, AttemptFinished)]
         assert order.index(AttemptId("high")) < order.index(AttemptId("low"))
 
-    def test_resumed_attempt_continues_behind_its_offset(self) -> None:
+    def test_resumed_attempt_continues_after_its_offset(self) -> None:
         engine = build_engine()
         now = load_chat(engine)
         engine.submit(now, AttemptId("x"), CHAT, 8, 100, resume_from=90)
@@ -144,16 +144,16 @@
         outputs = engine.advance(now + 0.1)
         assert next(o for o in outputs if isinstance(o, TokensProduced)).tokens > 90
 
-    def test_answer_of_one_token_ends_with_its_prompt(self) -> None:
+    def test_answer_of_one_token_ends_with_its_prefill(self) -> None:
         engine = build_engine()
         now = load_chat(engine)
         engine.submit(now, AttemptId("x"), CHAT, prompt_tokens=64, max_tokens=1)
-        prompt_read_at = engine.next_event_time()
-        outputs = engine.advance(prompt_read_at)
+        prefilled_at = engine.next_event_time()
+        outputs = engine.advance(prefilled_at)
         assert AttemptFinished(attempt_id=AttemptId("x"), tokens=1) in outputs
-        assert engine.next_event_time() > prompt_read_at
+        assert engine.next_event_time() > prefilled_at
 
-    def test_cached_prefix_shortens_the_prompt(self) -> None:
+    def test_cached_prefix_shortens_the_prefill(self) -> None:
         engine = build_engine()
         now = load_chat(engine)
         hashes = tuple(range(100))
--- a/tests/fakes/weight_store.py
+++ b/tests/fakes/weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store: limited in loads per second and in loads at full speed."""
+"""Weight store with limits on loads per second and on loads at full speed."""
 
 import math
 
@@ -14,12 +14,12 @@
     loads_per_second: float = 2.0
     loads_at_full_speed: int = 2
     mb_per_second: float = 4000.0
-    """Speed of one load while no more than `loads_at_full_speed` run."""
+    """Speed of one load while at most `loads_at_full_speed` are running."""
 
 
 @define
 class _Transfer:
-    """One load on its way."""
+    """One load in progress."""
 
     starts_at: float
     left_mb: float
@@ -27,37 +27,37 @@
 
 @define
 class WeightStoreModel:
-    """Share the store's bandwidth among the loads of all engines.
+    """Shares the store's bandwidth among the loads of all engines.
 
-    Loads start no faster than the rate limit. More loads at once than run at full
-    speed share the bandwidth of that many.
+    Loads start within the rate limit. If more loads run than `loads_at_full_speed`,
+    they share the bandwidth of that many.
     """
 
     settings: WeightStoreSettings = field(factory=WeightStoreSettings)
-    loads_begun: int = 0
+    loads_started: int = 0
     _now: float = 0.0
     _next_start: float = 0.0
     _transfers: dict[str, _Transfer] = field(factory=dict)
 
     def begin(self, now: float, key: str, size_mb: float) -> None:
-        """Begin a load under a key that the caller chose."""
+        """Start a load under a key chosen by the caller."""
         self.advance(now)
         starts_at = max(now, self._next_start)
         self._next_start = starts_at + 1.0 / self.settings.loads_per_second
         self._transfers[key] = _Transfer(starts_at, size_mb)
-        self.loads_begun += 1
+        self.loads_started += 1
 
     def abandon(self, now: float, key: str) -> None:
-        """Forget a load whose engine no longer wants it."""
+        """Remove a load that its engine no longer needs."""
         self.advance(now)
         self._transfers.pop(key, None)
 
     def is_done(self, key: str) -> bool:
-        """Return whether a load has ended (also if it was never begun)."""
+        """Return whether a load has ended; True also if it was never started."""
         return key not in self._transfers
 
     def advance(self, now: float) -> None:
-        """Let time pass up to `now`."""
+        """Advance the time to `now`."""
         while self._now < now:
             step_end = min(now, self.next_event_time())
             self._transfer_until(max(step_end, self._now))
@@ -66,7 +66,7 @@
         self._now = max(self._now, now)
 
     def next_event_time(self) -> float:
-        """Return when the next load starts or ends if nothing else happens."""
+        """Return when the next load starts or ends without further input."""
         running = self._list_running()
         times = [t.starts_at for t in self._transfers.values()]
         times = [time for time in times if time > self._now]
@@ -89,13 +89,13 @@
     def _transfer_until(self, time: float) -> None:
         running = self._list_running()
         if running:
-            moved = (time - self._now) * self._speed(len(running))
+            transferred_mb = (time - self._now) * self._speed(len(running))
             for transfer in running:
-                transfer.left_mb -= moved
-            self._drop_done()
+                transfer.left_mb -= transferred_mb
+            self._remove_done()
         self._now = time
 
-    def _drop_done(self) -> None:
+    def _remove_done(self) -> None:
         self._transfers = {
             key: transfer
             for key, transfer in self._transfers.items()
--- a/tests/stand_ins/caller.py
+++ b/tests/stand_ins/caller.py
@@ -1,4 +1,4 @@
-"""A caller that follows the rules for callers, and checks each answer it gets."""
+"""A caller that follows the rules for callers and checks each response."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 KEY_HEADER = "Idempotency-Key"
 CONNECT_S = 2.0
 GRACE_S = 5.0
-"""Time behind the deadline after which a request counts as hung."""
+"""Time after the deadline until a request counts as hung."""
 
 MAX_PAUSE_S = 2.0
 DEFAULT_PAUSE_S = 0.2
@@ -33,44 +33,44 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """A coded failure that says it did not run."""
+    """A coded failure with the verdict that it did not run."""
 
     UNSURE = "unsure"
-    """A coded failure that says it ran, or may have run."""
+    """A coded failure with the verdict that it ran, or may have run."""
 
     WRONG = "wrong"
-    """Not the whole answer, or not its own."""
+    """An incomplete answer, or the answer to another request."""
 
     LOST = "lost"
-    """It hung, or ended without an answer or a coded failure."""
+    """Hung, or ended without an answer or a coded failure."""
 
 
 @frozen
 class Result:
-    """What a caller knows of one request in the end."""
+    """Final result of one request for its caller."""
 
     ending: Ending
     detail: str = ""
-    tries: int = 1
+    attempts: int = 1
     duration_s: float = 0.0
     first_token_s: float | None = None
 
 
 @frozen
-class Try:
-    """What became of one try."""
+class Attempt:
+    """Result of one attempt."""
 
     ending: Ending
     detail: str = ""
     retry_after: float | None = None
     first_token_at: float | None = None
     reached: bool = True
-    """False: the connection was refused, so nothing was sent."""
+    """Whether a connection was made; if not, nothing was sent."""
 
 
 @define
 class Gateway:
-    """One address of an address answer."""
+    """One gateway of an address response."""
 
     address: str
     incarnation: str
@@ -78,7 +78,7 @@
 
 @define
 class AddressBook:
-    """Addresses in use, kept no longer than the system allows."""
+    """Gateway addresses in use, refreshed when their validity ends."""
 
     session: aiohttp.ClientSession
     seeds: tuple[str, ...]
@@ -87,7 +87,7 @@
     turn: int = 0
 
     async def async_next(self, avoid: str = "") -> Gateway:
-        """Return the next gateway to use, another than `avoid` if there is one."""
+        """Return the next gateway to use, if possible not the one at `avoid`."""
         if time.monotonic() >= self.valid_until or avoid:
             await self._async_refresh()
         self.turn += 1
@@ -99,15 +99,15 @@
         known = [gateway.address for gateway in self.gateways]
         for address in dict.fromkeys([*known, *self.seeds]):
             try:
-                await self._async_ask(address)
+                await self._async_fetch(address)
             except (aiohttp.ClientError, TimeoutError):
                 continue
             if self.gateways:
                 return
         if not self.gateways:
-            raise aiohttp.ClientConnectionError("no address answers")
+            raise aiohttp.ClientConnectionError("no gateway responded with addresses")
 
-    async def _async_ask(self, address: str) -> None:
+    async def _async_fetch(self, address: str) -> None:
         url = f"http://{address}/v1/addresses"
         timeout = aiohttp.ClientTimeout(total=CONNECT_S)
         async with self.session.get(url, timeout=timeout) as response:
@@ -120,12 +120,12 @@
         self.valid_until = time.monotonic() + answer["valid_for_s"]
 
 
-Send = Callable[[Gateway], Awaitable[Try]]
+Send = Callable[[Gateway], Awaitable[Attempt]]
 
 
 @define
 class Caller:
-    """Sends requests, tries again where that is safe, and checks answers."""
+    """Sends requests, retries them where that is safe, and checks the answers."""
 
     name: str
     book: AddressBook
@@ -140,7 +140,7 @@
         stream: bool = True,
         artifact: str = "",
     ) -> Result:
-        """Ask for a completion; it may be repeated."""
+        """Request a completion, which may be retried."""
         body = {
             "model": model,
             "prompt": prompt,
@@ -150,17 +150,19 @@
         expected = make_answer(artifact or model, prompt, tokens)
         headers = self._make_headers(work_class, deadline_s)
 
-        async def async_send(gateway: Gateway) -> Try:
+        async def async_send(gateway: Gateway) -> Attempt:
             url = f"http://{gateway.address}/v1/completions"
-            async with self.book.session.post(url, json=body, headers=headers) as got:
-                if got.status != 200:
-                    return await _async_read_failure(got)
+            async with self.book.session.post(
+                url, json=body, headers=headers
+            ) as response:
+                if response.status != 200:
+                    return await _async_read_failure(response)
                 if stream:
-                    return await _async_read_stream(got, expected)
-                text = (await got.json())["choices"][0]["text"]
-                return _compare(text, expected)
+                    return await _async_read_stream(response, expected)
+                text = (await response.json())["choices"][0]["text"]
+                return _compare_text(text, expected)
 
-        return await self._async_try(async_send, deadline_s)
+        return await self._async_send_until_final(async_send, deadline_s)
 
     async def async_call(
         self,
@@ -170,35 +172,37 @@
         deadline_s: float,
         idempotent: bool = False,
     ) -> Result:
-        """Call a plain service, with a key unless the call may be repeated."""
+        """Call a plain service, with a key unless the call is idempotent."""
         body = {"id": body_id}
         headers = self._make_headers("urgent", deadline_s)
         key = ""
-        certain = True
+        none_has_run = True
 
-        async def async_send(gateway: Gateway) -> Try:
-            nonlocal key, certain
-            # A new home is only allowed while no earlier submission may have run.
-            if not idempotent and certain:
+        async def async_send(gateway: Gateway) -> Attempt:
+            nonlocal key, none_has_run
+            # The key may get another home only while no earlier attempt may have run.
+            if not idempotent and none_has_run:
                 key = make_key(gateway, body_id)
             if key:
                 headers[KEY_HEADER] = key
             url = f"http://{gateway.address}/v1/services/{service}/{call}"
-            sent = await _async_guard(self._async_post(url, body, headers))
-            certain = certain and (sent.ending is Ending.REFUSED or not sent.reached)
+            sent = await _async_catch_failure(self._async_post(url, body, headers))
+            none_has_run = none_has_run and (
+                sent.ending is Ending.REFUSED or not sent.reached
+            )
             return sent
 
-        return await self._async_try(async_send, deadline_s)
+        return await self._async_send_until_final(async_send, deadline_s)
 
     async def _async_post(
         self, url: str, body: dict[str, Any], headers: dict[str, str]
-    ) -> Try:
-        async with self.book.session.post(url, json=body, headers=headers) as got:
-            if got.status != 200:
-                return await _async_read_failure(got)
-            answer = await got.json()
-            ok = answer.get("echo") == body
-            return Try(Ending.ANSWERED if ok else Ending.WRONG, str(answer))
+    ) -> Attempt:
+        async with self.book.session.post(url, json=body, headers=headers) as response:
+            if response.status != 200:
+                return await _async_read_failure(response)
+            answer = await response.json()
+            is_own = answer.get("echo") == body
+            return Attempt(Ending.ANSWERED if is_own else Ending.WRONG, str(answer))
 
     def _make_headers(self, work_class: str, deadline_s: float) -> dict[str, str]:
         return {
@@ -207,93 +211,101 @@
             DEADLINE_HEADER: str(deadline_s),
         }
 
-    async def _async_try(self, send: Send, deadline_s: float) -> Result:
-        """Try until there is a final answer, or no time is left for a new try."""
+    async def _async_send_until_final(self, send: Send, deadline_s: float) -> Result:
+        """Send until there is a final result, or no time is left for an attempt."""
         start = time.monotonic()
-        tries = 0
+        attempts = 0
         avoid = ""
-        last = Try(Ending.LOST, "no try")
-        while tries == 0 or time.monotonic() - start < deadline_s:
-            tries += 1
-            began = time.monotonic()
-            gateway, last = await self._async_try_once(send, avoid, deadline_s)
-            if last.ending is Ending.LOST:
+        attempt = Attempt(Ending.LOST, "no attempt")
+        while attempts == 0 or time.monotonic() - start < deadline_s:
+            attempts += 1
+            attempt_start = time.monotonic()
+            gateway, attempt = await self._async_send_once(send, avoid, deadline_s)
+            if attempt.ending is Ending.LOST:
                 avoid = gateway
-            elif last.ending is not Ending.REFUSED or last.retry_after is None:
+            elif attempt.ending is not Ending.REFUSED or attempt.retry_after is None:
                 break
-            await asyncio.sleep(min(last.retry_after or DEFAULT_PAUSE_S, MAX_PAUSE_S))
+            await asyncio.sleep(
+                min(attempt.retry_after or DEFAULT_PAUSE_S, MAX_PAUSE_S)
+            )
         first_token_s = None
-        if last.first_token_at is not None:
-            first_token_s = last.first_token_at - began
+        if attempt.first_token_at is not None:
+            first_token_s = attempt.first_token_at - attempt_start
         duration_s = time.monotonic() - start
-        return Result(last.ending, last.detail, tries, duration_s, first_token_s)
+        return Result(
+            attempt.ending, attempt.detail, attempts, duration_s, first_token_s
+        )
 
-    async def _async_try_once(
+    async def _async_send_once(
         self, send: Send, avoid: str, deadline_s: float
-    ) -> tuple[str, Try]:
-        """Return the address that was tried, and what became of it."""
+    ) -> tuple[str, Attempt]:
+        """Return the address that was used, and the result of the attempt."""
         address = ""
         try:
             async with asyncio.timeout(deadline_s + GRACE_S):
                 gateway = await self.book.async_next(avoid)
                 address = gateway.address
-                return address, await _async_guard(send(gateway))
+                return address, await _async_catch_failure(send(gateway))
         except TimeoutError:
-            return address, Try(Ending.LOST, "hung")
+            return address, Attempt(Ending.LOST, "hung")
         except aiohttp.ClientError as error:
-            return address, Try(Ending.LOST, repr(error))
+            return address, Attempt(Ending.LOST, repr(error))
 
 
-async def _async_guard(sending: Awaitable[Try]) -> Try:
-    """Turn a broken connection into a try without an answer."""
+async def _async_catch_failure(sending: Awaitable[Attempt]) -> Attempt:
+    """Return an attempt without an answer if the connection fails."""
     try:
         return await sending
     except aiohttp.ClientConnectorError as error:
-        return Try(Ending.LOST, repr(error), reached=False)
+        return Attempt(Ending.LOST, repr(error), reached=False)
     except (aiohttp.ClientError, json.JSONDecodeError) as error:
-        return Try(Ending.LOST, repr(error))
+        return Attempt(Ending.LOST, repr(error))
 
 
-async def _async_read_failure(got: aiohttp.ClientResponse) -> Try:
+async def _async_read_failure(response: aiohttp.ClientResponse) -> Attempt:
     """Read a problem document."""
-    return _judge_failure(await got.json(content_type=None))
+    return _classify_failure(await response.json(content_type=None))
 
 
-def _judge_failure(problem: dict[str, Any]) -> Try:
+def _classify_failure(problem: dict[str, Any]) -> Attempt:
     code, verdict = problem.get("code"), problem.get("verdict")
     if not code or verdict not in ("not_run", "may_have_run", "ran"):
-        return Try(Ending.LOST, f"not a coded failure: {problem}")
+        return Attempt(Ending.LOST, f"not a coded failure: {problem}")
     ending = Ending.REFUSED if verdict == "not_run" else Ending.UNSURE
-    return Try(ending, f"{code} ({verdict})", problem.get("retry_after_s"))
+    return Attempt(ending, f"{code} ({verdict})", problem.get("retry_after_s"))
 
 
-async def _async_read_stream(got: aiohttp.ClientResponse, expected: str) -> Try:
+async def _async_read_stream(
+    response: aiohttp.ClientResponse, expected: str
+) -> Attempt:
     """Read server-sent events up to the end or a coded failure."""
     text = ""
     first_token_at = None
-    async for line in got.content:
+    async for line in response.content:
         if not line.startswith(b"data: "):
             continue
         data = line[6:].strip()
         if data == b"[DONE]":
-            return _compare(text, expected, first_token_at)
+            return _compare_text(text, expected, first_token_at)
         event = json.loads(data)
         if "error" in event:
-            return _judge_failure(event["error"])
+            return _classify_failure(event["error"])
         text += event["choices"][0]["text"]
         first_token_at = first_token_at or time.monotonic()
-    return Try(Ending.LOST, f"the stream ended after {len(text)} characters")
+    return Attempt(Ending.LOST, f"the stream ended after {len(text)} characters")
 
 
-def _compare(text: str, expected: str, first_token_at: float | None = None) -> Try:
+def _compare_text(
+    text: str, expected: str, first_token_at: float | None = None
+) -> Attempt:
     if text == expected:
-        return Try(Ending.ANSWERED, first_token_at=first_token_at)
+        return Attempt(Ending.ANSWERED, first_token_at=first_token_at)
     detail = f"got {len(text)} characters {text[:40]!r}, not {expected[:40]!r}"
-    return Try(Ending.WRONG, detail)
+    return Attempt(Ending.WRONG, detail)
 
 
 def make_key(home: Gateway, own_id: str) -> str:
-    """Return the idempotency key of an own id at a home."""
+    """Return the idempotency key with a home gateway and an own id."""
     key = HomedKey(
         home=IncarnationId(home.incarnation),
         issued_at=int(time.time()),
@@ -303,5 +315,5 @@
 
 
 def make_id() -> str:
-    """Return a new id of a request body."""
+    """Return a new id for a request body."""
     return uuid4().hex
--- a/tests/stand_ins/engine.py
+++ b/tests/stand_ins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: the virtual engine of the fakes, over HTTP."""
+"""Stand-in for a model engine: `EngineModel` of the fakes, served over HTTP."""
 
 import argparse
 import asyncio
@@ -41,47 +41,47 @@
 STEP_S = 0.005
 REPORTS_KEPT = 4000
 LOADS_PER_SECOND = 1000.0
-"""The weight store's rate is not the engine's to keep."""
+"""Rate limit of the weight store, too high to delay a load at one engine."""
 
 
 @define
 class EngineSwitches:
-    """Failures of an engine; counts are of events yet to come."""
+    """Failures of an engine; counters refer to future events."""
 
     checks_fences: bool = True
     describes_fences: bool = True
-    """False: the description does not say whether fences are checked."""
+    """Whether the description contains whether fences are checked."""
 
     lose_orders: int = 0
-    """Orders that never take effect and are never answered."""
+    """Number of orders that have no effect and get no response."""
 
     lose_order_answers: int = 0
-    """Orders that take effect and are never answered."""
+    """Number of orders that take effect and get no response."""
 
     late_orders: int = 0
-    """Orders whose connection dies, and which take effect `late_s` later."""
+    """Number of orders that lose their connection and take effect `late_s` later."""
 
     double_orders: int = 0
-    """Orders that take effect at once, and again `late_s` later."""
+    """Number of orders that take effect at once, and again `late_s` later."""
 
     late_s: float = 2.0
     die_after_tokens: int = 0
-    """The process dies after this many more tokens; 0: it does not."""
+    """Number of tokens after which the process exits; 0 for never."""
 
     cut_streams: int = 0
-    """Streams to be cut after `cut_after` tokens."""
+    """Number of streams that are cut after `cut_after` tokens."""
 
     cut_after: int = 3
     refuse: int = 0
     report_lag_s: float = 0.0
     gap_cache_changes: bool = False
-    """Every second cache change is never reported."""
+    """Whether every second cache change is left out of the reports."""
 
     leaving: bool = False
 
 
 class EngineStandIn(StandIn):
-    """Model engine that speaks the protocol of docs/DESIGN.md."""
+    """Model engine with the protocol of docs/DESIGN.md."""
 
     switches: EngineSwitches
 
@@ -106,7 +106,7 @@
         router.add_post("/v1/orders", self._async_order)
 
     def truth(self) -> dict[str, Any]:
-        """Return memory, runs by attempt, and orders, as they really were."""
+        """Return the actual memory, the runs by attempt, and the orders."""
         model = self.model
         residents = self._report().residents
         return {
@@ -130,10 +130,10 @@
             "hung_up": self.hung_up,
         }
 
-    # The model's time.
+    # Time of the engine model.
 
     def _advance(self) -> float:
-        """Let the model's time pass up to now, and hand out what came out."""
+        """Advance the model to now, and pass its outputs to their requests."""
         now = time.monotonic()
         for output in self.model.advance(now):
             if outputs := self._outputs.get(output.attempt_id):
@@ -141,7 +141,7 @@
         return now
 
     async def _async_step(self) -> None:
-        """Advance while attempts are here."""
+        """Advance the model periodically while there are attempts."""
         while self._outputs:
             await asyncio.sleep(STEP_S)
             self._advance()
@@ -155,8 +155,8 @@
     async def _async_complete(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
         attempt = AttemptId(body["request_id"])
-        if refusal := self._submit(attempt, body):
-            return web.json_response({"error": refusal}, status=503, headers=NOT_RUN)
+        if rejection := self._submit(attempt, body):
+            return web.json_response({"error": rejection}, status=503, headers=NOT_RUN)
         self._outputs[attempt] = asyncio.Queue()
         self._keep_stepping()
         try:
@@ -171,7 +171,7 @@
             self._outputs.pop(attempt, None)
 
     def _submit(self, attempt: AttemptId, body: dict[str, Any]) -> str | None:
-        """Submit an attempt; return why it is refused, None if it is taken."""
+        """Submit an attempt; return the reason of a rejection, None if accepted."""
         switches = self.switches
         if switches.leaving:
             self.after_leaving += 1
@@ -197,18 +197,18 @@
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
-        cut_at = self._take_cut(body)
-        told = body.get("resume_from", 0)
+        cut_at = self._pop_cut_offset(body)
+        sent_tokens = body.get("resume_from", 0)
         reason = None
         while reason is None:
             output = await self._outputs[body["request_id"]].get()
-            await self._async_fail(request)
-            tokens = told if output is None else output.tokens
+            await self._async_apply_failures(request)
+            tokens = sent_tokens if output is None else output.tokens
             if tokens >= cut_at:
                 await async_drop(request)
-            reason = find_reason(output)
-            await response.write(make_event(body, told, tokens, reason))
-            told = tokens
+            reason = find_finish_reason(output)
+            await response.write(make_event(body, sent_tokens, tokens, reason))
+            sent_tokens = tokens
         await response.write(b"data: [DONE]\n\n")
         return response
 
@@ -218,7 +218,7 @@
         output: EngineOutput | None = None
         while not isinstance(output, AttemptFinished):
             output = await self._outputs[body["request_id"]].get()
-            await self._async_fail(request)
+            await self._async_apply_failures(request)
             if output is None:
                 return web.json_response({"error": "cancelled"}, status=499)
         first = body.get("resume_from", 0)
@@ -231,16 +231,16 @@
             }
         )
 
-    def _take_cut(self, body: dict[str, Any]) -> float:
-        """Return the offset at which to cut this stream."""
+    def _pop_cut_offset(self, body: dict[str, Any]) -> float:
+        """Return the offset at which to cut a stream; infinite for one left whole."""
         if not self.switches.cut_streams:
             return float("inf")
         self.switches.cut_streams -= 1
         return float(body.get("resume_from", 0) + self.switches.cut_after)
 
-    async def _async_fail(self, request: web.Request) -> None:
-        """Go silent, or die, as the switches say."""
-        await self.async_pass(request)
+    async def _async_apply_failures(self, request: web.Request) -> None:
+        """Hang on a silent connection, or exit the process if a switch is due."""
+        await self.async_hang_if_silent(request)
         if self.switches.die_after_tokens:
             self.switches.die_after_tokens -= 1
             if not self.switches.die_after_tokens:
@@ -254,7 +254,7 @@
             outputs.put_nowait(None)
         return web.json_response({"cancelled": outputs is not None})
 
-    # What it says of itself.
+    # Description and report.
 
     async def _async_describe(self, request: web.Request) -> web.Response:
         description = attrs.asdict(self.model.describe())
@@ -269,9 +269,11 @@
     async def _async_report(self, request: web.Request) -> web.Response:
         newest = self._report()
         self._reports.append(newest)
-        due = newest.reported_at - self.switches.report_lag_s
-        old = [report for report in self._reports if report.reported_at <= due]
-        report = old[-1] if old else self._reports[0]
+        latest_at = newest.reported_at - self.switches.report_lag_s
+        due_reports = [
+            report for report in self._reports if report.reported_at <= latest_at
+        ]
+        report = due_reports[-1] if due_reports else self._reports[0]
         age_s = newest.reported_at - report.reported_at
         return web.json_response({**self._encode(report), "age_s": age_s})
 
@@ -304,27 +306,29 @@
             return await async_drop(request)
         if switches.late_orders:
             switches.late_orders -= 1
-            self._obey_later(body)
+            self._execute_order_later(body)
             return await async_drop(request)
         if switches.double_orders:
             switches.double_orders -= 1
-            self._obey_later(body)
-        outcome = self._obey(body)
+            self._execute_order_later(body)
+        outcome = self._execute_order(body)
         if switches.lose_order_answers:
             switches.lose_order_answers -= 1
             return await async_drop(request)
         answer = {"order_id": body["order_id"], "outcome": outcome.value}
         return web.json_response({**answer, "fence": self.model.fence})
 
-    def _obey_later(self, body: dict[str, Any]) -> None:
-        asyncio.get_running_loop().call_later(self.switches.late_s, self._obey, body)
+    def _execute_order_later(self, body: dict[str, Any]) -> None:
+        asyncio.get_running_loop().call_later(
+            self.switches.late_s, self._execute_order, body
+        )
 
-    def _obey(self, body: dict[str, Any]) -> OrderOutcome:
-        outcome = self._decide(body)
+    def _execute_order(self, body: dict[str, Any]) -> OrderOutcome:
+        outcome = self._submit_order(body)
         self.orders.append({**body, "outcome": outcome.value})
         return outcome
 
-    def _decide(self, body: dict[str, Any]) -> OrderOutcome:
+    def _submit_order(self, body: dict[str, Any]) -> OrderOutcome:
         model = self.model
         model.settings = attrs.evolve(
             model.settings, checks_fences=self.switches.checks_fences
@@ -344,24 +348,24 @@
         return outcome
 
 
-def find_reason(output: EngineOutput | None) -> str | None:
-    """Return the finish reason; None while the answer goes on."""
+def find_finish_reason(output: EngineOutput | None) -> str | None:
+    """Return the finish reason; None while the answer is incomplete."""
     if output is None:
         return "cancelled"
     return "length" if isinstance(output, AttemptFinished) else None
 
 
 def make_text(body: dict[str, Any], first: int, end: int) -> str:
-    """Return a piece of the known answer."""
+    """Return the part of the answer from token `first` up to `end`."""
     model, prompt = body["model"], body["prompt"]
     return "".join(make_token(model, prompt, offset) for offset in range(first, end))
 
 
 def make_event(
-    body: dict[str, Any], told: int, tokens: int, reason: str | None
+    body: dict[str, Any], sent_tokens: int, tokens: int, reason: str | None
 ) -> bytes:
     """Return one server-sent event."""
-    choice = {"index": 0, "text": make_text(body, told, tokens)}
+    choice = {"index": 0, "text": make_text(body, sent_tokens, tokens)}
     event = {
         "request_id": body["request_id"],
         "offset": tokens,
--- a/tests/stand_ins/etcd_storage.py
+++ b/tests/stand_ins/etcd_storage.py
@@ -1,4 +1,4 @@
-"""Storage of the key-value stand-in: revisions, history, leases."""
+"""Storage of the key-value stand-in: revisions, history and leases."""
 
 import time
 from collections import defaultdict
@@ -11,7 +11,7 @@
 
 @define
 class StoredLease:
-    """A lease and when it ends."""
+    """A lease with its expiry time."""
 
     ttl_s: int
     expires_at: float
@@ -19,7 +19,7 @@
 
 @define
 class EtcdStorage:
-    """Keys with all their versions, as the published interface shows them."""
+    """Keys with all their versions, as in the published interface."""
 
     clock: Callable[[], float] = time.monotonic
     revision: int = 1
@@ -28,8 +28,8 @@
     _versions: dict[bytes, list[KeyValue]] = field(factory=lambda: defaultdict(list))
 
     def range(self, key: bytes, end: bytes, revision: int = 0) -> list[KeyValue]:
-        """Return the keys of a range as they were at a revision (0: now)."""
-        self._end_leases()
+        """Return the keys of a range at a revision; 0 is the current one."""
+        self._expire_leases()
         names = [key]
         if end:
             names = sorted(name for name in self._versions if key <= name < end)
@@ -43,8 +43,8 @@
         )
 
     def compare(self, compares: list[Compare]) -> bool:
-        """Tell whether all comparisons of mod revisions hold."""
-        self._end_leases()
+        """Return whether all comparisons of mod revisions are true."""
+        self._expire_leases()
         for each in compares:
             assert each.target == Compare.MOD and each.result == Compare.EQUAL
             kv = self._find(each.key, self.revision)
@@ -52,14 +52,14 @@
                 return False
         return True
 
-    def knows_leases(self, request: TxnRequest) -> bool:
-        """Tell whether all leases that a transaction binds keys to still run."""
-        self._end_leases()
-        named = {op.request_put.lease for op in request.success} - {0}
-        return named <= set(self.leases)
+    def has_leases(self, request: TxnRequest) -> bool:
+        """Return whether all leases that a transaction attaches keys to exist."""
+        self._expire_leases()
+        lease_ids = {op.request_put.lease for op in request.success} - {0}
+        return lease_ids <= set(self.leases)
 
     def write(self, request: TxnRequest) -> None:
-        """Carry out the writes of a transaction at one new revision."""
+        """Execute the writes of a transaction at one new revision."""
         self.revision += 1
         for op in request.success:
             if op.HasField("request_put"):
@@ -70,14 +70,14 @@
 
     def _put(self, key: bytes, value: bytes, lease: int) -> None:
         old = self._find(key, self.revision)
-        alive = old is not None and old.version > 0
+        exists = old is not None and old.version > 0
         kv = KeyValue(
             key=key,
             value=value,
             lease=lease,
             mod_revision=self.revision,
-            create_revision=old.create_revision if alive else self.revision,
-            version=old.version + 1 if alive else 1,
+            create_revision=old.create_revision if exists else self.revision,
+            version=old.version + 1 if exists else 1,
         )
         self._versions[key].append(kv)
         self.events.append(Event(type=Event.PUT, kv=kv))
@@ -92,8 +92,8 @@
         self.leases[number] = StoredLease(ttl_s, self.clock() + ttl_s)
 
     def keep_alive(self, number: int) -> int:
-        """Renew a lease; returns its time in seconds, 0 if it has ended."""
-        self._end_leases()
+        """Renew a lease; return its time to live in seconds, 0 if it has expired."""
+        self._expire_leases()
         lease = self.leases.get(number)
         if lease is None:
             return 0
@@ -101,20 +101,20 @@
         return lease.ttl_s
 
     def revoke(self, number: int) -> None:
-        """End a lease and delete its keys."""
+        """Remove a lease and delete its keys."""
         self.leases.pop(number, None)
-        held = [
+        lease_keys = [
             key
             for key in self._versions
             if (kv := self._find(key, self.revision))
             and kv.version
             and kv.lease == number
         ]
-        self.revision += bool(held)
-        for key in held:
+        self.revision += bool(lease_keys)
+        for key in lease_keys:
             self._delete(key)
 
-    def _end_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now = self.clock()
         for number, lease in list(self.leases.items()):
             if lease.expires_at <= now:
--- a/tests/stand_ins/fleet.py
+++ b/tests/stand_ins/fleet.py
@@ -1,4 +1,4 @@
-"""The whole system as processes on loopback: platform, upstreams and itself."""
+"""The system, its platform and its upstreams as processes on loopback."""
 
 import asyncio
 import time
@@ -30,7 +30,7 @@
 async def async_wait_for(
     what: str, check: Callable[[], Awaitable[bool]], timeout_s: float = READY_TIMEOUT_S
 ) -> None:
-    """Wait until a check holds; a broken connection counts as not yet."""
+    """Wait until a check returns True; a failed connection counts as False."""
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         try:
@@ -39,12 +39,12 @@
         except (aiohttp.ClientError, MangowayError, TimeoutError):
             pass
         await asyncio.sleep(POLL_S)
-    raise TimeoutError(f"not within {timeout_s:g} s: {what}")
+    raise TimeoutError(f"timed out after {timeout_s:g} s: {what}")
 
 
 @define
 class Fleet:
-    """Processes of one site; the launcher ends them."""
+    """Processes of one site; their launcher stops them."""
 
     launcher: Launcher
     session: aiohttp.ClientSession
@@ -54,8 +54,8 @@
     services: list[Process] = field(factory=list)
     gateways: list[Process] = field(factory=list)
     controllers: list[Process] = field(factory=list)
-    past_truths: list[dict[str, Any]] = field(factory=list)
-    """Truths of engines before they were restarted."""
+    earlier_truths: list[dict[str, Any]] = field(factory=list)
+    """Ground truths of engines from before their restarts."""
 
     _groups: dict[str, dict[str, Any]] = field(factory=dict)
 
@@ -83,7 +83,7 @@
     async def async_start_engines(
         self, count: int, memory_mb: int, *flags: str
     ) -> None:
-        """Start model engines; every second one does not check fences."""
+        """Start model engines, every second of which does not check fences."""
         names = [f"engine-{number}" for number in range(count)]
         self.engines += await asyncio.gather(
             *(
@@ -110,13 +110,13 @@
         )
 
     async def async_restart_engine(self, engine: Process) -> None:
-        """Kill an engine, and start it anew, empty, at the same address."""
-        self.past_truths += await self.async_get_truths([engine])
+        """Kill an engine, and restart it without models at the same address."""
+        self.earlier_truths += await self.async_get_truths([engine])
         engine.kill()
         await self.async_start_engine_again(engine)
 
     async def async_start_engine_again(self, engine: Process) -> None:
-        """Start an engine that was killed anew, empty, at the same address."""
+        """Restart a killed engine without models at the same address."""
         await engine.async_wait()
         number = self.engines.index(engine)
         self.engines[number] = await self.launcher.async_start_stand_in(
@@ -128,25 +128,25 @@
         await self.async_post(process.admin, "/admin/switches", switches)
 
     async def async_get_truths(self, processes: list[Process]) -> list[dict[str, Any]]:
-        """Return the truths of stand-ins."""
+        """Return the ground truths of stand-ins."""
         gets = (self.async_get(each.admin, "/admin/truth") for each in processes)
         return list(await asyncio.gather(*gets))
 
     async def async_list_hosts(self) -> None:
-        """Write every process that was started into the host list."""
+        """Publish a host list with all started processes."""
         for number, engine in enumerate(self.engines):
-            self.list_host(engine.name, engine.address, "runner", number)
+            self.set_host(engine.name, engine.address, "runner", number)
         for number, service in enumerate(self.services):
-            self.list_host(service.name, service.address, "service", number)
+            self.set_host(service.name, service.address, "service", number)
         for number, gateway in enumerate(self.gateways):
-            self.list_host(gateway.name, gateway.peer_address, "gateway", number)
+            self.set_host(gateway.name, gateway.peer_address, "gateway", number)
         for number, controller in enumerate(self.controllers):
             address = controller.peer_address
-            self.list_host(controller.name, address, "controller", number)
+            self.set_host(controller.name, address, "controller", number)
         await self.async_publish_hosts()
 
-    def list_host(self, name: str, address: str, role: str, number: int) -> None:
-        """Put one host into the list, or change its entry."""
+    def set_host(self, name: str, address: str, role: str, number: int) -> None:
+        """Add one host to the list, or change its entry."""
         labels = {
             "host": name,
             "role": role,
@@ -157,7 +157,7 @@
         self._groups[name] = {"targets": [address], "labels": labels}
 
     async def async_publish_hosts(self) -> None:
-        """Publish the host list as it is now."""
+        """Publish the current host list."""
         groups = list(self._groups.values())
         await self.async_post(self.host_list.admin, "/admin/hosts", groups)
 
@@ -179,7 +179,7 @@
         return process
 
     async def async_restart_gateway(self, gateway: Process) -> Process:
-        """Kill a gateway, and start it anew at the same addresses."""
+        """Kill a gateway, and restart it at the same addresses."""
         gateway.kill()
         await gateway.async_wait()
         start = self.launcher.async_start
@@ -229,12 +229,12 @@
         ]
 
     async def async_wait_started(self) -> None:
-        """Wait until every process of the system listens."""
+        """Wait until every gateway and controller listens."""
         for process in (*self.gateways, *self.controllers):
             await self._async_wait_page(process, "/metrics")
 
     async def async_wait_ready(self) -> None:
-        """Wait until every running gateway takes requests."""
+        """Wait until every running gateway accepts requests."""
         for process in self.gateways:
             if process.is_running:
                 await self._async_wait_page(process, "/readyz")
@@ -244,10 +244,10 @@
             async with self.session.get(f"http://{process.address}{path}") as response:
                 return response.status == 200
 
-        await async_wait_for(f"{process.name} answers {path}", async_is_ok)
+        await async_wait_for(f"{process.name} responds to {path}", async_is_ok)
 
     async def async_find_active_controller(self) -> Process:
-        """Wait until one controller says that it plans, and return it."""
+        """Wait until a controller reports that it plans, and return it."""
         found: list[Process] = []
 
         async def async_find() -> bool:
@@ -263,11 +263,11 @@
     # Operators.
 
     async def async_apply_base(self, file: Path) -> None:
-        """Apply a base file, and wait until it is in force everywhere."""
+        """Apply a base file, and wait until all processes have applied it."""
         await self._async_apply("base", file)
 
     async def async_apply_overlay(self, file: Path) -> None:
-        """Apply the site's overlay, and wait until it is in force everywhere."""
+        """Apply the site's overlay, and wait until all processes have applied it."""
         await self._async_apply(f"overlay/{SITE}", file)
 
     async def _async_apply(self, part: str, file: Path) -> None:
@@ -280,7 +280,7 @@
         await self.async_run_command("config", "apply", part, str(file), *flags)
 
     async def async_run_command(self, *arguments: str) -> str:
-        """Run a command of the program to its end, and return its output."""
+        """Run a command of the program, and return its output."""
         process = await self.launcher.async_start(
             "command", PROGRAM, *arguments, reads_output=True
         )
--- a/tests/stand_ins/host_list.py
+++ b/tests/stand_ins/host_list.py
@@ -1,4 +1,4 @@
-"""Stand-in for the host list; what it is told shows after a lag."""
+"""Stand-in for the host list; changes become visible after a delay."""
 
 import argparse
 import time
@@ -18,19 +18,19 @@
     garbled: bool = False
     empty: bool = False
     lag_s: float = 0.0
-    """Time from a change to its showing."""
+    """Time from a change until it is visible."""
 
 
 @define
 class Change:
-    """A new state of the list, and when it shows."""
+    """A new state of the list, and the time from which it is visible."""
 
-    shows_at: float
+    visible_at: float
     groups: list[Any] = field(repr=False)
 
 
 class HostListStandIn(StandIn):
-    """GET / answers the list; POST /admin/hosts replaces it."""
+    """GET / returns the list; POST /admin/hosts replaces it."""
 
     switches: HostListSwitches
 
@@ -42,11 +42,11 @@
         self.app.router.add_post("/admin/hosts", self._async_set)
 
     def truth(self) -> dict[str, Any]:
-        """Return the list as it is, without the lag."""
+        """Return the newest list, visible or not."""
         return {"reads": self.reads, "groups": self._changes[-1].groups}
 
     def set_groups(self, groups: list[Any]) -> None:
-        """Replace the list; it shows after the lag."""
+        """Replace the list; the new one is visible after the delay."""
         now = time.monotonic()
         self._changes.append(Change(now + self.switches.lag_s, groups))
 
@@ -63,8 +63,8 @@
         if self.switches.empty:
             return web.json_response([])
         now = time.monotonic()
-        shown = [change for change in self._changes if change.shows_at <= now]
-        return web.json_response(shown[-1].groups)
+        visible = [change for change in self._changes if change.visible_at <= now]
+        return web.json_response(visible[-1].groups)
 
 
 def make_group(target: str, role: str, host: str, **labels: str) -> dict[str, Any]:
--- a/tests/stand_ins/key_value.py
+++ b/tests/stand_ins/key_value.py
@@ -22,27 +22,27 @@
 
 @define
 class KeyValueSwitches:
-    """Failures of the key-value service; counts are of calls yet to come."""
+    """Failures of the key-value service; counters refer to future calls."""
 
     down: bool = False
     slow_s: float = 0.0
-    """Time before each call is looked at."""
+    """Time before each call is handled."""
 
     lose_answers: int = 0
-    """Writes that take effect, but whose answer never comes."""
+    """Number of writes that take effect and get no response."""
 
     lose_writes: int = 0
-    """Writes that never take effect, and whose answer never comes."""
+    """Number of writes that have no effect and get no response."""
 
     watch_stalled: bool = False
-    """Watches stay open, and neither events nor progress come."""
+    """Whether watches stay open without events and progress."""
 
     blind_watches: int = 0
-    """The first so many watches answer progress where they stand, but no events."""
+    """Number of first watches that get progress at their position, but no events."""
 
 
 class CuttingServer(Server):
-    """A gRPC server whose connections can be cut, as when its process dies."""
+    """A gRPC server that can close its connections, as if its process had died."""
 
     def __init__(self, services: list[Any]) -> None:
         super().__init__(services)
@@ -61,7 +61,7 @@
 
 
 class KeyValueStandIn(StandIn):
-    """The gRPC server, with the switches and the truth on an HTTP port of its own."""
+    """The gRPC server, with switches and the ground truth on a separate HTTP port."""
 
     switches: KeyValueSwitches
 
@@ -78,7 +78,7 @@
         self.app.router.add_post("/admin/lapse", self._async_lapse)
 
     def truth(self) -> dict[str, Any]:
-        """Return the calls by kind, and the keys."""
+        """Return the calls by kind, and the keys with their revisions."""
         kvs = self.storage.range(b"\0", b"\xff")
         return {
             "calls": dict(self.calls),
@@ -108,16 +108,16 @@
         await super().async_stop()
 
     def silence(self) -> None:
-        """Let every connection that was used so far go silent for good."""
+        """Stop responding on every connection used so far."""
         self._silent_peers |= self._peers
 
     def lapse(self) -> None:
-        """Let every lease end now."""
+        """Expire every lease now."""
         for number in tuple(self.storage.leases):
             self.storage.revoke(number)
 
-    async def async_enter(self, stream: Stream[Any, Any], kind: str) -> None:
-        """Count a call; hang, wait or fail as the switches say."""
+    async def async_begin_call(self, stream: Stream[Any, Any], kind: str) -> None:
+        """Count a call; then hang, wait or fail according to the switches."""
         peer = stream.peer.addr()
         self._peers.add(peer)
         await self.async_hang_if_silent(stream)
@@ -127,12 +127,12 @@
             raise GRPCError(Status.UNAVAILABLE, "down")
 
     async def async_hang_if_silent(self, stream: Stream[Any, Any]) -> None:
-        """Return while the connection of a call works; hang once it is silent."""
+        """Hang if the connection of a call is silent."""
         if stream.peer.addr() in self._silent_peers:
             await asyncio.Event().wait()
 
     def header(self) -> rpc_pb2.ResponseHeader:
-        """Return the header of an answer."""
+        """Return the header of a response."""
         return rpc_pb2.ResponseHeader(revision=self.storage.revision)
 
     async def _async_silence(self, request: web.Request) -> web.Response:
@@ -152,17 +152,17 @@
 
     async def Range(self, stream: Stream[Any, Any]) -> None:
         request = await stream.recv_message()
-        await self._owner.async_enter(stream, "range")
+        await self._owner.async_begin_call(stream, "range")
         await stream.send_message(self._read(request))
 
     async def Txn(self, stream: Stream[Any, Any]) -> None:
         request = await stream.recv_message()
         owner, switches = self._owner, self._owner.switches
-        await owner.async_enter(stream, "txn")
+        await owner.async_begin_call(stream, "txn")
         if switches.lose_writes:
             switches.lose_writes -= 1
             await asyncio.Event().wait()
-        if not owner.storage.knows_leases(request):
+        if not owner.storage.has_leases(request):
             raise GRPCError(Status.NOT_FOUND, "requested lease not found")
         succeeded = owner.storage.compare(request.compare)
         if succeeded:
@@ -200,7 +200,7 @@
 
     async def LeaseGrant(self, stream: Stream[Any, Any]) -> None:
         request = await stream.recv_message()
-        await self._owner.async_enter(stream, "lease_grant")
+        await self._owner.async_begin_call(stream, "lease_grant")
         self._owner.storage.grant(request.ID, request.TTL)
         await stream.send_message(
             rpc_pb2.LeaseGrantResponse(
@@ -210,7 +210,7 @@
 
     async def LeaseRevoke(self, stream: Stream[Any, Any]) -> None:
         request = await stream.recv_message()
-        await self._owner.async_enter(stream, "lease_revoke")
+        await self._owner.async_begin_call(stream, "lease_revoke")
         self._owner.storage.revoke(request.ID)
         await stream.send_message(
             rpc_pb2.LeaseRevokeResponse(header=self._owner.header())
@@ -218,7 +218,7 @@
 
     async def LeaseKeepAlive(self, stream: Stream[Any, Any]) -> None:
         async for request in stream:
-            await self._owner.async_enter(stream, "lease_keep_alive")
+            await self._owner.async_begin_call(stream, "lease_keep_alive")
             ttl_s = self._owner.storage.keep_alive(request.ID)
             await stream.send_message(
                 rpc_pb2.LeaseKeepAliveResponse(
@@ -234,15 +234,15 @@
         self._owner = owner
 
     async def Watch(self, stream: Stream[Any, Any]) -> None:
-        first = await stream.recv_message()
-        await self._owner.async_enter(stream, "watch")
+        watch_request = await stream.recv_message()
+        await self._owner.async_begin_call(stream, "watch")
         number = self._owner.calls["watch"]
-        create = first.create_request
+        create = watch_request.create_request
         storage = self._owner.storage
         start = create.start_revision or storage.revision + 1
         position = sum(each.kv.mod_revision < start for each in storage.events)
         await self._async_send(stream, created=True)
-        asking = asyncio.ensure_future(stream.recv_message())
+        progress_request = asyncio.ensure_future(stream.recv_message())
         try:
             while not self._owner.switches.down:
                 if self._owner.switches.watch_stalled:
@@ -250,15 +250,15 @@
                     continue
                 if number > self._owner.switches.blind_watches:
                     position = await self._async_send_events(stream, create, position)
-                if asking.done():
-                    if asking.result() is None:
+                if progress_request.done():
+                    if progress_request.result() is None:
                         return
                     self._owner.calls["watch_progress"] += 1
                     await self._async_send(stream, at=self._find_revision(position))
-                    asking = asyncio.ensure_future(stream.recv_message())
-                await asyncio.wait({asking}, timeout=WATCH_POLL_S)
+                    progress_request = asyncio.ensure_future(stream.recv_message())
+                await asyncio.wait({progress_request}, timeout=WATCH_POLL_S)
         finally:
-            asking.cancel()
+            progress_request.cancel()
         raise GRPCError(Status.UNAVAILABLE, "down")
 
     def _find_revision(self, position: int) -> int:
@@ -275,13 +275,13 @@
     ) -> int:
         events = self._owner.storage.events
         end = len(events)
-        wanted = [
+        matching = [
             each
             for each in events[position:end]
             if create.key <= each.kv.key < create.range_end
         ]
-        if wanted:
-            await self._async_send(stream, events=wanted)
+        if matching:
+            await self._async_send(stream, events=matching)
         return end
 
     async def _async_send(
--- a/tests/stand_ins/launcher.py
+++ b/tests/stand_ins/launcher.py
@@ -1,4 +1,4 @@
-"""Start and stop processes on loopback; each is ended by its own id, always."""
+"""Start and stop processes on loopback, each of them by its own process id."""
 
 import asyncio
 import json
@@ -18,13 +18,13 @@
 STOP_TIMEOUT_S = 10.0
 ROOT = Path(__file__).resolve().parents[2]
 PORTS = range(10_000, 32_000)
-"""Below those that the kernel gives to whoever asks for any port."""
+"""Ports below the range from which the kernel assigns free ones."""
 
 _given_ports: set[int] = set()
 
 
 def find_free_address() -> str:
-    """Return a loopback address with a port that is free now, a new one each time."""
+    """Return a loopback address with a port that is free now and not given before."""
     while True:
         port = PORTS[SystemRandom().randrange(len(PORTS))]
         if port in _given_ports:
@@ -37,7 +37,7 @@
 
 @define(eq=False)
 class Process:
-    """One process that this launcher started."""
+    """A process that a launcher started."""
 
     name: str
     child: asyncio.subprocess.Process
@@ -45,50 +45,50 @@
     flags: tuple[str, ...] = ()
     address: str = ""
     admin: str = ""
-    """Address of its switches; its own address where they share it."""
+    """Address of its switches; equal to its address unless they are separate."""
 
     peer_address: str = ""
     """Address for other processes of the system; empty for a stand-in."""
 
     @property
     def is_running(self) -> bool:
-        """Return whether it has not ended."""
+        """Return whether the process has not ended."""
         return self.child.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to it, if it still runs."""
-        # It may have ended without the loop having heard of it yet.
+        """Send a signal to the process if it is still running."""
+        # It may have ended before the event loop has noticed.
         with suppress(ProcessLookupError):
             if self.is_running:
                 os.kill(self.child.pid, number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process by SIGKILL."""
         self.send(signal.SIGKILL)
 
     def terminate(self) -> None:
-        """Ask it to stop."""
+        """Stop the process by SIGTERM."""
         self.send(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Freeze it."""
+        """Pause the process by SIGSTOP."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume the process by SIGCONT."""
         self.send(signal.SIGCONT)
 
     async def async_wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait until it has ended, and return its exit code."""
+        """Wait for the end of the process, and return its exit code."""
         return await asyncio.wait_for(self.child.wait(), timeout_s)
 
 
 @define
 class Launcher:
-    """Starts processes, and ends them all when its block is left."""
+    """Starts processes, and kills them all at the end of its context."""
 
     folder: Path
-    """Where the processes' standard errors are written."""
+    """Folder for the standard errors of the processes."""
 
     processes: list[Process] = field(factory=list)
 
@@ -130,7 +130,7 @@
     async def async_start_stand_in(
         self, name: str, module: str, *flags: str
     ) -> Process:
-        """Start a stand-in, and read its address from the line that it prints."""
+        """Start a stand-in, and read its addresses from the line that it prints."""
         process = await self.async_start(
             name, f"tests.stand_ins.{module}", *flags, reads_output=True
         )
@@ -144,7 +144,7 @@
         return process
 
     def list_ended(self) -> list[str]:
-        """Return the processes that have ended, each with its last line of errors."""
+        """Return the processes that have ended, each with the last line of its log."""
         return [
             f"{process.name} ended with {process.child.returncode}: "
             + process.log.read_text().strip().rpartition("\n")[2]
@@ -153,7 +153,7 @@
         ]
 
     async def async_end_all(self) -> None:
-        """End every process that still runs."""
+        """Kill every process that is still running."""
         for process in self.processes:
             process.kill()
         for process in self.processes:
--- a/tests/stand_ins/relay.py
+++ b/tests/stand_ins/relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that cuts, or makes silent, open connections while new ones work."""
+"""TCP relay that closes or mutes open connections while new ones work."""
 
 import argparse
 import asyncio
@@ -17,11 +17,11 @@
     """Failures of the network between two ends."""
 
     refuse_new: bool = False
-    """New connections are closed at once."""
+    """Whether new connections are closed at once."""
 
     delay_s: float = 0.0
     drop_to_target: bool = False
-    """What is sent to the target is lost: a cut in one direction."""
+    """Whether data to the target is dropped: a failure of one direction."""
 
     drop_from_target: bool = False
 
@@ -43,11 +43,11 @@
         self.app.router.add_post("/admin/mute", self._async_mute)
 
     def addresses(self) -> dict[str, str]:
-        """Return the address that is relayed, and that for control."""
+        """Return the relayed address, and the address for control."""
         return {"address": self.relay_address, "admin": self.address}
 
     def truth(self) -> dict[str, Any]:
-        """Return how many connections came, and how many ends are open or muted."""
+        """Return the number of accepted connections, and of open and muted ends."""
         return {
             "accepted": self._accepted,
             "open": len(self._open),
@@ -62,7 +62,7 @@
         return await super().async_start(listen)
 
     async def async_stop(self) -> None:
-        """Cut everything and stop."""
+        """Close every connection and stop."""
         if self._server is not None:
             self._server.close()
         self.cut()
@@ -74,14 +74,14 @@
             writer.transport.abort()
 
     def heal(self) -> None:
-        """End all failures; connections that lost bytes are closed, as in a network."""
-        lossy = self.switches.drop_to_target or self.switches.drop_from_target
+        """End all failures, and close connections that lost data."""
+        has_lost_data = self.switches.drop_to_target or self.switches.drop_from_target
         self.switches = RelaySwitches()
-        if lossy:
+        if has_lost_data:
             self.cut()
 
     def mute(self) -> None:
-        """Let every open connection go silent for good, without closing it."""
+        """Drop all further data on every open connection, without closing it."""
         self._muted.update(self._open)
 
     async def _async_cut(self, request: web.Request) -> web.Response:
@@ -101,17 +101,19 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._open.update((writer, far_writer))
+        self._open.update((writer, target_writer))
         await asyncio.gather(
-            self._async_copy(reader, far_writer, to_target=True),
-            self._async_copy(far_reader, writer, to_target=False),
+            self._async_copy(reader, target_writer, to_target=True),
+            self._async_copy(target_reader, writer, to_target=False),
         )
-        self._open -= {writer, far_writer}
-        self._muted -= {writer, far_writer}
+        self._open -= {writer, target_writer}
+        self._muted -= {writer, target_writer}
 
     def _drops(self, to_target: bool) -> bool:
         switches = self.switches
--- a/tests/stand_ins/service.py
+++ b/tests/stand_ins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for one host of a plain service; counts each run by request body id."""
+"""Stand-in for one host of a plain service, which counts runs by body id."""
 
 import argparse
 import asyncio
@@ -14,20 +14,20 @@
 
 @define
 class ServiceSwitches:
-    """Failures of a plain service; counts are of requests yet to come."""
+    """Failures of a plain service; counters refer to future requests."""
 
     slow_s: float = 0.0
     die_before_run: int = 0
-    """The whole process dies at the next request, before it runs."""
+    """If above 0, the process exits at the next request, before it runs."""
 
     die_after_run: int = 0
     drop_before_run: int = 0
-    """The connection is closed before this many requests run."""
+    """Number of requests whose connection is closed before they run."""
 
     drop_after_run: int = 0
     silent_after_run: int = 0
     refuse: int = 0
-    """Refused as certainly not run."""
+    """Number of requests that are rejected as not run."""
 
     leaving: bool = False
 
@@ -54,35 +54,35 @@
             "after_leaving": self.after_leaving,
         }
 
-    def _take(self, switch: str) -> bool:
-        """Use up one of a counted switch."""
-        left = getattr(self.switches, switch)
-        setattr(self.switches, switch, max(0, left - 1))
-        return bool(left)
+    def _consume_switch(self, switch: str) -> bool:
+        """Decrement a counter switch; return whether it was above 0."""
+        count = getattr(self.switches, switch)
+        setattr(self.switches, switch, max(0, count - 1))
+        return bool(count)
 
     async def _async_call(self, request: web.Request) -> web.Response:
         call = request.match_info["call"]
         body = await request.json()
-        if self.switches.leaving or self._take("refuse"):
+        if self.switches.leaving or self._consume_switch("refuse"):
             self.after_leaving += self.switches.leaving
             return web.json_response({}, status=503, headers={"X-Verdict": "not_run"})
-        if self._take("die_before_run"):
+        if self._consume_switch("die_before_run"):
             os._exit(1)
-        if self._take("drop_before_run"):
+        if self._consume_switch("drop_before_run"):
             return await async_drop(request)
         run = self._run(call, body, request.headers.get("X-Request-Id", ""))
-        if self._take("die_after_run"):
+        if self._consume_switch("die_after_run"):
             os._exit(1)
-        if self._take("drop_after_run"):
+        if self._consume_switch("drop_after_run"):
             return await async_drop(request)
-        if self._take("silent_after_run"):
+        if self._consume_switch("silent_after_run"):
             await asyncio.Event().wait()
         await asyncio.sleep(self.switches.slow_s)
-        await self.async_pass(request)
+        await self.async_hang_if_silent(request)
         return web.json_response({"call": call, "echo": body, "run": run})
 
     def _run(self, call: str, body: Any, attempt: str) -> int:
-        """Have the side effect, and return how many times this one ran."""
+        """Perform the side effect, and return how many times this body ran."""
         key = f"{call}/{body.get('id')}"
         self.runs[key] += 1
         self.attempts[attempt] += 1
--- a/tests/stand_ins/serving.py
+++ b/tests/stand_ins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: switches, silent connections, start as a process."""
+"""Common parts of the stand-ins: switches, silent connections and start."""
 
 import argparse
 import asyncio
@@ -15,7 +15,11 @@
 
 
 def set_switches(switches: Any, changes: dict[str, Any]) -> None:
-    """Set the named switches; an unknown name is an error."""
+    """Set switches by name.
+
+    Raises:
+        HTTPBadRequest: If a name is unknown.
+    """
     known = {field.name for field in attrs.fields(type(switches))}
     unknown = set(changes) - known
     if unknown:
@@ -25,21 +29,21 @@
 
 
 class StandIn:
-    """HTTP server with switches, a truth, and connections that can go silent."""
+    """HTTP server with switches, its ground truth, and connections that can hang."""
 
     def __init__(self, switches: Any) -> None:
         self.switches = switches
         self.address = ""
-        self._known: weakref.WeakSet[asyncio.Transport] = weakref.WeakSet()
-        self._silent: weakref.WeakSet[asyncio.Transport] = weakref.WeakSet()
+        self._connections: weakref.WeakSet[asyncio.Transport] = weakref.WeakSet()
+        self._silent_connections: weakref.WeakSet[asyncio.Transport] = weakref.WeakSet()
         self._runner: web.AppRunner | None = None
-        self.app = web.Application(middlewares=[self._async_watch])
+        self.app = web.Application(middlewares=[self._async_track_connection])
         self.app.router.add_post("/admin/switches", self._async_switch)
         self.app.router.add_post("/admin/silence", self._async_silence)
         self.app.router.add_get("/admin/truth", self._async_truth)
 
     def truth(self) -> dict[str, Any]:
-        """Return what really happened here."""
+        """Return the ground truth: what actually happened at this stand-in."""
         raise NotImplementedError
 
     def addresses(self) -> dict[str, str]:
@@ -60,18 +64,18 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def async_pass(self, request: web.Request) -> None:
-        """Return while the request's connection works; hang once it is silent."""
-        if request.transport in self._silent:
+    async def async_hang_if_silent(self, request: web.Request) -> None:
+        """Hang if the connection of a request is silent."""
+        if request.transport in self._silent_connections:
             await asyncio.Event().wait()
 
     @web.middleware
-    async def _async_watch(
+    async def _async_track_connection(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         assert request.transport is not None
-        self._known.add(request.transport)
-        await self.async_pass(request)
+        self._connections.add(request.transport)
+        await self.async_hang_if_silent(request)
         return await handler(request)
 
     async def _async_switch(self, request: web.Request) -> web.Response:
@@ -79,11 +83,11 @@
         return web.json_response(attrs.asdict(self.switches))
 
     async def _async_silence(self, request: web.Request) -> web.Response:
-        """Let every open connection but this one go silent for good."""
-        for transport in self._known:
+        """Stop responding on every open connection but that of this request."""
+        for transport in self._connections:
             if transport is not request.transport:
-                self._silent.add(transport)
-        return web.json_response({"silent": len(self._silent)})
+                self._silent_connections.add(transport)
+        return web.json_response({"silent": len(self._silent_connections)})
 
     async def _async_truth(self, request: web.Request) -> web.Response:
         switches = attrs.asdict(self.switches)
@@ -91,7 +95,7 @@
 
 
 async def async_drop(request: web.Request) -> web.Response:
-    """Close the connection of a request without any answer."""
+    """Close the connection of a request without a response."""
     assert request.transport is not None
     request.transport.abort()
     raise asyncio.CancelledError
@@ -100,7 +104,7 @@
 def run_stand_in(
     make: Callable[[argparse.Namespace], StandIn], parser: argparse.ArgumentParser
 ) -> None:
-    """Run a stand-in until SIGTERM; print its address as one JSON line."""
+    """Run a stand-in until SIGTERM; print its addresses as one JSON line."""
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--switches", type=json.loads, default={})
     asyncio.run(_async_run(make, parser.parse_args()))
--- a/tests/stand_ins/test_engine.py
+++ b/tests/stand_ins/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine stand-in: what other tests believe must be true."""
+"""Tests of the engine stand-in, which other tests rely on."""
 
 import json
 from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 
 
 class Client:
-    """Calls one stand-in."""
+    """Client of one stand-in."""
 
     def __init__(self, engine: EngineStandIn, session: aiohttp.ClientSession) -> None:
         self.engine = engine
@@ -59,9 +59,9 @@
 
 
 class TestAnswers:
-    """Answers are whole, known in advance, and counted."""
+    """Answers are complete, deterministic, and counted."""
 
-    async def test_whole_answer(self, client: Client) -> None:
+    async def test_complete_answer(self, client: Client) -> None:
         await client.async_order("load", 1)
         status, answer = await client.async_complete()
         assert status == 200
@@ -90,7 +90,7 @@
 
 
 class TestMemory:
-    """Memory is counted, and going over is recorded."""
+    """Memory is counted, and exceeding it is recorded."""
 
     async def test_records_over_size(self, client: Client) -> None:
         await client.async_order("load", 1)
@@ -98,7 +98,7 @@
         await client.async_order("load", 2, artifact="slips@1")
         assert client.engine.truth()["over_size"] is True
 
-    async def test_checks_fences_only_if_told(self, client: Client) -> None:
+    async def test_checks_fences_only_if_switched_on(self, client: Client) -> None:
         await client.async_order("load", 5)
         assert await client.async_order("unload", 4) == "refused_stale_fence"
         client.engine.switches.checks_fences = False
@@ -118,7 +118,7 @@
 
 
 class TestSilence:
-    """An open connection goes silent while a new one works."""
+    """Open connections hang while new ones work."""
 
     async def test_old_connection_hangs_and_new_one_works(self, client: Client) -> None:
         await client.async_order("load", 1)
--- a/tests/stand_ins/test_platform.py
+++ b/tests/stand_ins/test_platform.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.process
 class TestPlatformProcesses:
-    """Addresses, switches and counts over the network."""
+    """Addresses, switches and counters over the network."""
 
     async def test_key_value_service(self, tmp_path: Path) -> None:
         async with Launcher(tmp_path) as launcher, aiohttp.ClientSession() as session:
--- a/tests/stand_ins/test_relay.py
+++ b/tests/stand_ins/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the relay: what it breaks, and what it leaves whole."""
+"""Tests of the relay: broken and working connections."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -34,7 +34,7 @@
         async with aiohttp.ClientSession() as session:
             assert await async_call(relay, session) == 1
             relay.cut()
-            # Whether the client has seen the cut by now is up to the kernel.
+            # The client may or may not have noticed the closed connection by now.
             with suppress(aiohttp.ClientError):
                 await async_call(relay, session)
             assert await async_call(relay, session) > 1
@@ -46,5 +46,5 @@
             relay.mute()
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(async_call(relay, old), 0.2)
-            # Nothing passes on the muted connection, in either direction.
+            # No data passes on the muted connection, in either direction.
             assert await async_call(relay, new) == 2
