--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,12 @@
-"""Profiles of hypothesis: bounded and repeatable by default, long on call."""
+"""Hypothesis profiles: a short deterministic one by default, and a long one."""
 
 import os
 
 import eliot
 from hypothesis import HealthCheck, settings
 
-# Eliot keeps what is logged before the first destination, and would give the lines of
-# earlier tests to the first test that starts a log.
+# Eliot buffers messages until the first destination is added. Without one, the first
+# test that starts a log would get the messages of earlier tests.
 eliot.add_destinations(lambda message: None)
 
 settings.register_profile(
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,15 +1,15 @@
-"""A pytest plugin that passes over the tests in KNOWN-RED.txt and prints them."""
+"""Pytest plugin that expects the tests in KNOWN-RED.txt to fail, and prints them."""
 
 from pathlib import Path
 
 import pytest
 
 KNOWN_RED_FILE = "KNOWN-RED.txt"
-KNOWN_RED_MOST = 3
+KNOWN_RED_MAX = 3
 
 
 def read_known_red(root: Path) -> dict[str, str]:
-    """Return the listed test ids with their causes; empty without a list.
+    """Return the causes by listed test id; empty without a list.
 
     Raises:
         pytest.UsageError: If the list is too long or a line is malformed.
@@ -25,8 +25,8 @@
         if not separator:
             raise pytest.UsageError(f"{KNOWN_RED_FILE}: no cause in line {line!r}")
         known[test.strip()] = cause.strip()
-    if len(known) > KNOWN_RED_MOST:
-        raise pytest.UsageError(f"{KNOWN_RED_FILE}: more than {KNOWN_RED_MOST} lines")
+    if len(known) > KNOWN_RED_MAX:
+        raise pytest.UsageError(f"{KNOWN_RED_FILE}: more than {KNOWN_RED_MAX} lines")
     return known
 
 
@@ -44,6 +44,6 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Print the tests that were passed over."""
+    """Print the listed tests with their causes."""
     for test, cause in read_known_red(config.rootpath).items():
         terminalreporter.write_line(f"KNOWN RED: {test}: {cause}")
--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes, for what only processes show."""
+"""Tests with real processes, for failures that only processes can have."""
--- a/tests/processes/conftest.py
+++ b/tests/processes/conftest.py
@@ -1,4 +1,4 @@
-"""A small system of real processes for each test."""
+"""Fixture with a small system of real processes for each test."""
 
 from collections.abc import AsyncIterator
 from pathlib import Path
@@ -16,12 +16,12 @@
 ENGINE_MEMORY_MB = 80_000
 SERVICES = 2
 SLOW = ("--stream-tokens-per-second=20",)
-"""Streams of a few seconds, so that there is time to break them."""
+"""Streams last a few seconds, so that there is time to interrupt them."""
 
 
 @pytest.fixture
 async def fleet(tmp_path: Path) -> AsyncIterator[Fleet]:
-    """Start two gateways and two controllers before two engines and two hosts."""
+    """Start two gateways and two controllers for two engines and two service hosts."""
     async with (
         aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=60)) as session,
         Launcher(tmp_path) as launcher,
@@ -53,14 +53,14 @@
 
 
 async def async_make_caller(fleet: Fleet, *gateways: Process) -> Caller:
-    """Return a caller that first uses the given gateways."""
+    """Return a caller that starts with the given gateways."""
     book = AddressBook(fleet.session, tuple(each.address for each in gateways))
     await book.async_next()
     return Caller("agents", book)
 
 
 def find_gateway(caller: Caller, process: Process) -> Gateway:
-    """Return a gateway as the address answer names it."""
+    """Return the entry of a gateway in the address response."""
     (found,) = (
         each for each in caller.book.gateways if each.address == process.address
     )
@@ -68,7 +68,7 @@
 
 
 async def async_count_runs(fleet: Fleet, key: str) -> int:
-    """Return how often a call ran, over all hosts of the service that run."""
+    """Return how often a call ran on all running hosts of the service."""
     running = [service for service in fleet.services if service.is_running]
     truths = await fleet.async_get_truths(running)
     return sum(truth["runs"].get(key, 0) for truth in truths)
--- a/tests/processes/test_connections.py
+++ b/tests/processes/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections to an engine that are cut or go silent."""
+"""Tests of connections to an engine that are closed or muted."""
 
 import asyncio
 
@@ -15,13 +15,13 @@
 
 
 async def async_start_relays(fleet: Fleet) -> list[Process]:
-    """Put a relay before each engine."""
+    """Start a relay in front of each engine."""
     relays = []
     for number, engine in enumerate(fleet.engines):
         relay = await fleet.launcher.async_start_stand_in(
             f"relay-{number}", "relay", f"--target={engine.address}"
         )
-        fleet.list_host(engine.name, relay.address, "runner", number)
+        fleet.set_host(engine.name, relay.address, "runner", number)
         relays.append(relay)
     await fleet.async_publish_hosts()
     for relay in relays:
@@ -39,10 +39,10 @@
 
 
 class TestConnections:
-    """Streams go on from where they were, on a new connection."""
+    """Streams continue at their offset on a new connection."""
 
     @pytest.mark.parametrize("fault", ["cut", "mute"])
-    async def test_stream_ends_whole(self, fleet: Fleet, fault: str) -> None:
+    async def test_stream_completes(self, fleet: Fleet, fault: str) -> None:
         relays = await async_start_relays(fleet)
         caller = await async_make_caller(fleet, *fleet.gateways)
         streams = [asyncio.create_task(async_stream(caller)) for _ in range(4)]
--- a/tests/processes/test_controller.py
+++ b/tests/processes/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of controllers as processes: killed, frozen past their lease, stopped."""
+"""Tests of controllers that are killed, paused beyond their lease, or stopped."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -39,14 +39,14 @@
     repository: ConfigurationRepository
 
     async def async_offer(self, *names: str) -> None:
-        """Put a base file in force that offers these models."""
+        """Apply a base file that offers these models."""
         edit = Edit(
             part=BASE, text=make_base(*names), nonce="+".join(names), edited_at=0.0
         )
         await self.repository.async_apply(edit, "operator")
 
     async def async_wait_loaded(self, *names: str) -> None:
-        """Wait until every model is ready on some engine; memory is checked."""
+        """Wait until every model is ready on some engine, and check the memory."""
 
         async def check() -> bool:
             truths = await self.fleet.async_get_truths(self.fleet.engines)
@@ -57,7 +57,7 @@
         await async_wait_for(f"{names} are ready", check)
 
     async def async_find_planner(self, *peers: Process) -> Process:
-        """Wait until one of some controllers says that it plans, and return it."""
+        """Wait until one of the controllers reports that it plans, and return it."""
         found: list[pb.StatusReply] = []
 
         async def check() -> bool:
@@ -76,7 +76,7 @@
 
 @asynccontextmanager
 async def run_site(folder: Path) -> AsyncIterator[Site]:
-    """Run engines, the platform and two controllers that know each other."""
+    """Run engines, the platform and two controllers in one host list."""
     async with Launcher(folder) as launcher, aiohttp.ClientSession() as session:
         fleet = Fleet(launcher=launcher, session=session)
         await fleet.async_start_platform()
@@ -94,7 +94,7 @@
 class TestController:
     """Two controllers of one cell."""
 
-    async def test_killed_planner_is_followed_by_the_other(
+    async def test_other_controller_plans_after_planner_is_killed(
         self, tmp_path: Path
     ) -> None:
         async with run_site(tmp_path) as site:
@@ -107,7 +107,7 @@
             other = site.find_other(planner)
             assert await site.async_find_planner(other) is other
 
-    async def test_planner_frozen_past_its_lease_wakes_and_does_no_harm(
+    async def test_planner_paused_beyond_its_lease_does_no_harm(
         self, tmp_path: Path
     ) -> None:
         async with run_site(tmp_path) as site:
@@ -125,7 +125,7 @@
             await site.async_wait_loaded(*names)
             assert planner.is_running and other.is_running
 
-    async def test_planned_stop_hands_the_cell_over_and_exits_with_0(
+    async def test_stopped_planner_hands_over_and_exits_with_0(
         self, tmp_path: Path
     ) -> None:
         async with run_site(tmp_path) as site:
@@ -137,9 +137,7 @@
             other = site.find_other(planner)
             assert await site.async_find_planner(other) is other
 
-    async def test_second_signal_ends_the_stop_and_exits_with_1(
-        self, tmp_path: Path
-    ) -> None:
+    async def test_second_signal_exits_with_1(self, tmp_path: Path) -> None:
         async with run_site(tmp_path) as site:
             planner = await site.async_find_planner(*site.fleet.controllers)
 
--- a/tests/processes/test_controllers.py
+++ b/tests/processes/test_controllers.py
@@ -1,4 +1,4 @@
-"""Tests of controllers that are frozen or killed while they plan."""
+"""Tests of controllers that are paused or killed while they plan."""
 
 import pytest
 
@@ -10,18 +10,18 @@
 
 
 class TestController:
-    """A successor takes over, and an old one that wakes does no harm."""
+    """A successor takes over, and a resumed controller does no harm."""
 
-    async def test_frozen_past_its_lease(self, fleet: Fleet) -> None:
-        frozen = await fleet.async_find_active_controller()
-        frozen.pause()
-        await self._async_wait_other(fleet, frozen.name)
+    async def test_paused_beyond_its_lease(self, fleet: Fleet) -> None:
+        paused = await fleet.async_find_active_controller()
+        paused.pause()
+        await self._async_wait_other(fleet, paused.name)
         await fleet.async_restart_engine(fleet.engines[0])
         await async_wait_loaded(fleet)
-        frozen.resume()
+        paused.resume()
         await fleet.async_restart_engine(fleet.engines[1])
         await async_wait_loaded(fleet)
-        truths = [*fleet.past_truths, *await fleet.async_get_truths(fleet.engines)]
+        truths = [*fleet.earlier_truths, *await fleet.async_get_truths(fleet.engines)]
         assert not any(truth["over_size"] for truth in truths)
 
     async def test_killed(self, fleet: Fleet) -> None:
--- a/tests/processes/test_engines.py
+++ b/tests/processes/test_engines.py
@@ -1,4 +1,4 @@
-"""Tests of engines that die with the last copies, or say themselves that they leave."""
+"""Tests of engines that are killed with the last copies, or report that they leave."""
 
 import asyncio
 from typing import Any
@@ -15,21 +15,21 @@
 pytestmark = pytest.mark.process
 
 TOKENS = 10
-LEAVING_KNOWN_S = 5.0
-"""Time within which every gateway has heard of a leaving engine."""
+LEAVING_NOTIFIED_S = 5.0
+"""Time within which every gateway is notified of a leaving engine."""
 
 
 class TestLastCopies:
-    """Callers of what was lost wait in their deadline, or hear when to come back."""
+    """Requests for lost models wait until their deadline, or get a retry time."""
 
     async def test_all_engines_die(self, fleet: Fleet) -> None:
         caller = await async_make_caller(fleet, *fleet.gateways)
         for engine in fleet.engines:
             engine.kill()
-        response, problem = await self._async_ask(fleet)
-        # A request that met an engine just as it died may truly have run there.
+        response, problem = await self._async_request(fleet)
+        # A request that was sent to an engine just before its end may have run there.
         while problem["verdict"] == "may_have_run":
-            response, problem = await self._async_ask(fleet)
+            response, problem = await self._async_request(fleet)
         assert problem["verdict"] == "not_run"
         assert problem["retry_after_s"] > 0
         assert "Retry-After" in response.headers
@@ -44,10 +44,10 @@
         results = await asyncio.gather(*waiting)
         assert [result.ending for result in results] == [Ending.ANSWERED] * len(results)
 
-    async def _async_ask(
+    async def _async_request(
         self, fleet: Fleet
     ) -> tuple[aiohttp.ClientResponse, dict[str, Any]]:
-        """Ask for a model with little time; return the refusal."""
+        """Request a model with a short deadline; return the rejection."""
         url = f"http://{fleet.gateways[0].address}/v1/completions"
         body = {"model": "policy-summary", "prompt": "hi", "max_tokens": TOKENS}
         headers = {"X-Caller": "agents", "X-Deadline-Seconds": "1"}
@@ -56,13 +56,13 @@
 
 
 class TestLeavingEngine:
-    """An engine that says that it leaves gets no new work, whatever the list says."""
+    """An engine that reports that it leaves gets no new requests."""
 
-    async def test_host_list_never_says_so(self, fleet: Fleet) -> None:
+    async def test_engine_leaves_but_stays_in_the_host_list(self, fleet: Fleet) -> None:
         leaving, _ = fleet.engines
         caller = await async_make_caller(fleet, *fleet.gateways)
         await fleet.async_switch(leaving, leaving=True)
-        await asyncio.sleep(LEAVING_KNOWN_S)
+        await asyncio.sleep(LEAVING_NOTIFIED_S)
         (before,) = await fleet.async_get_truths([leaving])
         streams = (async_stream(caller) for _ in range(8))
         assert set(await asyncio.gather(*streams)) == {Ending.ANSWERED}
--- a/tests/processes/test_gateways.py
+++ b/tests/processes/test_gateways.py
@@ -1,4 +1,4 @@
-"""Tests of gateways that are killed or stopped while they work."""
+"""Tests of gateways that are killed, paused or stopped during requests."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 ARTIFACT = "escort-chat@1"
 TOKENS = 60
 LONG_TOKENS = 200
-"""A stream that lasts longer than callers may keep an address answer."""
+"""Tokens of a stream that lasts longer than the validity of an address response."""
 
 DEADLINE_S = 30.0
 
@@ -36,7 +36,7 @@
 
 
 async def async_wait_streams(fleet: Fleet, count: int) -> None:
-    """Wait until the engines run so many attempts together."""
+    """Wait until the engines run at least `count` attempts in total."""
 
     async def async_is_open() -> bool:
         reports = [
@@ -57,26 +57,26 @@
     return stream
 
 
-async def async_wait_named(fleet: Fleet, gateway: Process, named: set[str]) -> None:
-    """Wait until a gateway tells callers to use just these addresses."""
+async def async_wait_listed(fleet: Fleet, gateway: Process, listed: set[str]) -> None:
+    """Wait until the address response of a gateway has exactly these addresses."""
 
-    async def async_is_named() -> bool:
+    async def async_is_listed() -> bool:
         answer = await fleet.async_get(gateway.address, "/v1/addresses")
-        return {each["address"] for each in answer["gateways"]} == named
+        return {each["address"] for each in answer["gateways"]} == listed
 
-    await async_wait_for(f"{gateway.name} names {named}", async_is_named)
+    await async_wait_for(f"{gateway.name} lists {listed}", async_is_listed)
 
 
 @frozen
 class HomedCall:
-    """A call that may run only once, with the key of a home."""
+    """A call that may run only once, with a key of its home."""
 
     fleet: Fleet
     body_id: str
     key: str
 
     async def async_submit(self, gateway: Process) -> dict[str, object]:
-        """Submit it at a gateway, and return the answer or the problem."""
+        """Submit the call at a gateway, and return the response or the problem."""
         url = f"http://{gateway.address}/v1/services/{SERVICE}/{CALL}"
         headers = {"X-Caller": "agents", KEY_HEADER: self.key}
         body = {"id": self.body_id}
@@ -85,11 +85,11 @@
             return dict(await response.json(content_type=None))
 
     async def async_count_runs(self) -> int:
-        """Return how often it ran."""
+        """Return how often the call ran."""
         return await async_count_runs(self.fleet, f"{CALL}/{self.body_id}")
 
     async def async_wait_run(self) -> None:
-        """Wait until it ran."""
+        """Wait until the call has run."""
 
         async def async_has_run() -> bool:
             return await self.async_count_runs() == 1
@@ -98,16 +98,16 @@
 
 
 async def async_make_homed_call(fleet: Fleet, home: Process) -> HomedCall:
-    """Return a new call with a key of this home."""
+    """Return a new call with a key of a home."""
     caller = await async_make_caller(fleet, home)
     body_id = make_id()
     return HomedCall(fleet, body_id, make_key(find_gateway(caller, home), body_id))
 
 
 class TestKilledGateway:
-    """SIGKILL loses no answer that may be repeated, and doubles no call."""
+    """After SIGKILL no idempotent request fails, and no other call runs twice."""
 
-    async def test_streams_end_whole_elsewhere(self, fleet: Fleet) -> None:
+    async def test_streams_complete_at_the_other_gateway(self, fleet: Fleet) -> None:
         caller = await async_make_caller(fleet, *fleet.gateways)
         streams = [asyncio.create_task(async_stream(caller)) for _ in range(6)]
         await async_wait_streams(fleet, 6)
@@ -115,7 +115,7 @@
         assert set(await asyncio.gather(*streams)) == {Ending.ANSWERED}
 
     @pytest.mark.parametrize("restarts", [False, True])
-    async def test_call_is_not_doubled(self, fleet: Fleet, restarts: bool) -> None:
+    async def test_call_runs_once(self, fleet: Fleet, restarts: bool) -> None:
         for service in fleet.services:
             await fleet.async_switch(service, silent_after_run=1)
         home, other = fleet.gateways
@@ -135,42 +135,42 @@
 
 
 class TestFrozenGateway:
-    """SIGSTOP takes a gateway out of use; after SIGCONT it is used again."""
+    """A gateway is unused after SIGSTOP, and used again after SIGCONT."""
 
-    async def test_runs_nothing_twice_and_comes_back(self, fleet: Fleet) -> None:
+    async def test_runs_nothing_twice_and_is_used_again(self, fleet: Fleet) -> None:
         home, other = fleet.gateways
         call = await async_make_homed_call(fleet, home)
         home.pause()
         first = asyncio.create_task(call.async_submit(home))
-        await async_wait_named(fleet, other, {other.address})
+        await async_wait_listed(fleet, other, {other.address})
         assert (await call.async_submit(other))["verdict"] == "may_have_run"
         home.resume()
-        await async_wait_named(fleet, other, {home.address, other.address})
+        await async_wait_listed(fleet, other, {home.address, other.address})
         assert (await first)["run"] == 1
         assert await call.async_submit(other) == await first
         assert await call.async_count_runs() == 1
 
 
 class TestPlannedStop:
-    """SIGTERM ends a gateway only after what runs there has ended."""
+    """After SIGTERM a gateway ends once its requests have ended."""
 
-    async def test_stream_in_progress_ends_whole(self, fleet: Fleet) -> None:
-        leaving, staying = fleet.gateways
+    async def test_stream_in_progress_completes(self, fleet: Fleet) -> None:
+        leaving, remaining = fleet.gateways
         stream = await async_open_stream(fleet, leaving)
         leaving.terminate()
-        await async_wait_named(fleet, staying, {staying.address})
+        await async_wait_listed(fleet, remaining, {remaining.address})
         assert await stream is Ending.ANSWERED
         assert await leaving.async_wait(60) == 0
-        caller = await async_make_caller(fleet, staying)
+        caller = await async_make_caller(fleet, remaining)
         assert await async_stream(caller) is Ending.ANSWERED
 
-    async def test_stream_ends_whole_though_the_successor_is_killed(
+    async def test_stream_completes_though_the_successor_is_killed(
         self, fleet: Fleet
     ) -> None:
         leaving, successor = fleet.gateways
         stream = await async_open_stream(fleet, leaving)
         leaving.terminate()
-        await async_wait_named(fleet, successor, {successor.address})
+        await async_wait_listed(fleet, successor, {successor.address})
         successor.kill()
         assert await stream is Ending.ANSWERED
         assert await leaving.async_wait(60) == 0
--- a/tests/processes/test_key_value_calls.py
+++ b/tests/processes/test_key_value_calls.py
@@ -1,4 +1,4 @@
-"""Count the calls to the key-value service, by what causes them; -s prints them."""
+"""Count the calls to the key-value service by cause; pytest -s prints them."""
 
 import asyncio
 from collections import Counter
@@ -19,7 +19,7 @@
 IDLE_S = 10.0
 CALLS = 20
 WRITES = ("txn", "lease_grant", "lease_keep_alive", "lease_revoke")
-PROCESSES_TODAY = 12
+MAX_PROCESSES = 12
 """Nine gateways and three controllers, the most that one site has."""
 
 WRITES_PER_SECOND = 300.0
@@ -38,42 +38,42 @@
 
 
 async def async_wait_extra(fleet: Fleet, count: int) -> None:
-    """Wait until the engines hold so many of the extra models."""
+    """Wait until the engines have loaded `count` of the extra models."""
 
-    async def async_is_held() -> bool:
+    async def async_is_loaded() -> bool:
         truths = await fleet.async_get_truths(fleet.engines)
-        held = [name for truth in truths for name in truth["loaded"]]
-        return sum(name.startswith("extra") for name in held) == count
+        loaded = [name for truth in truths for name in truth["loaded"]]
+        return sum(name.startswith("extra") for name in loaded) == count
 
-    await async_wait_for(f"{count} extra models are held", async_is_held)
+    await async_wait_for(f"{count} extra models are loaded", async_is_loaded)
 
 
 @define
 class Meter:
-    """Counts the calls since it was last read."""
+    """Counts the calls since the last reading."""
 
     fleet: Fleet
-    _seen: Counter[str] = field(factory=Counter)
+    _last_calls: Counter[str] = field(factory=Counter)
 
     async def async_read(self, what: str) -> Counter[str]:
         """Print and return the calls since the last reading."""
         (truth,) = await self.fleet.async_get_truths([self.fleet.key_value])
         now = Counter(truth["calls"])
-        spent = now - self._seen
-        self._seen = now
-        print(f"{what}: {dict(sorted(spent.items()))}")
-        return spent
+        new_calls = now - self._last_calls
+        self._last_calls = now
+        print(f"{what}: {dict(sorted(new_calls.items()))}")
+        return new_calls
 
 
 class TestKeyValueCalls:
-    """What is done often costs no call; the rest is within the service's rates."""
+    """Frequent operations cause no calls; others stay within the service's rates."""
 
     async def test_by_cause(self, fleet: Fleet, tmp_path: Path) -> None:
         meter = Meter(fleet)
         await asyncio.sleep(IDLE_S)
-        await meter.async_read("start, load, one configuration and 10 s at rest")
+        await meter.async_read("start, load, one configuration and 10 s idle")
         await asyncio.sleep(IDLE_S)
-        idle = await meter.async_read(f"{IDLE_S:g} s at rest, 4 processes")
+        idle = await meter.async_read(f"{IDLE_S:g} s idle, 4 processes")
         assert idle["txn"] == idle["lease_grant"] == 0
 
         caller = await async_make_caller(fleet, *fleet.gateways)
@@ -94,13 +94,13 @@
         assert plain["lease_grant"] <= 1
 
         await fleet.async_apply_base(BASE_FILE)
-        change = await meter.async_read("one change, in force on 4 processes")
+        change = await meter.async_read("one change, applied on 4 processes")
         assert change["txn"] == 1
 
         extended = tmp_path / "base.toml"
         extended.write_text(BASE_FILE.read_text() + EXTRA_MODELS)
-        # An unload at an engine that ignores fences takes a third write: its entry
-        # bars a new load until late copies of the order can no longer arrive.
+        # An unload at an engine that ignores fences needs a third write: its entry
+        # blocks a new load until delayed copies of the order can no longer arrive.
         steps = (("loads", extended, MODELS, 2), ("unloads", BASE_FILE, 0, 3))
         for what, file, count, each in steps:
             await fleet.async_apply_base(file)
@@ -111,5 +111,5 @@
 
         writes = sum(idle[kind] for kind in WRITES) / IDLE_S / 4
         reads = (sum(idle.values()) / IDLE_S / 4) - writes
-        assert writes * PROCESSES_TODAY < WRITES_PER_SECOND / 10
-        assert reads * PROCESSES_TODAY < READS_PER_SECOND / 10
+        assert writes * MAX_PROCESSES < WRITES_PER_SECOND / 10
+        assert reads * MAX_PROCESSES < READS_PER_SECOND / 10
--- a/tests/processes/test_outage.py
+++ b/tests/processes/test_outage.py
@@ -14,15 +14,15 @@
 
 
 async def async_submit_plain(fleet: Fleet, key: str) -> dict[str, Any]:
-    """Submit a call with a plain key, and return the answer or the problem."""
+    """Submit a call with a plain key, and return the response or the problem."""
     url = f"http://{fleet.gateways[0].address}/v1/services/{SERVICE}/{CALL}"
     headers = {"X-Caller": "agents", KEY_HEADER: key}
-    async with fleet.session.post(url, json={"id": key}, headers=headers) as got:
-        return dict(await got.json(content_type=None))
+    async with fleet.session.post(url, json={"id": key}, headers=headers) as response:
+        return dict(await response.json(content_type=None))
 
 
 class TestOutage:
-    """Traffic goes on; only what needs the service is refused, and truly not run."""
+    """Traffic continues; only calls that need the service are rejected as not run."""
 
     async def test_calls_fail(self, fleet: Fleet) -> None:
         await fleet.async_switch(fleet.key_value, down=True)
@@ -39,7 +39,7 @@
         await self._async_check_traffic(fleet)
         await self._async_check_plain(fleet, "not_run")
 
-    async def test_answer_to_a_claim_is_lost(self, fleet: Fleet) -> None:
+    async def test_response_to_a_claim_is_lost(self, fleet: Fleet) -> None:
         await fleet.async_switch(fleet.key_value, lose_answers=1)
         key = make_id()
         assert (await async_submit_plain(fleet, key))["run"] == 1
@@ -55,7 +55,7 @@
         assert homed.ending is Ending.ANSWERED
 
     async def _async_check_plain(self, fleet: Fleet, verdict: str) -> None:
-        """Submit a call with a plain key, which would have to be claimed."""
+        """Check the verdict on a call with a plain key, which must be claimed."""
         key = make_id()
         problem = await async_submit_plain(fleet, key)
         assert problem["verdict"] == verdict
--- a/tests/processes/test_settings.py
+++ b/tests/processes/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of how the program ends on bad settings."""
+"""Tests of the exit of the program on invalid settings."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 pytestmark = pytest.mark.process
 
-GOOD = {
+VALID_FLAGS = {
     "--key-value": "127.0.0.1:1",
     "--host": "host-1",
     "--data-centre": "centre-1",
@@ -18,7 +18,7 @@
 
 
 class TestExitCode:
-    """A bad setting ends the process with exit code 2 and one line naming it."""
+    """An invalid setting causes exit code 2 and one line that names the setting."""
 
     @pytest.mark.parametrize("command", ["gateway", "controller"])
     @pytest.mark.parametrize(
@@ -30,10 +30,12 @@
             ("--key-value-timeout-s", "soon"),
         ],
     )
-    async def test_bad_flag(
+    async def test_invalid_flag(
         self, tmp_path: Path, command: str, flag: str, value: str
     ) -> None:
-        flags = [f"{name}={text}" for name, text in {**GOOD, flag: value}.items()]
+        flags = [
+            f"{name}={text}" for name, text in {**VALID_FLAGS, flag: value}.items()
+        ]
         async with Launcher(tmp_path) as launcher:
             process = await launcher.async_start("bad", "mangoway", command, *flags)
             assert await process.async_wait() == 2
--- a/tests/test_artifact.py
+++ b/tests/test_artifact.py
@@ -13,7 +13,7 @@
         assert str(Artifact.parse(text)) == text
 
     @pytest.mark.parametrize("text", ["", "chat", "@3", "chat@", "chat@3+"])
-    def test_parse_refuses_incomplete_names(self, text: str) -> None:
+    def test_parse_rejects_incomplete_names(self, text: str) -> None:
         with pytest.raises(ValueError, match="not an artifact"):
             Artifact.parse(text)
 
@@ -23,4 +23,4 @@
     def test_base_sorts_before_its_adapters(self) -> None:
         names = ["chat@3+mn", "chat@3", "chat@2+mn"]
         artifacts = sorted(Artifact.parse(name) for name in names)
-        assert [str(one) for one in artifacts] == ["chat@2+mn", "chat@3", "chat@3+mn"]
+        assert [str(each) for each in artifacts] == ["chat@2+mn", "chat@3", "chat@3+mn"]
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages say what the code and the repository hold."""
+"""Tests that the pages agree with the code and the repository."""
 
 import re
 import shlex
@@ -46,7 +46,7 @@
 
 
 def find_command(words: list[str]) -> list[str]:
-    """Return the flags of the command that the words begin with."""
+    """Return the flags of the command at the start of the words."""
     command = read_group()
     while isinstance(command, TyperGroup) and words and words[0] != "...":
         command = command.commands[words.pop(0)]
@@ -62,9 +62,9 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 class TestReferences:
-    """What a page names exists."""
+    """All references of a page exist."""
 
-    def test_links_lead_somewhere(self, page: Path) -> None:
+    def test_links_have_targets(self, page: Path) -> None:
         links = LINK.findall(page.read_text())
         assert [each for each in links if not (page.parent / each).exists()] == []
 
@@ -97,9 +97,9 @@
 
 
 class TestCompleteness:
-    """Lists on the pages for operators and callers leave nothing out."""
+    """Lists on the pages for operators and callers are complete."""
 
-    def test_every_warning_has_an_answer(self) -> None:
+    def test_every_warning_has_a_row(self) -> None:
         text = (ROOT / "docs" / "OPERATIONS.md").read_text()
         rows = {int(number) for number, _ in EVENT_ROW.findall(text)}
         alarms = {
--- a/tests/test_proofs_page.py
+++ b/tests/test_proofs_page.py
@@ -1,4 +1,4 @@
-"""Holds the page of the proofs against the tests that exist."""
+"""Tests that the page of proofs agrees with the existing tests."""
 
 import ast
 import re
@@ -11,7 +11,7 @@
 
 
 def list_names(path: Path) -> set[str]:
-    """Return the scenarios of a feature file, or the classes and tests of a module."""
+    """Return the scenarios of a feature file, or the names in a test module."""
     if path.suffix == ".feature":
         return set(SCENARIO.findall(path.read_text()))
     names = set()
@@ -25,7 +25,7 @@
 
 
 class TestProofsPage:
-    """The page names tests only that exist."""
+    """The page names all scenarios, and only tests that exist."""
 
     def test_every_named_test_exists(self) -> None:
         references = REFERENCE.findall(PAGE.read_text())
