--- a/tests/scenarios/configuration.feature
+++ b/tests/scenarios/configuration.feature
@@ -1,50 +1,50 @@
 Feature: Configuration
-  An accepted change is in force everywhere within seconds, and no process ever goes
-  back to an older one, through outages, restarts and races of operators.
+  An accepted change is applied everywhere within seconds, and no process ever reverts
+  to an older one, despite outages, restarts and concurrent edits.
 
-  Scenario: A change is in force everywhere within seconds
+  Scenario: A change is applied everywhere within seconds
     Given 12 hosts in 3 data centres that follow the configuration
     When an operator's change is accepted
     And 3 seconds pass
     Then every host has the newest version
-    And no host ever went back
+    And no host ever reverted to an older version
 
-  Scenario: The watches have stalled
+  Scenario: The watches stall
     Given 12 hosts in 3 data centres that follow the configuration
     When the watches stall
     And an operator's change is accepted
     And 8 seconds pass
     Then every host has the newest version
 
-  Scenario: A host was frozen while others went on
+  Scenario: A host is paused while others apply changes
     Given 12 hosts in 3 data centres that follow the configuration
-    When host 0 is frozen
+    When host 0 is paused
     And 3 changes are accepted, one every 2 seconds
-    And host 0 goes on
+    And host 0 is resumed
     And 8 seconds pass
     Then every host has the newest version
-    And no host ever went back
+    And no host ever reverted to an older version
 
-  Scenario: A new process starts in an outage of the key-value service
+  Scenario: A process starts while the key-value service is down
     Given 12 hosts in 3 data centres that follow the configuration
     When an operator's change is accepted
     And 8 seconds pass
-    And the key-value service is out
-    And host 0 starts anew
+    And the key-value service is down
+    And host 0 is restarted
     And 30 seconds pass
     Then every host has the newest version
-    And no host ever went back
+    And no host ever reverted to an older version
 
-  Scenario: Messages are lost and overtake each other
+  Scenario: Messages are lost and reordered
     Given 12 hosts in 3 data centres that follow the configuration
-    When messages get lost and late
+    When messages are lost and delayed
     And 10 changes are accepted, one every 2 seconds
-    And the network is whole again
+    And the network recovers
     And 8 seconds pass
     Then every host has the newest version
-    And no host ever went back
+    And no host ever reverted to an older version
 
-  Scenario: The relays of a data centre die one after the other
+  Scenario: The relays of a data centre are killed one after the other
     Given 12 hosts in 3 data centres that follow the configuration
     When host 0 is killed
     And an operator's change is accepted
@@ -52,28 +52,28 @@
     And 8 seconds pass
     Then every host has the newest version
 
-  Scenario: Two operators race, and both edits alone would be valid
+  Scenario: Two concurrent edits, each of which alone is valid
     Given a base file that offers 2 floor copies
     When one operator spreads them over 2 data centres in an overlay
-    And another lowers them to 1 in the base file, at the same time
-    Then one edit is accepted and one refused
+    And another lowers them to 1 in the base file at the same time
+    Then one edit is accepted and one rejected
     And the base file and the overlay are valid together
 
-  Scenario: The answer to an edit is lost after the write took effect
+  Scenario: The response to an edit is lost after the write took effect
     Given a base file that offers 2 floor copies
-    When the next answer of the key-value service is lost
+    When the next response of the key-value service is lost
     And one operator spreads them over 2 data centres in an overlay
-    Then the edit is accepted, once
+    Then the edit is accepted once
 
-  Scenario: Two operators race, and the answer to one of them is lost
+  Scenario: Two concurrent edits, and the response to one of them is lost
     Given a base file that offers 2 floor copies
-    When the next answer of the key-value service is lost
+    When the next response of the key-value service is lost
     And one operator spreads them over 2 data centres in an overlay
-    And another lowers them to 1 in the base file, at the same time
-    Then one edit is accepted and one refused
+    And another lowers them to 1 in the base file at the same time
+    Then one edit is accepted and one rejected
     And the base file and the overlay are valid together
 
-  Scenario: The watches have stalled, and a relay dies
+  Scenario: The watches stall and relays are killed
     Given 12 hosts in 3 data centres that follow the configuration
     When the watches stall
     And host 0 is killed
@@ -82,13 +82,13 @@
     And 8 seconds pass
     Then every host has the newest version
 
-  Scenario: A host that was frozen wakes in an outage of the key-value service
+  Scenario: A paused host resumes while the key-value service is down
     Given 12 hosts in 3 data centres that follow the configuration
-    When host 0 is frozen
+    When host 0 is paused
     And an operator's change is accepted
     And 8 seconds pass
-    And the key-value service is out
-    And host 0 goes on
+    And the key-value service is down
+    And host 0 is resumed
     And 8 seconds pass
     Then every host has the newest version
-    And no host ever went back
+    And no host ever reverted to an older version
--- a/tests/scenarios/leaving.feature
+++ b/tests/scenarios/leaving.feature
@@ -1,37 +1,38 @@
 Feature: Leaving hosts
-  A host that leaves gets no new work, whoever says so first; what it has begun goes on.
+  A leaving host gets no new requests, whichever source reports it first; requests in
+  progress continue.
 
   Background:
     Given gateways A and B
 
   Scenario: A host of a plain service leaves
-    When A hears that host0 leaves
+    When A is notified that host0 leaves
     And 20 calls arrive at A
-    Then A sent nothing to host0 since then
+    Then A has sent nothing to host0 since
     And every call was sent
 
   Scenario: A runner leaves
-    When A hears that engine0 leaves
+    When A is notified that engine0 leaves
     And 4 completions arrive at A
-    Then A sent nothing to engine0 since then
+    Then A has sent nothing to engine0 since
 
-  Scenario: A runner says itself that it leaves
+  Scenario: A runner reports that it leaves
     When 1 seconds pass
-    And the report of engine1 says that it leaves
+    And the report of engine1 contains that it leaves
     And 4 completions arrive at A
-    Then A sent nothing to engine1 since then
+    Then A has sent nothing to engine1 since
 
   Scenario: Every host of a service leaves
-    When A hears that host0 leaves
-    And A hears that host1 leaves
+    When A is notified that host0 leaves
+    And A is notified that host1 leaves
     And 1 calls arrive at A
     And 30 seconds pass
-    Then the caller is told "not_run"
+    Then the caller gets the verdict "not_run"
     And the call ran 0 times
 
-  Scenario: A gateway that stops hands new arrivals to another
+  Scenario: A stopping gateway forwards new requests to another one
     Given a call with a plain key
     When A stops
     And the caller submits it at A
-    Then A handed it to another gateway
+    Then A forwarded it to another gateway
     And the call ran 0 times
--- a/tests/scenarios/memory.feature
+++ b/tests/scenarios/memory.feature
@@ -1,7 +1,7 @@
 Feature: Memory
-  No runner's memory is ever committed beyond its size, whoever plans, and whatever
-  happens to orders and to the key-value service. What counts is the runners' own
-  account of what they hold.
+  No runner's memory is ever committed beyond its size, whichever controller plans, and
+  whatever happens to orders and to the key-value service. The checks use the runners'
+  own records of their memory.
 
   Background:
     Given the models
@@ -11,17 +11,17 @@
       | policy   | 30        | 1     |
       | handover | 20        | 1     |
 
-  Scenario Outline: A controller that was paused past its lease wakes and goes on
+  Scenario Outline: A controller paused beyond its lease is resumed
     Given 3 runners of 110 MB that <manner> fences
-    And a controller in charge
+    And an active controller
     When the demand for model escort is high
     And controller 0 is paused
     And a second controller takes over
     And 30 seconds pass
     And the demand for model policy is high
-    And controller 0 goes on
+    And controller 0 is resumed
     And 60 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
     Examples:
@@ -29,16 +29,16 @@
       | check  |
       | ignore |
 
-  Scenario Outline: Orders go wrong while models move
+  Scenario Outline: Orders fail while models move
     Given 3 runners of 110 MB that <manner> fences
-    And a controller in charge
+    And an active controller
     When the next 6 orders are <fault>
     And the demand for model escort is high
     And 20 seconds pass
     And the next 6 orders are <fault>
     And the demand for model policy is high
     And 200 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
     Examples:
@@ -52,48 +52,48 @@
       | ignore | doubled    |
       | ignore | unanswered |
 
-  Scenario: The answers of ledger writes are lost
+  Scenario: The responses to ledger writes are lost
     Given 3 runners of 110 MB that ignore fences
-    And a controller in charge
-    When the answers of the next 5 writes are lost
+    And an active controller
+    When the responses to the next 5 writes are lost
     And the demand for model escort is high
     And 90 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
-  Scenario: The key-value service is out while demand moves
+  Scenario: The key-value service is down while demand changes
     Given 3 runners of 110 MB that ignore fences
-    And a controller in charge
+    And an active controller
     When the key-value service is down
     And the demand for model escort is high
     And 60 seconds pass
     Then no order was sent in the last 50 seconds
     When the key-value service is up
     And 60 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
   Scenario: A version is replaced on full runners
     Given 2 runners of 110 MB that check fences
-    And a controller in charge
+    And an active controller
     When model escort changes to version 2
     And 120 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
-    And version 1 of model escort is nowhere
+    And version 1 of model escort is not loaded anywhere
 
-  Scenario Outline: A late load of a version that was replaced meanwhile
+  Scenario Outline: A delayed load of a version that has been replaced
     Given the models
       | model  | memory_mb | floor |
       | escort | 40        | 1     |
     And 2 runners of 60 MB that <manner> fences
-    And a controller in charge
+    And an active controller
     When the next 2 orders are late
     And model escort changes to version 2
     And 2 seconds pass
     And model escort changes to version 3
     And 200 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
     Examples:
@@ -101,12 +101,12 @@
       | check  |
       | ignore |
 
-  Scenario Outline: A second controller meets a late load of the first
+  Scenario Outline: A delayed load of the first controller arrives under the second one
     Given the models
       | model  | memory_mb | floor |
       | escort | 40        | 1     |
     And 2 runners of 60 MB that <manner> fences
-    And a controller in charge
+    And an active controller
     When the next 2 orders are late
     And model escort changes to version 2
     And 1 seconds pass
@@ -114,9 +114,9 @@
     And a second controller takes over
     And model escort changes to version 3
     And 200 seconds pass
-    And controller 0 goes on
+    And controller 0 is resumed
     And 60 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
     Examples:
@@ -124,17 +124,17 @@
       | check  |
       | ignore |
 
-  Scenario Outline: A pause, an outage, lost answers and late orders come together
+  Scenario Outline: A pause, an outage, lost responses and delayed orders at the same time
     Given the models
       | model  | memory_mb | floor |
       | escort | 40        | 1     |
     And 2 runners of 60 MB that <manner> fences
-    And a controller in charge
+    And an active controller
     When the next 2 orders are late
     And model escort changes to version 2
     And 1 seconds pass
     And controller 0 is paused
-    And the answers of the next 3 writes are lost
+    And the responses to the next 3 writes are lost
     And a second controller takes over
     And model escort changes to version 3
     And 2 seconds pass
@@ -143,10 +143,10 @@
     And the key-value service is up
     And the next 2 orders are doubled
     And 200 seconds pass
-    And controller 0 goes on
-    And runner 1 restarts empty
+    And controller 0 is resumed
+    And runner 1 restarts without models
     And 60 seconds pass
-    Then no runner was ever over its size
+    Then no runner ever exceeded its memory size
     And every model has its floor
 
     Examples:
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about the configuration."""
+"""Steps of the scenarios on the configuration."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -27,7 +27,7 @@
 
 @define
 class Operators:
-    """Operators that edit at the same time, and what became of their edits."""
+    """Operators with concurrent edits, and the results of these."""
 
     store: FakeKeyValueStore
     edits: list[Edit] = field(factory=list)
@@ -42,7 +42,7 @@
             return runner.run(work)
 
     def apply_all(self) -> None:
-        """Apply the waiting edits, all at once."""
+        """Apply all pending edits concurrently."""
 
         async def async_apply() -> None:
             self.store.delay_s = 0.01
@@ -73,45 +73,45 @@
 
 
 @when("an operator's change is accepted")
-def accept(fleet: Fleet) -> None:
+def accept_change(fleet: Fleet) -> None:
     fleet.edit()
 
 
 @when(parsers.parse("{count:d} changes are accepted, one every {seconds:d} seconds"))
-def accept_many(fleet: Fleet, count: int, seconds: int) -> None:
+def accept_changes(fleet: Fleet, count: int, seconds: int) -> None:
     for _ in range(count):
         fleet.edit()
         fleet.run(seconds)
 
 
 @when("the watches stall")
-def stall(fleet: Fleet) -> None:
+def stall_watches(fleet: Fleet) -> None:
     fleet.watch_stalled = True
 
 
-@when("the key-value service is out")
-def break_service(fleet: Fleet) -> None:
+@when("the key-value service is down")
+def stop_service(fleet: Fleet) -> None:
     fleet.service_down = True
 
 
-@when("messages get lost and late")
+@when("messages are lost and delayed")
 def break_network(fleet: Fleet) -> None:
     fleet.loss = 0.3
     fleet.lateness_s = 4.0
 
 
-@when("the network is whole again")
-def mend_network(fleet: Fleet) -> None:
+@when("the network recovers")
+def heal_network(fleet: Fleet) -> None:
     fleet.end_faults()
 
 
-@when(parsers.parse("host {number:d} is frozen"))
-def freeze(fleet: Fleet, number: int) -> None:
+@when(parsers.parse("host {number:d} is paused"))
+def pause(fleet: Fleet, number: int) -> None:
     fleet.processes[find_hosts(fleet)[number]].frozen = True
 
 
-@when(parsers.parse("host {number:d} goes on"))
-def thaw(fleet: Fleet, number: int) -> None:
+@when(parsers.parse("host {number:d} is resumed"))
+def resume(fleet: Fleet, number: int) -> None:
     fleet.resume(find_hosts(fleet)[number])
 
 
@@ -120,7 +120,7 @@
     fleet.stop(find_hosts(fleet)[number])
 
 
-@when(parsers.parse("host {number:d} starts anew"))
+@when(parsers.parse("host {number:d} is restarted"))
 def restart(fleet: Fleet, number: int) -> None:
     host = find_hosts(fleet)[number]
     fleet.stop(host)
@@ -138,8 +138,8 @@
     assert {process.core.version for process in live} == {fleet.head}
 
 
-@then("no host ever went back")
-def check_order(fleet: Fleet) -> None:
+@then("no host ever reverted to an older version")
+def check_no_revert(fleet: Fleet) -> None:
     for process in fleet.processes.values():
         assert process.applied == sorted(set(process.applied))
 
@@ -155,8 +155,8 @@
     return operators
 
 
-@when("the next answer of the key-value service is lost")
-def lose_answer(operators: Operators) -> None:
+@when("the next response of the key-value service is lost")
+def lose_response(operators: Operators) -> None:
     operators.store.lost_answers = 1
 
 
@@ -165,12 +165,12 @@
     operators.edits.append(make_edit(SPREAD, "anna", name_overlay(SITE)))
 
 
-@when(parsers.parse("another lowers them to 1 in the base file, at the same time"))
+@when(parsers.parse("another lowers them to 1 in the base file at the same time"))
 def edit_base(operators: Operators) -> None:
     operators.edits.append(make_edit(make_base(floor=1), "bo"))
 
 
-@then("one edit is accepted and one refused")
+@then("one edit is accepted and one rejected")
 def check_one_accepted(operators: Operators) -> None:
     operators.apply_all()
     (error,) = [r for r in operators.results if isinstance(r, MangowayError)]
@@ -185,7 +185,7 @@
     load_configuration(base, overlay, ConfigVersion(bundle.version))
 
 
-@then("the edit is accepted, once")
+@then("the edit is accepted once")
 def check_accepted_once(operators: Operators) -> None:
     operators.apply_all()
     (record,) = operators.results
--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about calls that run at most once, and leaving hosts."""
+"""Steps of the scenarios on calls that run at most once, and on leaving hosts."""
 
 from attrs import define, field
 from pytest_bdd import given, parsers, scenarios, then, when
@@ -15,33 +15,33 @@
 from tests.policy.dispatch.builders import make_report
 from tests.policy.dispatch.world import Operation, SentAttempt, Submission, World
 
-WITHIN_S = 10.0
+DEADLINE_S = 10.0
 
 scenarios("at_most_once.feature", "leaving.feature")
 
 
 @define(eq=False)
 class Stage(World):
-    """The world with names for gateways, and a record of what callers were told."""
+    """The world with names of gateways, and the results that callers got."""
 
     names: dict[str, IncarnationId] = field(factory=dict)
-    told: dict[RequestId, Failure] = field(factory=dict)
-    shared: dict[RequestId, RequestId] = field(factory=dict)
-    handed: list[RequestId] = field(factory=list)
-    starts_before: int = 0
+    failures: dict[RequestId, Failure] = field(factory=dict)
+    response_sources: dict[RequestId, RequestId] = field(factory=dict)
+    forwarded: list[RequestId] = field(factory=list)
+    attempts_before: int = 0
 
     def perform(self, identity: IncarnationId, action: DispatchAction) -> None:
         match action:
             case ReplayAnswer():
-                self.shared[action.request_id] = action.answer_id
+                self.response_sources[action.request_id] = action.answer_id
             case JoinRequest():
-                self.shared[action.request_id] = action.leader_id
+                self.response_sources[action.request_id] = action.leader_id
             case ForwardToPeer():
-                self.handed.append(action.request_id)
+                self.forwarded.append(action.request_id)
         super().perform(identity, action)
 
     def _check_refusal(self, submission: Submission, failure: Failure) -> None:
-        self.told[submission.request.id] = failure
+        self.failures[submission.request.id] = failure
         super()._check_refusal(submission, failure)
 
     def start(self, name: str) -> None:
@@ -54,10 +54,12 @@
         return self.operations[-1]
 
     def list_open(self) -> list[SentAttempt]:
-        return [flight for flight in self.sent_attempts.values() if not flight.answered]
+        return [
+            attempt for attempt in self.sent_attempts.values() if not attempt.answered
+        ]
 
     def add_call(self, key_kind: str, home: str) -> Operation:
-        # Even numbers are calls of a plain service, odd ones are completions.
+        # Operations with even numbers are calls of a plain service, others completions.
         if len(self.operations) % 2:
             self.plan(True, "none", self.names["A"], 0.0)
         return self.plan(False, key_kind, self.names[home], 0.0)
@@ -83,7 +85,7 @@
 
 @when(parsers.parse("the caller submits it at {name}"))
 def submit(stage: Stage, name: str) -> None:
-    stage.submit(stage.operation, stage.names[name], WITHIN_S)
+    stage.submit(stage.operation, stage.names[name], DEADLINE_S)
 
 
 @when(parsers.parse("{name} forwards it to its home"))
@@ -91,23 +93,23 @@
     stage.deliver_forward(0)
 
 
-@when("its host answers")
-def answer(stage: Stage) -> None:
-    for flight in stage.list_open():
-        stage.answer(flight, "succeed")
+@when("its host responds")
+def respond(stage: Stage) -> None:
+    for attempt in stage.list_open():
+        stage.answer(attempt, "succeed")
 
 
-@when("its host runs it and the answer is lost")
-def lose_answer(stage: Stage) -> None:
-    (flight,) = stage.list_open()
-    stage.run(flight)
-    stage.answer(flight, "lost")
+@when("its host runs it and the response is lost")
+def lose_response(stage: Stage) -> None:
+    (attempt,) = stage.list_open()
+    stage.run(attempt)
+    stage.answer(attempt, "lost")
 
 
 @when("its host is busy")
-def be_busy(stage: Stage) -> None:
-    (flight,) = stage.list_open()
-    stage.answer(flight, "busy")
+def reject_as_busy(stage: Stage) -> None:
+    (attempt,) = stage.list_open()
+    stage.answer(attempt, "busy")
 
 
 @when(parsers.parse("{name} is killed and {other} starts in its place"))
@@ -116,31 +118,31 @@
     stage.start(other)
 
 
-@when(parsers.parse("{name} is frozen"))
-def freeze(stage: Stage, name: str) -> None:
+@when(parsers.parse("{name} is paused"))
+def pause(stage: Stage, name: str) -> None:
     stage.gateways[stage.names[name]].paused = True
 
 
-@when(parsers.parse("{name} goes on"))
-def go_on(stage: Stage, name: str) -> None:
+@when(parsers.parse("{name} is resumed"))
+def resume(stage: Stage, name: str) -> None:
     stage.resume(stage.names[name])
 
 
-@when(parsers.parse("{name} leaves and hands its records to {heir}"))
-def hand_over(stage: Stage, name: str, heir: str) -> None:
-    retire(stage, name, heir, lost=False)
+@when(parsers.parse("{name} leaves and hands its records to {successor}"))
+def hand_over(stage: Stage, name: str, successor: str) -> None:
+    retire(stage, name, successor, lost=False)
 
 
-@when(parsers.parse("{name} leaves and its records get lost on the way to {heir}"))
-def lose_records(stage: Stage, name: str, heir: str) -> None:
-    retire(stage, name, heir, lost=True)
+@when(parsers.parse("{name} leaves and its records to {successor} are lost"))
+def lose_records(stage: Stage, name: str, successor: str) -> None:
+    retire(stage, name, successor, lost=True)
 
 
-def retire(stage: Stage, name: str, heir: str, lost: bool) -> None:
+def retire(stage: Stage, name: str, successor: str, lost: bool) -> None:
     stage.stop(stage.names[name])
-    stage.retire(stage.names[name], stage.names[heir], lost)
+    stage.retire(stage.names[name], stage.names[successor], lost)
     stage.kill(stage.names[name])
-    stage.spread_homes(stage.names[heir])
+    stage.spread_homes(stage.names[successor])
 
 
 @when(parsers.parse("{name} stops"))
@@ -148,46 +150,46 @@
     stage.stop(stage.names[name])
 
 
-@when("the key-value service settles both claims")
+@when("the key-value service executes both claims")
 def settle_claims(stage: Stage) -> None:
     assert len(stage.claiming) == 2
     settle_claim(stage)
     settle_claim(stage)
 
 
-@when("the key-value service settles its claim")
+@when("the key-value service executes its claim")
 def settle_claim(stage: Stage) -> None:
     stage.settle_claim(0, "up")
 
 
-@when("the key-value service can't be asked")
-def refuse_claim(stage: Stage) -> None:
+@when("the key-value service is down")
+def fail_claim(stage: Stage) -> None:
     stage.settle_claim(0, "down")
 
 
-@when("the answer to its claim is lost")
+@when("the response to its claim is lost")
 def lose_claim(stage: Stage) -> None:
     stage.settle_claim(0, "ambiguous")
 
 
-@when(parsers.parse("{name} hears that {upstream} leaves"))
-def hear_leaving(stage: Stage, name: str, upstream: str) -> None:
+@when(parsers.parse("{name} is notified that {upstream} leaves"))
+def notify_leaving(stage: Stage, name: str, upstream: str) -> None:
     stage.notify_leaving(stage.names[name], UpstreamId(upstream))
-    stage.starts_before = len(stage.sent_attempts)
+    stage.attempts_before = len(stage.sent_attempts)
 
 
-@when(parsers.parse("the report of {engine} says that it leaves"))
+@when(parsers.parse("the report of {engine} contains that it leaves"))
 def report_leaving(stage: Stage, engine: str) -> None:
     report = make_report(engine, stage.now, leaving=True)
     stage.send(stage.names["A"], report)
-    stage.starts_before = len(stage.sent_attempts)
+    stage.attempts_before = len(stage.sent_attempts)
 
 
 @when(parsers.parse("{count:d} calls arrive at A"))
 def arrive_calls(stage: Stage, count: int) -> None:
     for _ in range(count):
         stage.add_call("none", "A")
-        stage.submit(stage.operation, stage.names["A"], WITHIN_S)
+        stage.submit(stage.operation, stage.names["A"], DEADLINE_S)
 
 
 @when(parsers.parse("{count:d} completions arrive at A"))
@@ -196,7 +198,7 @@
         if len(stage.operations) % 2 == 0:
             stage.plan(True, "none", stage.names["A"], 0.0)
         operation = stage.plan(True, "none", stage.names["A"], 0.0)
-        stage.submit(operation, stage.names["A"], WITHIN_S)
+        stage.submit(operation, stage.names["A"], DEADLINE_S)
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
@@ -204,11 +206,11 @@
     stage.advance(float(seconds))
 
 
-@then(parsers.parse('the caller is told "{verdict}"'))
-def check_told(stage: Stage, verdict: str) -> None:
-    # A forward ends the first arrival; its home's answer goes to the caller.
-    failure = stage.told.get(stage.operation.submissions[-1])
-    assert failure is not None, "not refused"
+@then(parsers.parse('the caller gets the verdict "{verdict}"'))
+def check_verdict(stage: Stage, verdict: str) -> None:
+    # After a forward, the caller gets the response of the home.
+    failure = stage.failures.get(stage.operation.submissions[-1])
+    assert failure is not None, "not rejected"
     assert failure.verdict.value == verdict
 
 
@@ -218,18 +220,18 @@
     stage.check()
 
 
-@then("the caller got the answer of its first submission")
-def check_shared(stage: Stage) -> None:
+@then("the caller got the response to its first submission")
+def check_response(stage: Stage) -> None:
     first, *_, last = stage.operation.submissions
-    assert stage.shared[last] == first
+    assert stage.response_sources[last] == first
 
 
-@then(parsers.parse("{name} sent nothing to {upstream} since then"))
+@then(parsers.parse("{name} has sent nothing to {upstream} since"))
 def check_nothing_sent(stage: Stage, name: str, upstream: str) -> None:
     sent = [
-        flight.action.upstream_id
-        for flight in list(stage.sent_attempts.values())[stage.starts_before :]
-        if flight.gateway == stage.names[name]
+        attempt.action.upstream_id
+        for attempt in list(stage.sent_attempts.values())[stage.attempts_before :]
+        if attempt.gateway == stage.names[name]
     ]
     assert sent
     assert upstream not in sent
@@ -237,9 +239,9 @@
 
 @then("every call was sent")
 def check_all_sent(stage: Stage) -> None:
-    assert len(stage.sent_attempts) - stage.starts_before == len(stage.submissions)
+    assert len(stage.sent_attempts) - stage.attempts_before == len(stage.submissions)
 
 
-@then(parsers.parse("{name} handed it to another gateway"))
-def check_handed(stage: Stage, name: str) -> None:
-    assert stage.handed == stage.operation.submissions
+@then(parsers.parse("{name} forwarded it to another gateway"))
+def check_forwarded(stage: Stage, name: str) -> None:
+    assert stage.forwarded == stage.operation.submissions
--- a/tests/scenarios/test_placement.py
+++ b/tests/scenarios/test_placement.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about memory and reachability."""
+"""Steps of the scenarios on memory and reachability."""
 
 from attrs import define, evolve, field
 from pytest_bdd import given, parsers, scenarios, then, when
@@ -17,7 +17,7 @@
 
 SETTLE_S = 30.0
 DEMAND_PERIOD_S = 1.0
-WATCH_PERIOD_S = 0.1
+MONITOR_PERIOD_S = 0.1
 FAULTS = {
     "lost": "lose",
     "late": "late",
@@ -30,7 +30,7 @@
 
 @define
 class Demand:
-    """Demand of one model, reported by a gateway once a period."""
+    """Demand for one model, reported by a gateway once per period."""
 
     world: World
     model: str
@@ -55,18 +55,18 @@
 
 
 @define
-class Watch:
-    """Notes every moment at which a model has no ready copy of any version."""
+class AvailabilityMonitor:
+    """Records each time at which a model has no ready copy of any version."""
 
     world: World
-    gaps: list[str] = field(factory=list)
+    unavailable: list[str] = field(factory=list)
 
-    def look(self) -> None:
+    def check(self) -> None:
         engines = self.world.engines.values()
         ready = {artifact.model for engine in engines for artifact in engine.ready}
         for model in sorted(set(self.world.configuration.models) - ready):
-            self.gaps.append(f"{model} at {self.world.now:.1f} s")
-        self.world.call_later(WATCH_PERIOD_S, self.look)
+            self.unavailable.append(f"{model} at {self.world.now:.1f} s")
+        self.world.call_later(MONITOR_PERIOD_S, self.check)
 
 
 def find_artifact(world: World, model: str) -> Artifact:
@@ -101,18 +101,18 @@
         world.add_engine(f"r{number}", size_mb=size_mb, checks=manner == "check")
 
 
-@given("a controller in charge", target_fixture="watch")
-def start(world: World) -> Watch:
+@given("an active controller", target_fixture="monitor")
+def start(world: World) -> AvailabilityMonitor:
     world.start()
     world.run(SETTLE_S)
     assert world.list_unmet_floors() == []
-    watch = Watch(world)
-    watch.look()
-    return watch
+    monitor = AvailabilityMonitor(world)
+    monitor.check()
+    return monitor
 
 
 @when("a second controller takes over")
-def take_over(world: World) -> None:
+def add_controller(world: World) -> None:
     world.add_controller()
 
 
@@ -121,8 +121,8 @@
     world.controllers[number].paused = True
 
 
-@when(parsers.parse("controller {number:d} goes on"))
-def go_on(world: World, number: int) -> None:
+@when(parsers.parse("controller {number:d} is resumed"))
+def resume(world: World, number: int) -> None:
     world.resume(world.controllers[number])
 
 
@@ -132,12 +132,12 @@
 
 
 @when(parsers.parse("the next {count:d} orders are {fault}"))
-def disturb_orders(world: World, count: int, fault: str) -> None:
+def break_orders(world: World, count: int, fault: str) -> None:
     world.order_faults.extend([FAULTS[fault]] * count)
 
 
-@when(parsers.parse("the answers of the next {count:d} writes are lost"))
-def lose_answers(world: World, count: int) -> None:
+@when(parsers.parse("the responses to the next {count:d} writes are lost"))
+def lose_responses(world: World, count: int) -> None:
     world.lose_answers = count
 
 
@@ -146,7 +146,7 @@
     world.store_up = state == "up"
 
 
-@when(parsers.parse("runner {number:d} restarts empty"))
+@when(parsers.parse("runner {number:d} restarts without models"))
 def restart(world: World, number: int) -> None:
     find_runner(world, number).restart(world.now)
 
@@ -157,8 +157,8 @@
     world.list_runners()
 
 
-@when(parsers.parse("runner {number:d} is back"))
-def come_back(world: World, number: int) -> None:
+@when(parsers.parse("runner {number:d} no longer leaves"))
+def cancel_leaving(world: World, number: int) -> None:
     find_runner(world, number).leaving = False
     world.list_runners()
 
@@ -177,16 +177,16 @@
     world.run(float(seconds))
 
 
-@then("no runner was ever over its size")
+@then("no runner ever exceeded its memory size")
 def check_memory(world: World) -> None:
     assert [
         engine.overruns for engine in world.engines.values() if engine.overruns
     ] == []
 
 
-@then("every model could be reached all the time")
-def check_reachable(watch: Watch) -> None:
-    assert watch.gaps == []
+@then("every model had a ready copy all the time")
+def check_available(monitor: AvailabilityMonitor) -> None:
+    assert monitor.unavailable == []
 
 
 @then("every model has its floor")
@@ -205,8 +205,8 @@
     assert len(world.list_ready(str(find_artifact(world, model)))) == count
 
 
-@then(parsers.parse("version {version} of model {model} is nowhere"))
-def check_gone(world: World, version: str, model: str) -> None:
+@then(parsers.parse("version {version} of model {model} is not loaded anywhere"))
+def check_not_loaded(world: World, version: str, model: str) -> None:
     assert world.list_ready(f"{model}@{version}") == []
 
 
