--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -70,7 +70,7 @@
     request_id: str
     runner: RunnerEntry
     streaming: bool
-    repeatable: bool
+    retryable: bool
     """Whether the request may be sent again after a connection closed without a
     response, which doesn't prove that it has not run. Otherwise, an idle connection is
     used only if it was in use just before."""
@@ -115,8 +115,8 @@
 
     async def _async_exchange(self) -> AttemptResult:
         now = asyncio.get_running_loop().time
-        connection = self.pool.take(
-            self.runner.address, now(), repeatable=self.repeatable
+        connection = self.pool.acquire(
+            self.runner.address, now(), retryable=self.retryable
         )
         if connection is None:
             connection = await async_connect(self.runner.address, now())
@@ -139,7 +139,7 @@
         except ExchangeFailedError:
             if connection.idle_s is not None:
                 now = asyncio.get_running_loop().time()
-                self.pool.trust.note_broken(connection.idle_s, now)
+                self.pool.idle_limit.record_break(connection.idle_s, now)
             raise
 
     async def _async_read_own_head(self, connection: Connection) -> ResponseHead:
@@ -225,7 +225,7 @@
             return
         if complete:
             now = asyncio.get_running_loop().time()
-            self.pool.put(self.runner.address, connection, now)
+            self.pool.release(self.runner.address, connection, now)
         else:
             connection.close()
 
--- a/tests/stand_ins/engine.py
+++ b/tests/stand_ins/engine.py
@@ -240,7 +240,7 @@
 
     async def _async_apply_failures(self, request: web.Request) -> None:
         """Hang on a silent connection, or exit the process if a switch is due."""
-        await self.async_hang_if_silent(request)
+        await self.async_block_if_silent(request)
         if self.switches.die_after_tokens:
             self.switches.die_after_tokens -= 1
             if not self.switches.die_after_tokens:
--- a/tests/stand_ins/service.py
+++ b/tests/stand_ins/service.py
@@ -78,7 +78,7 @@
         if self._consume_switch("silent_after_run"):
             await asyncio.Event().wait()
         await asyncio.sleep(self.switches.slow_s)
-        await self.async_hang_if_silent(request)
+        await self.async_block_if_silent(request)
         return web.json_response({"call": call, "echo": body, "run": run})
 
     def _run(self, call: str, body: Any, attempt: str) -> int:
--- a/tests/stand_ins/serving.py
+++ b/tests/stand_ins/serving.py
@@ -64,7 +64,7 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def async_hang_if_silent(self, request: web.Request) -> None:
+    async def async_block_if_silent(self, request: web.Request) -> None:
         """Hang if the connection of a request is silent."""
         if request.transport in self._silent_connections:
             await asyncio.Event().wait()
@@ -75,7 +75,7 @@
     ) -> web.StreamResponse:
         assert request.transport is not None
         self._connections.add(request.transport)
-        await self.async_hang_if_silent(request)
+        await self.async_block_if_silent(request)
         return await handler(request)
 
     async def _async_switch(self, request: web.Request) -> web.Response:
