--- a/tests/host_list/test_poller.py
+++ b/tests/host_list/test_poller.py
@@ -100,7 +100,7 @@
     async def test_silent_connection_is_replaced(self, setup: Setup) -> None:
         setup.stand_in.set_groups([RUNNER])
         await setup.poller.async_poll()
-        setup.stand_in._silent |= setup.stand_in._known
+        setup.stand_in._silent_connections |= setup.stand_in._connections
         setup.stand_in.set_groups([LEAVING])
         await setup.poller.async_poll()
         await setup.poller.async_poll()
