--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -1,10 +1,11 @@
 """Crash statements that processes exchange through the store.
 
-An edge writes which requests it had in progress at a runner that crashed, and which
-requests with such charges have succeeded. Each process reads all statements along with
-the other keys of the store, so that they apply with a leader, with a standby and
-without any scheduler. The keys have no lease: a statement stays valid after the edge
-that wrote it has stopped.
+An edge writes a charge for each request that it had in progress at a runner that
+crashed, and a clearance for a charged request that has succeeded. The leader writes
+which requests are blocked. Each process reads all statements along with the other keys
+of the store, so that they apply with a leader, with a standby and without any
+scheduler. The keys have no lease: a statement stays valid after the edge that wrote it
+has stopped.
 """
 
 from collections.abc import Iterable
@@ -48,7 +49,7 @@
 
 @frozen(kw_only=True)
 class ClearanceStatement:
-    """A request has succeeded, so it did not cause some crashes."""
+    """A request has succeeded, so it did not cause the crashes that are listed."""
 
     clearance: Clearance
 
@@ -87,14 +88,14 @@
 def encode_statement(statement: Statement) -> bytes:
     """Encode a statement for the store."""
     if isinstance(statement, ClearanceStatement):
-        return orjson.dumps(sorted(statement.clearance.lives))
+        return orjson.dumps(sorted(statement.clearance.incarnations))
     if isinstance(statement, CrashStatement):
         return orjson.dumps(_encode_charges(statement.charges))
-    lives = sorted({each.life for each in statement.charges})
+    lives = sorted({each.incarnation for each in statement.charges})
     return orjson.dumps(
         {
             life: _encode_charges(
-                each for each in statement.charges if each.life == life
+                each for each in statement.charges if each.incarnation == life
             )
             for life in lives
         }
@@ -117,7 +118,7 @@
             identity = _decode_identity(key.removeprefix(CLEARANCE_KEYS))
             lives = frozenset(str(each) for each in document)
             return ClearanceStatement(
-                clearance=Clearance(identity=identity, lives=lives)
+                clearance=Clearance(identity=identity, incarnations=lives)
             )
         if key.startswith(BLOCK_KEYS):
             charges = tuple(
