--- a/mangoway/policy/limits/cooldowns.py
+++ b/mangoway/policy/limits/cooldowns.py
@@ -124,8 +124,8 @@
             >= max(1.0, min_edges)
         }
 
-    def forget_edge(self, edge: str) -> None:
-        """Drop the cooldowns of an edge that has left."""
+    def remove_edge(self, edge: str) -> None:
+        """Drop the cooldowns of an edge that has disconnected."""
         for cooldowns in self._cooldowns.values():
             cooldowns.pop(edge, None)
 
--- a/mangoway/policy/scheduling/copy_valuation.py
+++ b/mangoway/policy/scheduling/copy_valuation.py
@@ -118,21 +118,21 @@
 
     def get_request_rate(self, model: str) -> float:
         """Return the requests per second that are expected at the end of a load."""
-        known = self._request_rates.get(model)
-        if known is None:
+        cached = self._request_rates.get(model)
+        if cached is None:
             demand, horizon_s = self.state.demand, self._get_horizon_s(model)
-            known = demand.get_request_rate(self.service, model, self.now, horizon_s)
-            self._request_rates[model] = known
-        return known
+            cached = demand.get_request_rate(self.service, model, self.now, horizon_s)
+            self._request_rates[model] = cached
+        return cached
 
     def get_prefill_load(self, model: str) -> float:
         """Return the prefill seconds per second expected at the end of a load."""
-        known = self._prefill_loads.get(model)
-        if known is None:
+        cached = self._prefill_loads.get(model)
+        if cached is None:
             demand, horizon_s = self.state.demand, self._get_horizon_s(model)
-            known = demand.get_prefill_load(self.service, model, self.now, horizon_s)
-            self._prefill_loads[model] = known
-        return known
+            cached = demand.get_prefill_load(self.service, model, self.now, horizon_s)
+            self._prefill_loads[model] = cached
+        return cached
 
     def estimate_loss(self, name: str) -> float:
         """Return the requests per second that are late or lost with one copy less."""
@@ -156,12 +156,12 @@
 
     def count_copies(self, model: str) -> int:
         """Return the number of usable runners that hold a model or are loading it."""
-        known = self._copies.get(model)
-        if known is None:
+        cached = self._copies.get(model)
+        if cached is None:
             holders = self._index.loaded.get(model)
-            known = sum(1 for each in holders if each in self._runner_ids)
-            self._copies[model] = known
-        return known
+            cached = sum(1 for each in holders if each in self._runner_ids)
+            self._copies[model] = cached
+        return cached
 
     def count_waiting(self, model: str) -> int:
         """Return the number of requests that wait for a model."""
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -354,7 +354,7 @@
     core: SchedulingCore, event: EdgeDisconnected, now: float
 ) -> list[Action]:
     state = core.state
-    state.cooldowns.forget_edge(event.edge)
+    state.cooldowns.remove_edge(event.edge)
     for queue in state.queues.values():
         queue.remove_edge(event.edge)
     for key in [each for each in state.charges if each[0] == event.edge]:
--- a/mangoway/policy/scheduling/loads.py
+++ b/mangoway/policy/scheduling/loads.py
@@ -74,10 +74,10 @@
 
     def get(self, model: str) -> float:
         """Return the time at which a model could be ready."""
-        known = self._times.get(model)
-        if known is None:
-            known = self._times[model] = self.now + self._estimate(model)
-        return known
+        cached = self._times.get(model)
+        if cached is None:
+            cached = self._times[model] = self.now + self._estimate(model)
+        return cached
 
     def _estimate(self, model: str) -> float:
         engine = self.state.get_engine(self.service)
--- a/mangoway/policy/scheduling/placement.py
+++ b/mangoway/policy/scheduling/placement.py
@@ -33,7 +33,7 @@
 
     model: str
     waiting: int
-    """Requests that wait for it; 0 if it has a copy."""
+    """Requests that wait for it; 0 if it has a copy or is about to be loaded."""
 
     gain: float
     """Further requests per second that are served in time with one more copy."""
--- a/tests/policy/limits/test_cooldowns.py
+++ b/tests/policy/limits/test_cooldowns.py
@@ -63,7 +63,7 @@
     def test_cooldowns_of_removed_edge_are_dropped(self) -> None:
         tracker = CooldownTracker()
         tracker.update(make_report(3.0), 10.0)
-        tracker.forget_edge("e1")
+        tracker.remove_edge("e1")
         assert measure(tracker, 10.0) == 0.0
 
     def test_long_cooldowns_of_several_edges_are_listed(self) -> None:
--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -1,9 +1,9 @@
 """Simulated engines and demand sampled from a seed, and a baseline scheduler.
 
 Time is virtual. An engine works in steps: each step prefills up to a chunk of waiting
-prompts and produces one token of every stream. The parameters that the
-scheduling core must cope with are sampled: the prefill speed, the overhead of a first
-event, the step time, the chunk size, the slots and the load time.
+prompts and produces one token of every stream. The parameters that the scheduling core
+must cope with are sampled: the prefill speed, the overhead of a first event, the step
+time, the chunk size, the slots and the load time.
 """
 
 import math
