--- a/demo/tally.py
+++ b/demo/tally.py
@@ -43,7 +43,7 @@
         results = self.results[kind]
         endings = Counter(result.ending for result in results)
         durations_ms = [
-            answer.seconds * 1000
+            answer.duration_s * 1000
             for answer in results
             if answer.ending is Ending.ANSWERED
         ]
