--- a/mangoway/coordination/crashes.py
+++ b/mangoway/coordination/crashes.py
@@ -31,7 +31,7 @@
 class CrashStatement:
     """Requests that one edge had in progress at a runner that crashed."""
 
-    life: str
+    incarnation: str
     """The incarnation of the runner, as text."""
 
     edge: str
@@ -40,7 +40,7 @@
     @property
     def key(self) -> str:
         """Return the key, without the prefix of the system's own keys."""
-        return f"{CRASH_KEYS}{self.life}/{self.edge}"
+        return f"{CRASH_KEYS}{self.incarnation}/{self.edge}"
 
     def apply_to(self, tracker: CrashTracker) -> None:
         """Add the statement to a tracker."""
@@ -91,13 +91,13 @@
         return orjson.dumps(sorted(statement.clearance.incarnations))
     if isinstance(statement, CrashStatement):
         return orjson.dumps(_encode_charges(statement.charges))
-    lives = sorted({each.incarnation for each in statement.charges})
+    incarnations = sorted({each.incarnation for each in statement.charges})
     return orjson.dumps(
         {
-            life: _encode_charges(
-                each for each in statement.charges if each.incarnation == life
+            incarnation: _encode_charges(
+                each for each in statement.charges if each.incarnation == incarnation
             )
-            for life in lives
+            for incarnation in incarnations
         }
     )
 
@@ -116,21 +116,21 @@
         document = orjson.loads(value)
         if key.startswith(CLEARANCE_KEYS):
             identity = _decode_identity(key.removeprefix(CLEARANCE_KEYS))
-            lives = frozenset(str(each) for each in document)
+            incarnations = frozenset(str(each) for each in document)
             return ClearanceStatement(
-                clearance=Clearance(identity=identity, incarnations=lives)
+                clearance=Clearance(identity=identity, incarnations=incarnations)
             )
         if key.startswith(BLOCK_KEYS):
             charges = tuple(
-                _decode_charge(row, life)
-                for life, rows in document.items()
+                _decode_charge(row, incarnation)
+                for incarnation, rows in document.items()
                 for row in rows
             )
             content = key.removeprefix(BLOCK_KEYS)
             return BlockStatement(content=content, charges=charges)
-        life, edge = key.removeprefix(CRASH_KEYS).split("/")
-        charges = tuple(_decode_charge(row, life) for row in document)
-        return CrashStatement(life=life, edge=edge, charges=charges)
+        incarnation, edge = key.removeprefix(CRASH_KEYS).split("/")
+        charges = tuple(_decode_charge(row, incarnation) for row in document)
+        return CrashStatement(incarnation=incarnation, edge=edge, charges=charges)
     except (AttributeError, LookupError, TypeError, ValueError) as error:
         raise StatementError(f"cannot decode statement {key}: {error!r}") from error
 
@@ -147,9 +147,12 @@
     return sorted(rows)
 
 
-def _decode_charge(row: Any, life: str) -> Charge:
+def _decode_charge(row: Any, incarnation: str) -> Charge:
     return Charge(
-        _decode_identity(row[0]), life, RunStage(row[1]), variant_only=bool(row[2])
+        _decode_identity(row[0]),
+        incarnation,
+        RunStage(row[1]),
+        variant_only=bool(row[2]),
     )
 
 
--- a/mangoway/edge/crash_filter.py
+++ b/mangoway/edge/crash_filter.py
@@ -92,7 +92,7 @@
         if charges_by_request:
             self._send_statement(
                 CrashStatement(
-                    life=incarnation,
+                    incarnation=incarnation,
                     edge=self.edge,
                     charges=tuple(charges_by_request.values()),
                 )
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -36,13 +36,15 @@
 
 
 def make_crash(
-    life: str, edge: str = "e1", identity: RequestIdentity = CULPRIT
+    incarnation: str, edge: str = "e1", identity: RequestIdentity = CULPRIT
 ) -> CrashStatement:
-    return CrashStatement(life=life, edge=edge, charges=(Charge(identity, life),))
+    return CrashStatement(
+        incarnation=incarnation, edge=edge, charges=(Charge(identity, incarnation),)
+    )
 
 
-def make_clearance(*lives: str) -> ClearanceStatement:
-    clearance = Clearance(identity=CULPRIT, incarnations=frozenset(lives))
+def make_clearance(*incarnations: str) -> ClearanceStatement:
+    clearance = Clearance(identity=CULPRIT, incarnations=frozenset(incarnations))
     return ClearanceStatement(clearance=clearance)
 
 
@@ -239,7 +241,9 @@
             for number in range(12)
         ]
         statement = CrashStatement(
-            life="i-7f3a91c2@1700000000000", edge="e" * 12, charges=tuple(charges)
+            incarnation="i-7f3a91c2@1700000000000",
+            edge="e" * 12,
+            charges=tuple(charges),
         )
         assert len(statement.key + encode_statement(statement).decode()) < 500
 
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -265,7 +265,7 @@
             await async_wait_until(lambda: len(edge.statement_sender.statements) == 1)
             [sent] = edge.statement_sender.statements
             assert isinstance(sent, CrashStatement)
-            assert (sent.life, len(sent.charges)) == ("r1@0", 1)
+            assert (sent.incarnation, len(sent.charges)) == ("r1@0", 1)
 
     async def test_third_crash_is_known_before_a_retry(self) -> None:
         async with RawServer(answer(make_ok())) as other, start_edge() as edge:
