--- a/mangoway/models/artifact.py
+++ b/mangoway/models/artifact.py
@@ -43,7 +43,9 @@
         base, separator, adapter = text.partition(ADAPTER_SEPARATOR)
         model, _, version = base.partition(VERSION_SEPARATOR)
         if not model or not version or (separator and not adapter):
-            raise ValueError(f"not an artifact name: {text!r}")
+            raise ValueError(
+                f"not an artifact name <model>@<version>[+<adapter>]: {text!r}"
+            )
         return cls(
             ModelName(model),
             VersionName(version),
