--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -71,7 +71,7 @@
             other_edge = await self._async_choose(session)
             if other_edge is None:
                 return
-            call = await self.async_call(session, other_edge, kind, like=call)
+            call = await self.async_call(session, other_edge, kind, original=call)
 
     async def async_call(
         self,
@@ -80,7 +80,7 @@
         kind: Kind,
         version: int | None = None,
         crashing: str = "",
-        like: Call | None = None,
+        original: Call | None = None,
     ) -> Call:
         """Send one request and check its response.
 
@@ -90,7 +90,7 @@
             kind: Whether the request may be retried or resumed.
             version: Configuration that added its route; None: the first one.
             crashing: Name of the request if it crashes its runners.
-            like: Earlier call with the same content; None for a new request.
+            original: Earlier call with the same content; None for a new request.
         """
         request_id = f"{next(_request_numbers):08x}"
         call = Call(
@@ -101,8 +101,8 @@
             version=version,
             crashing=crashing,
         )
-        self._choose_fields(call, like)
-        call.key = self._choose_key(call, like)
+        self._choose_fields(call, original)
+        call.key = self._choose_key(call, original)
         path = PATHS[kind] if version is None else f"/added-{version}/x"
         self.records.calls[request_id] = call
         gives_up = self.random.random() < GIVE_UP_SHARE and version is None
@@ -160,10 +160,10 @@
         if "Server-Leaving" in response.headers:
             signals.record_forwarded(signals.leaving, runner_id, call.edge)
 
-    def _choose_fields(self, call: Call, like: Call | None) -> None:
+    def _choose_fields(self, call: Call, original: Call | None) -> None:
         """Choose the model and the prompt of a request."""
-        if like is not None:
-            call.model, call.subject = like.model, like.subject
+        if original is not None:
+            call.model, call.subject = original.model, original.subject
             return
         popular = self.random.random() < 0.8
         call.model = self.random.choice(self.popular_models if popular else self.models)
@@ -173,10 +173,10 @@
         elif self.random.random() < EQUAL_SHARE:
             call.subject = "e"
 
-    def _choose_key(self, call: Call, like: Call | None) -> str:
+    def _choose_key(self, call: Call, original: Call | None) -> str:
         """Choose the API key of a request; a resent request keeps its key."""
-        if like is not None:
-            return like.key
+        if original is not None:
+            return original.key
         customers = self.records.customers
         if call.crashing:
             return customers.get_first_key()
--- a/tests/soak/customers.py
+++ b/tests/soak/customers.py
@@ -10,7 +10,7 @@
 REVOKE_S = 5.0
 """Time after which every host rejects a removed key."""
 
-KNOWN_S = 2.0
+KEY_ACCEPT_S = 2.0
 """Time after which every host accepts a new key."""
 
 INVALID_KEY_SHARE = 0.05
@@ -94,7 +94,7 @@
             for each in self.keys
             if each.removed_at is None
             and each.accepted_at is not None
-            and now - each.accepted_at > KNOWN_S
+            and now - each.accepted_at > KEY_ACCEPT_S
         ]
         return random.choice(known) if known else self.keys[0].text
 
@@ -114,7 +114,7 @@
             late = sent_at > removed_at + REVOKE_S
             return "it ran with a removed key" if ran and late else ""
         accepted_at = found.accepted_at
-        is_old = accepted_at is not None and sent_at - accepted_at > KNOWN_S
+        is_old = accepted_at is not None and sent_at - accepted_at > KEY_ACCEPT_S
         return "its valid key was rejected" if status == 401 and is_old else ""
 
     def find_owner(self, key: str) -> str:
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -31,7 +31,7 @@
 RETRIES_ALLOWED = 3
 """Runs that such a request may still get once it must be blocked."""
 
-KNOWN_S = 3.0
+BLOCK_S = 3.0
 """Time from the third crash within which all processes must block the request."""
 
 
@@ -217,21 +217,21 @@
         identified earlier: then it is the time of its first rejection as blocked.
         """
         crashes = self.crashes.get(crashing, [])[CRASHES_ALLOWED - 1 :]
-        refused = [
+        rejected_at = [
             call.ended_at
             for call in self.calls.values()
             if call.crashing == crashing
             and BLOCKED_TEXT in call.reason
             and call.ended_at
         ]
-        return min([*crashes, *refused], default=None)
+        return min([*crashes, *rejected_at], default=None)
 
     def count_late_runs(self, crashing: str) -> int:
         """Return the runs of a request after all processes had to block it."""
         identified_at = self.find_identified_at(crashing)
         if identified_at is None:
             return 0
-        blocked_from = identified_at + KNOWN_S
+        blocked_from = identified_at + BLOCK_S
         return sum(
             1
             for runs in self.runs.values()
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -41,7 +41,7 @@
 
     @property
     def allowed(self) -> float:
-        """Return the requests that a window may contain."""
+        """Return the number of requests that a window may contain."""
         return LIMIT_FACTOR * self.limit * LIMIT_WINDOW_S + LIMIT_SLACK
 
 
@@ -178,7 +178,7 @@
 
         Args:
             edge: Its address for callers.
-            cut: Whether it keeps running, with the signals that it received.
+            cut: Whether it is only cut off from the store, and keeps its signals.
         """
         disturbance = Disturbance(edge, time.monotonic(), cut=cut)
         self.disturbances.append(disturbance)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -29,8 +29,8 @@
 
 MIN_SERVED_SHARE: Final = 0.5
 MAX_CONCURRENT_FAULTS: Final = 3
-PLANNED_ONE_IN: Final = 3
-"""One seed in so many has planned work only, during which all time bounds hold."""
+PLANNED_DIVISOR: Final = 3
+"""Seeds divisible by this have planned work only, during which all time bounds hold."""
 
 
 CRASHING_DIVISOR: Final = 4
@@ -112,7 +112,7 @@
     """Start faults at random times, some at the same time, and wait for their ends."""
     end = time.monotonic() + fault_s
     running: set[asyncio.Task[None]] = set()
-    names = sorted(PLANNED if world.seed % PLANNED_ONE_IN == 0 else FAULTS)
+    names = sorted(PLANNED if world.seed % PLANNED_DIVISOR == 0 else FAULTS)
     while time.monotonic() < end:
         await asyncio.sleep(world.random.uniform(0.1, 1.2))
         running = {each for each in running if not each.done()}
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -27,7 +27,7 @@
 
 from ..fakes.polling import async_wait_until
 from ..stand_ins.launcher import Launcher
-from .records import CRASHES_ALLOWED, KNOWN_S, RETRIES_ALLOWED, Kind
+from .records import BLOCK_S, CRASHES_ALLOWED, RETRIES_ALLOWED, Kind
 from .world import World
 
 SEED = 27
@@ -100,7 +100,7 @@
             names = [world.send_crashing_requests(kind) for kind in Kind]
             await async_wait_for_crashes(world, names)
             await disturb(world)
-            await asyncio.sleep(KNOWN_S + WATCHED_S)
+            await asyncio.sleep(BLOCK_S + WATCHED_S)
         finally:
             await world.async_stop()
     return world
--- a/tests/soak/test_customers.py
+++ b/tests/soak/test_customers.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from random import Random
 
-from .customers import KNOWN_S, REVOKE_S, UNKNOWN_KEY, Customers, Key
+from .customers import KEY_ACCEPT_S, REVOKE_S, UNKNOWN_KEY, Customers, Key
 
 NOW = 100.0
 
@@ -36,8 +36,8 @@
 
     def test_current_key_is_not_rejected(self) -> None:
         customers, key = make_customers()
-        assert customers.check(key.text, NOW + KNOWN_S, 401, ran=False) == ""
-        assert customers.check(key.text, NOW + KNOWN_S + 0.1, 401, ran=False)
+        assert customers.check(key.text, NOW + KEY_ACCEPT_S, 401, ran=False) == ""
+        assert customers.check(key.text, NOW + KEY_ACCEPT_S + 0.1, 401, ran=False)
 
 
 class TestKeys:
@@ -59,7 +59,7 @@
     def test_new_key_is_used_once_all_hosts_accept_it(self) -> None:
         customers, _ = make_customers()
         for each in customers.keys:
-            each.accepted_at = time.monotonic() - KNOWN_S - 1
+            each.accepted_at = time.monotonic() - KEY_ACCEPT_S - 1
         known = {each.text for each in customers.keys}
         customers.change_key(time.monotonic())
         customers.record_accepted(time.monotonic())
