--- a/mangoway/edge/plain_grant_provider.py
+++ b/mangoway/edge/plain_grant_provider.py
@@ -98,7 +98,7 @@
                     log.RunnerAvoided(
                         runner_id=runner_id,
                         failures=failures,
-                        reason="consecutive failures",
+                        reason="failures in a row",
                     )
                 )
 
