--- a/mangoway/observability/__init__.py
+++ b/mangoway/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Events, metrics and traces."""
+"""Events, metrics, traces, and the journal of decisions."""
--- a/mangoway/observability/event_log.py
+++ b/mangoway/observability/event_log.py
@@ -13,13 +13,12 @@
 
 EventT = TypeVar("EventT", bound=type)
 
-
 LINES_PER_SECOND: Final = 20.0
 LINES_BURST: Final = 200.0
 
 
 class LogLevel(IntEnum):
-    """Severity of an event; a log contains events of its level and above."""
+    """Severity of an event; events below the log's level are not written."""
 
     DEBUG = 10
     INFO = 20
@@ -112,10 +111,10 @@
 
 
 def find_spec(event: object) -> EventSpec:
-    """Return the specification of an event.
+    """Return the specification of an event's class.
 
     Raises:
-        KeyError: If its class is not a registered event.
+        KeyError: If the class is not registered.
     """
     return _specs[type(event)]
 
@@ -123,8 +122,8 @@
 def log_event(event: Any) -> None:
     """Write an event to the log, unless its level is below the log's.
 
-    Each kind of event is limited to `LINES_PER_SECOND` after a burst of
-    `LINES_BURST`. The first line after dropped events has their number in the field
+    The lines of each kind of event are limited to `LINES_PER_SECOND` after a burst of
+    `LINES_BURST`. The first line after dropped events gives their number in the field
     `suppressed`.
     """
     kind = type(event)
@@ -147,10 +146,9 @@
 ) -> Callable[[], None]:
     """Start writing JSON lines to a stream.
 
-    Without a stream, lines are written to standard output without blocking: lines
-    that its reader does not read in time are dropped and counted.
-
-    Every line contains the host and the role of the process.
+    Every line contains the host and the role of the process. Without a stream, lines
+    are written to standard output without blocking: if its reader does not keep up,
+    lines are dropped and counted.
 
     Returns:
         A function that stops writing to the stream.
@@ -170,7 +168,7 @@
 
 
 def _open_output() -> Any:
-    # Imported here, since the module of events imports this one.
+    # Imported here, since `fleet_events` imports this module.
     from .fleet_events import LinesDropped
 
     try:
--- a/mangoway/observability/events.py
+++ b/mangoway/observability/events.py
@@ -1,7 +1,8 @@
-"""All events that the processes log, by number.
+"""Events of gateways and controllers.
 
-Hundreds: 1 process, 2 requests, 3 upstreams, 4 placement, 5 configuration,
-6 members, 7 platform, 8 traces. Numbers are never reused.
+The first digit of a number is the subject: 1 process, 2 requests, 3 upstreams,
+4 placement, 5 configuration, 6 members, 7 platform, 8 traces. Numbers are never
+reused. `fleet_events` and `library_log` define further events.
 """
 
 from ..models.identifiers import (
@@ -37,7 +38,7 @@
 
 @numbered(102, LogLevel.INFO)
 class StopRequested:
-    """A signal requested a stop; requests in progress are finished first."""
+    """A signal requested a stop; requests or orders in progress are finished first."""
 
     signal: str
     in_progress: int
@@ -46,14 +47,14 @@
 
 @numbered(103, LogLevel.INFO)
 class ProcessStopped:
-    """The process ended with no request in progress."""
+    """The process ended with no request or order in progress."""
 
     seconds: float
 
 
 @numbered(104, LogLevel.WARNING)
 class StopForced:
-    """The process ended with requests in progress: second signal or deadline."""
+    """The process ended before its stop was complete: second signal or deadline."""
 
     reason: str
     cut_off: int
@@ -61,7 +62,7 @@
 
 @numbered(105, LogLevel.ERROR)
 class TaskFailed:
-    """A background task ended with an unexpected error; it is restarted."""
+    """A request, an attempt or a background task failed with an unexpected error."""
 
     task: str
     error: str
@@ -104,10 +105,12 @@
 
 @numbered(202, LogLevel.INFO)
 class AttemptRetried:
-    """An attempt failed and the request is retried."""
+    """A request is retried; `code` and `verdict` are those of the failed attempt."""
 
     request_id: RequestId
     upstream_id: UpstreamId
+    """Upstream of the new attempt."""
+
     code: str
     verdict: str
 
@@ -130,7 +133,7 @@
 
 @numbered(205, LogLevel.WARNING)
 class KeyHomeLost:
-    """The home of an idempotency key is gone; it is unknown if the request ran."""
+    """The home of an idempotency key is gone; it is unknown whether the request ran."""
 
     request_id: RequestId
     home: IncarnationId
@@ -183,7 +186,7 @@
 
 @numbered(302, LogLevel.INFO)
 class UpstreamLeaving:
-    """An upstream gets no new work: it, a peer or the host list reports it leaving."""
+    """An upstream is leaving and gets no new work; `source` is who reported it."""
 
     upstream_id: UpstreamId
     source: str
@@ -214,7 +217,7 @@
 
 @numbered(306, LogLevel.WARNING)
 class ReportFailed:
-    """A load report of an upstream could not be read."""
+    """A load report or a description of an engine could not be read."""
 
     upstream_id: UpstreamId
     error: str
@@ -239,7 +242,7 @@
 
 @numbered(402, LogLevel.INFO)
 class OrderSent:
-    """An order was sent to an engine after its memory was reserved."""
+    """An order was sent to an engine; the memory for a load was reserved before."""
 
     order_id: OrderId
     upstream_id: UpstreamId
@@ -259,7 +262,7 @@
 
 @numbered(404, LogLevel.WARNING)
 class OrderLost:
-    """An order was not answered; its memory is reserved until its effect is known."""
+    """An order got no answer; its memory stays reserved until its effect is known."""
 
     order_id: OrderId
     upstream_id: UpstreamId
@@ -283,7 +286,7 @@
 
 @numbered(407, LogLevel.INFO)
 class PlacementExplained:
-    """The reason why an artifact was moved or could not be moved."""
+    """An artifact was moved or could not be moved, for the given reason."""
 
     artifact: str
     upstream_id: str
@@ -322,7 +325,7 @@
 
 @numbered(502, LogLevel.WARNING)
 class ConfigurationFetchFailed:
-    """A newer version is known but could not be fetched from this source."""
+    """The configuration could not be fetched from this source."""
 
     source: str
     error: str
@@ -369,7 +372,7 @@
 
 @numbered(700, LogLevel.WARNING)
 class KeyValueUnavailable:
-    """A call of the key-value service failed on every endpoint."""
+    """All attempts of a call to the key-value service failed."""
 
     call: str
     key: str
@@ -379,7 +382,7 @@
 
 @numbered(701, LogLevel.INFO)
 class KeyValueReconnected:
-    """A silent connection to the key-value service was replaced."""
+    """A connection to the key-value service failed or was silent; it is replaced."""
 
     endpoint: str
     reason: str
@@ -411,7 +414,7 @@
 
 @numbered(705, LogLevel.WARNING)
 class BudgetExhausted:
-    """The client-side rate limit of key-value calls rejected a call."""
+    """A call to the key-value service was rejected by this process's rate limit."""
 
     rank: str
 
--- a/mangoway/observability/fleet_events.py
+++ b/mangoway/observability/fleet_events.py
@@ -1,4 +1,7 @@
-"""Events of edges and schedulers, in the hundreds of `events`, from 50 upwards."""
+"""Events of edges and schedulers.
+
+The first digit of a number is the subject, as in `events`; the last two are 50 or more.
+"""
 
 from .event_log import LogLevel, numbered
 
@@ -32,7 +35,7 @@
 
 @numbered(153, LogLevel.INFO)
 class NodeStopped:
-    """The process ends."""
+    """The process ends; `in_progress` counts the requests that were cut off."""
 
     in_progress: int
     after_s: float
@@ -40,7 +43,7 @@
 
 @numbered(154, LogLevel.INFO)
 class ReloadIgnored:
-    """A reload was requested; flags and variables are only read at the start."""
+    """A signal to reload was ignored: settings are read only at the start."""
 
     signal: str
 
@@ -54,7 +57,7 @@
 
 @numbered(156, LogLevel.ERROR)
 class HandlerFailed:
-    """The handling of a request or message failed unexpectedly."""
+    """A request, a message or a background task failed with an unexpected error."""
 
     error: str
 
@@ -87,11 +90,11 @@
     longest_gap_s: float
     events: int
     objective_s: float
-    """Longest time that counts as on time: to the first event of a stream, or to the
-    complete response otherwise."""
+    """Latency objective: time to the first event of a stream, or to the complete
+    response otherwise. A longer time counts as late."""
 
     gap_objective_s: float
-    """Longest stream pause that counts as on time; 0 if the route has no limit."""
+    """Longest pause of a stream that counts as on time; 0 if the route sets none."""
 
 
 @numbered(251, LogLevel.WARNING)
@@ -140,7 +143,7 @@
 
 @numbered(254, LogLevel.INFO)
 class AttemptFailed:
-    """An attempt at a runner failed; `decision` is the next step."""
+    """An attempt at a runner failed; `decision` says whether a retry follows."""
 
     request_id: str
     identity: str
@@ -163,33 +166,37 @@
 
 @numbered(256, LogLevel.INFO)
 class RepeatSent:
-    """A request that has already reached a runner is retried."""
+    """A request that was already sent to a runner is sent to a runner again."""
 
     request_id: str
     service: str
     runner_id: str
     cause: str
-    """What happened before: the attempt failed, was refused or silent, or its stream
-    broke."""
+    """How the attempt before ended: it failed, was rejected ("refused"), was silent, or
+    its stream broke ("resumed")."""
 
     attempts: int
 
 
 @numbered(257, LogLevel.INFO)
 class RetryBudgetSummed:
-    """State of an edge's share of the retry budget of a service."""
+    """An edge's share of the retry budget of a service, logged after it was used."""
 
     service: str
     requests: int
     repeats: int
     refused: int
-    """Retries not sent for lack of credit; all three are counts since the start."""
+    """Retries not sent for lack of credit.
+
+    The numbers of requests, retries (`repeats`) and these are counts since the start.
+    """
 
     left: float
     """Retries that the edge may send now."""
 
     share: float
-    """Its share of the fleet's fixed allowance; 0 as long as the fleet is unknown."""
+    """Share of the edge in the fleet's allowance, 0 to 1; 0 if it does not know the
+    current members."""
 
 
 # 3xx: runners.
@@ -197,7 +204,7 @@
 
 @numbered(350, LogLevel.INFO)
 class RunnerSeen:
-    """A runner appeared or restarted, or its readiness changed."""
+    """A runner was found or has restarted, or its draining state changed."""
 
     runner_id: str
     service: str
@@ -210,7 +217,7 @@
 
 @numbered(351, LogLevel.INFO)
 class RunnerGone:
-    """A runner is gone."""
+    """A runner was removed from those in use."""
 
     runner_id: str
     reason: str
@@ -234,20 +241,20 @@
 
 @numbered(354, LogLevel.WARNING)
 class RunnerCrashed:
-    """A runner closed its connections and accepts no new ones."""
+    """A runner crashed: connections to it broke, and its host refuses a new one."""
 
     life: str
     """Runner id and start of the incarnation that ended."""
 
     service: str
     requests: tuple[str, ...]
-    """Requests of this edge at the runner: identity, seconds since the request was
-    sent, and seconds since its first event (0 without one)."""
+    """One line per request of this edge at the runner: identity, seconds since it was
+    sent, and seconds that it ran after its first event (0 without one)."""
 
 
 @numbered(355, LogLevel.INFO)
 class RunnerReset:
-    """A runner closed connections but accepts new ones: it has not crashed."""
+    """Connections to a runner broke, but a new one is not refused: it did not crash."""
 
     life: str
     service: str
@@ -256,7 +263,7 @@
 
 @numbered(356, LogLevel.ERROR)
 class CrashingRequestHeld:
-    """A request is blocked at all runners, since each runner that ran it crashed."""
+    """Requests are blocked at all runners, since runners that ran them crashed."""
 
     identities: tuple[str, ...]
     lives: tuple[str, ...]
@@ -269,7 +276,8 @@
 
     runner_id: str
     limit: float | None
-    """Requests per second that it accepts from all hosts together; none: no limit."""
+    """Requests per second that it accepts from all hosts together; null for no
+    limit."""
 
     told_by: str | None
     """The process that reported it; none if this one read it in a response."""
@@ -277,7 +285,7 @@
 
 @numbered(358, LogLevel.WARNING)
 class SignalDropped:
-    """A field of a runner's response is invalid; it counts as missing."""
+    """A signal in a runner's response is invalid and is ignored."""
 
     runner_id: str
     field: str
@@ -306,15 +314,16 @@
 
 @numbered(450, LogLevel.INFO)
 class LeadershipTaken:
-    """This scheduler holds the scheduler's key; its orders wait for its predecessor."""
+    """This scheduler leads: it holds the scheduler's key."""
 
     fence: int
     orders_after_s: float
+    """Time until its first order, since orders of the previous leader may be late."""
 
 
 @numbered(451, LogLevel.WARNING)
 class LeadershipLost:
-    """This scheduler no longer holds the scheduler's key."""
+    """This scheduler no longer leads: it lost the scheduler's key or its lease."""
 
     fence: int
 
@@ -328,7 +337,7 @@
 
 @numbered(461, LogLevel.INFO)
 class QuotasSummed:
-    """The remaining quotas of customers, those with the fewest seconds left first."""
+    """Balances of customers' quotas, those with the fewest seconds left first."""
 
     share: float
     """Share of each quota that this scheduler grants."""
@@ -345,7 +354,7 @@
 
 @numbered(453, LogLevel.INFO)
 class PlacementOrdered:
-    """An order was sent to a runner, with its reason and the state it is based on."""
+    """An order is sent to a runner, for the given reason."""
 
     runner_id: str
     load: bool
@@ -370,7 +379,7 @@
 
 @numbered(455, LogLevel.WARNING)
 class PlacementUnanswered:
-    """A runner did not answer an order; a later report shows if it took effect."""
+    """A runner did not answer an order; a later report shows whether it took effect."""
 
     runner_id: str
     model: str
@@ -380,14 +389,14 @@
 
 @numbered(456, LogLevel.INFO)
 class LinkOpened:
-    """An edge is connected to the scheduler."""
+    """An edge, or a standby scheduler, connected to the scheduler."""
 
     peer: str
 
 
 @numbered(457, LogLevel.WARNING)
 class LinkLost:
-    """The connection between an edge and the scheduler is lost or silent."""
+    """A connection between the scheduler and an edge or a standby is lost or silent."""
 
     peer: str
     reason: str
@@ -395,22 +404,23 @@
 
 @numbered(458, LogLevel.INFO)
 class LocalChoiceBegan:
-    """An edge selects runners itself, since no scheduler answers."""
+    """An edge selects runners itself, since no scheduler responds."""
 
     reason: str
 
 
 @numbered(459, LogLevel.INFO)
 class PlacementSummed:
-    """The state of the leading scheduler: models by work, and runners."""
+    """The leading scheduler's view of a service: models with most load, and runners."""
 
     service: str
     waiting: int
     models: tuple[str, ...]
-    """Model: copies / wanted, requests and prefill seconds per second, waiting."""
+    """One line per model: copies / desired copies, requests per second, prefill
+    seconds per second, waiting requests."""
 
     runners: tuple[str, ...]
-    """Runner: running requests, seconds of prefill backlog, models."""
+    """One line per runner: running requests, prefill backlog in seconds, models."""
 
 
 # 5xx: configuration.
@@ -441,7 +451,7 @@
 
 @numbered(750, LogLevel.WARNING)
 class StoreLost:
-    """The platform's store does not respond; the last known state stays in use."""
+    """The platform's store does not respond; its last known state stays in use."""
 
     reason: str
 
@@ -470,44 +480,44 @@
 
 @numbered(754, LogLevel.INFO)
 class LeaseKept:
-    """The lease could not be ended at the stop; it expires by itself."""
+    """The lease could not be ended at the stop of the process; it will expire."""
 
     reason: str
 
 
 @numbered(755, LogLevel.ERROR)
 class DocumentUnreadable:
-    """A value in the store can't be read; a runner with such an entry isn't used."""
+    """A value in the store is invalid; a runner with such an entry isn't used."""
 
     key: str
     reason: str
     times: int
-    """Unreadable values of this key in a row; logged at 1, 10, 100 and so on."""
+    """Consecutive invalid values of this key; logged at 1, 10, 100 and so on."""
 
 
 @numbered(756, LogLevel.INFO)
 class EdgesRemoved:
-    """Announcements of edges that disconnected from this leader were removed."""
+    """The keys of edges that are not connected to this leader were removed."""
 
     keys: tuple[str, ...]
 
 
 @numbered(757, LogLevel.INFO)
 class EdgesKept:
-    """Announcements of disconnected edges could not be removed; their leases expire."""
+    """The keys of disconnected edges could not be removed; their leases expire."""
 
     reason: str
 
 
 @numbered(758, LogLevel.WARNING)
 class StatementDropped:
-    """A crash statement was dropped: too many wait for the store."""
+    """The oldest crash statement was dropped: too many wait to be written."""
 
     key: str
 
 
 @numbered(759, LogLevel.INFO)
 class StatementsKept:
-    """Old crash statements could not be removed; the removal is retried."""
+    """Crash statements could not be updated in the store; this is retried."""
 
     reason: str
--- a/mangoway/observability/library_log.py
+++ b/mangoway/observability/library_log.py
@@ -1,4 +1,4 @@
-"""Log records of libraries, written as numbered events to the same stream."""
+"""Log records of libraries, written as numbered events to the event log."""
 
 import logging
 from asyncio import CancelledError
--- a/mangoway/observability/losses.py
+++ b/mangoway/observability/losses.py
@@ -14,19 +14,20 @@
 ABANDONED: Final = "RequestAbandoned"
 
 QUEUED_SHARE: Final = 0.5
-"""Share of a late first event's time above which the wait for a runner is the cause."""
+"""If the wait for a runner took more than this share of the time to a late first event,
+the wait is the cause; otherwise the runner was slow."""
 
 
 class Outcome(Enum):
     """Outcome of a request."""
 
-    NONE = "on time"
+    ON_TIME = "on time"
     QUEUED = "late: waited for a runner"
     SLOW = "late: the runner was slow"
     PAUSED = "late: the stream paused"
     REJECTED = "refused"
     FAILED = "failed"
-    ABANDONED = "its caller left"
+    ABANDONED = "the caller disconnected"
 
 
 @define
@@ -61,7 +62,7 @@
 
 
 def classify_line(line: dict[str, Any]) -> Outcome | None:
-    """Return the outcome of a line's request, or None if the line reports no end."""
+    """Return the outcome in a line; None if it does not report the end of a request."""
     kind = line.get("message_type")
     if kind == SERVED:
         return _classify_served(line)
@@ -79,11 +80,11 @@
     gap_objective_s = line["gap_objective_s"]
     if gap_objective_s and line["longest_gap_s"] > gap_objective_s:
         return Outcome.PAUSED
-    return Outcome.NONE
+    return Outcome.ON_TIME
 
 
 def read_lines(lines: Iterable[bytes]) -> Iterator[dict[str, Any]]:
-    """Yield the JSON objects of a log; text before an object in a line is skipped."""
+    """Yield the JSON object of each line that has one; text before it is skipped."""
     for line in lines:
         _, brace, rest = line.partition(b"{")
         try:
--- a/mangoway/observability/metrics.py
+++ b/mangoway/observability/metrics.py
@@ -59,7 +59,11 @@
 
 
 class GaugeFamily:
-    """Gauge with fixed label names."""
+    """Gauge with fixed label names.
+
+    Levels are kept in a plain dictionary and copied to the collector when metrics are
+    rendered.
+    """
 
     def __init__(
         self, registry: Registry, name: str, doc: str, labels: tuple[str, ...] = ()
@@ -108,7 +112,10 @@
 
 
 class Metrics:
-    """All metrics of one process; label values are given in the declared order."""
+    """All metrics of one process.
+
+    Label values are given in the order in which a metric declares its labels.
+    """
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -122,12 +129,12 @@
     def _add_request_metrics(self) -> None:
         self.requests = self._counter(
             "mangoway_requests_total",
-            "Requests answered, by class, outcome (whole, refused, failed) and code.",
+            "Requests that ended, by class, outcome (whole or refused) and error code.",
             ("work_class", "outcome", "code"),
         )
         self.request_seconds = self._histogram(
             "mangoway_request_seconds",
-            "Time from arrival to the whole answer.",
+            "Time from arrival to the complete response.",
             ("work_class",),
         )
         self.first_token_seconds = self._histogram(
@@ -136,27 +143,33 @@
             ("work_class",),
         )
         self.tokens = self._counter(
-            "mangoway_tokens_total", "Tokens passed on to callers.", ("work_class",)
+            "mangoway_tokens_total", "Tokens added to responses.", ("work_class",)
         )
         self.attempts = self._counter(
             "mangoway_attempts_total",
-            "Attempts at upstreams, by kind of upstream and outcome.",
+            "Attempts at upstreams, by kind (engine, service, cancel) and outcome.",
             ("kind", "outcome"),
         )
         self.retries = self._counter(
-            "mangoway_retries_total", "Attempts that followed a failed one.", ("code",)
+            "mangoway_retries_total",
+            "Retries, by error code of the failed attempt.",
+            ("code",),
         )
         self.forwards = self._counter(
-            "mangoway_forwards_total", "Requests handed to a peer.", ("reason",)
+            "mangoway_forwards_total",
+            "Requests forwarded to a peer, by reason.",
+            ("reason",),
         )
         self.queue_length = self._gauge(
-            "mangoway_queue_length", "Requests that wait for an upstream.", ("target",)
+            "mangoway_queue_length",
+            "Requests that wait for an upstream, by target.",
+            ("target",),
         )
         self.in_progress = self._gauge(
-            "mangoway_requests_in_progress", "Requests not yet answered."
+            "mangoway_requests_in_progress", "Requests that have not ended."
         )
         self.key_records = self._gauge(
-            "mangoway_key_records", "Records of idempotency keys that are kept."
+            "mangoway_key_records", "Idempotency key records that are kept."
         )
 
     def _add_upstream_metrics(self) -> None:
@@ -171,28 +184,30 @@
             ("kind", "outcome"),
         )
         self.moves = self._counter(
-            "mangoway_moves_total", "Loads and unloads that took effect.", ("kind",)
+            "mangoway_moves_total",
+            "Loads and unloads that engines accepted.",
+            ("kind",),
         )
         self.memory_committed = self._gauge(
             "mangoway_memory_committed_mb",
-            "Memory that the ledger of a runner commits.",
+            "Memory committed in the ledger of a runner.",
             ("upstream",),
         )
 
     def _add_platform_metrics(self) -> None:
         self.key_value_calls = self._counter(
             "mangoway_key_value_calls_total",
-            "Calls of the key-value service, by call, rank and result.",
+            "Calls to the key-value service, by call, rank and result.",
             ("call", "rank", "result"),
         )
         self.key_value_seconds = self._histogram(
             "mangoway_key_value_seconds",
-            "Time of calls of the key-value service.",
+            "Duration of calls to the key-value service.",
             ("call",),
             BUCKETS_CALL_S,
         )
         self.host_list_age = self._gauge(
-            "mangoway_host_list_age_seconds", "Age of the host list in use."
+            "mangoway_host_list_age_seconds", "Time since the host list was last read."
         )
 
     def _add_process_metrics(self) -> None:
@@ -203,11 +218,12 @@
             "mangoway_members", "Known processes, by role and state.", ("role", "state")
         )
         self.lease_held = self._gauge(
-            "mangoway_lease_held", "1 while this controller plans its cell."
+            "mangoway_lease_held",
+            "1 while this controller holds the lease of its cell, otherwise 0.",
         )
         self.loop_lag_seconds = self._histogram(
             "mangoway_loop_lag_seconds",
-            "Lateness of the event loop.",
+            "Delay of the event loop.",
             (),
             BUCKETS_CALL_S,
         )
@@ -225,52 +241,52 @@
         )
         self.edge_attempts = self._counter(
             "mangoway_edge_attempts_total",
-            "Tries of an edge at runners, by how they ended.",
+            "Attempts of an edge at runners, by outcome.",
             ("outcome",),
         )
         self.edge_repeats = self._counter(
             "mangoway_edge_repeats_total",
-            "Requests that an edge sent to a runner once more, by cause.",
+            "Retries of requests already sent to a runner, by service and cause.",
             ("service", "cause"),
         )
         self.edge_signals = self._counter(
             "mangoway_edge_signals_total",
-            "Answers in which runners said something of themselves, by what it was.",
+            "Signals in responses of runners, by service and signal.",
             ("service", "signal"),
         )
         self.runner_crashes = self._counter(
             "mangoway_edge_runner_crashes_total",
-            "Crashes of runners that an edge saw while it had requests there.",
+            "Crashes of runners that interrupted requests of an edge, by service.",
             ("service",),
         )
         self.crashed_requests = self._counter(
             "mangoway_edge_crashed_requests_total",
-            "Requests of an edge that a crash of their runner broke off.",
+            "Requests of an edge that a crash of their runner interrupted, by service.",
             ("service",),
         )
         self.edge_queue_seconds = self._histogram(
             "mangoway_edge_queue_seconds",
-            "Time for which served requests waited for a runner.",
+            "Time that served requests waited for a runner.",
             ("route",),
         )
         self.edge_first_seconds = self._histogram(
             "mangoway_edge_first_event_seconds",
-            "Time from arrival to the first event, or to the answer.",
+            "Time from arrival to the first event, or to the response if not streamed.",
             ("route",),
         )
         self.edge_request_seconds = self._histogram(
             "mangoway_edge_request_seconds",
-            "Time from arrival to the whole answer.",
+            "Time from arrival to the complete response.",
             ("route",),
         )
         self.store_calls = self._counter(
             "mangoway_store_calls_total",
-            "Calls of the platform's store, by call and status.",
+            "Calls to the platform's store, by call and status.",
             ("call", "status"),
         )
         self.placement_orders = self._counter(
             "mangoway_placement_orders_total",
-            "Orders to runners, by operation and answer.",
+            "Orders to runners, by operation and the answer of the runner.",
             ("operation", "answer"),
         )
 
--- a/mangoway/observability/output.py
+++ b/mangoway/observability/output.py
@@ -1,4 +1,4 @@
-"""Output that never blocks the event loop and drops lines if its reader stalls."""
+"""Output that never blocks the event loop; lines are dropped if its reader stalls."""
 
 import os
 from collections import deque
@@ -10,10 +10,11 @@
 
 
 class BoundedOutput:
-    """Writer of whole lines to a file descriptor that never blocks.
+    """Writes whole lines to a file descriptor without blocking.
 
-    If a pipe is full because its reader is slow or stopped, lines are kept in a bounded
-    buffer; lines that do not fit into it are dropped and counted.
+    If the descriptor is a pipe that is full, because its reader is slow or has stopped,
+    lines are kept in a bounded buffer; lines that do not fit into it are dropped and
+    counted.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -47,7 +48,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good; logging must not end the process.
+                # The reader has closed the pipe; logging must not end the process.
                 self._lines.clear()
                 self._buffered_bytes = 0
                 return
--- a/mangoway/observability/tracing.py
+++ b/mangoway/observability/tracing.py
@@ -1,4 +1,4 @@
-"""Tracing: a span for each hop; ended spans are kept without a thread of their own."""
+"""Tracing: a span for each hop of a request; the last spans are kept in memory."""
 
 from collections import deque
 from collections.abc import Mapping, Sequence
@@ -46,7 +46,7 @@
 
 @frozen(kw_only=True)
 class SpanRecord:
-    """Ended span, as kept for operators."""
+    """Ended span, as operators see it."""
 
     trace_id: str
     span_id: str
@@ -108,7 +108,7 @@
 
 
 class Tracing:
-    """Tracer that starts spans and keeps the last ones in bounded memory."""
+    """Starts spans and keeps the last ended ones, up to a capacity."""
 
     def __init__(
         self,
@@ -192,7 +192,7 @@
 
 
 def make_record(span: ReadableSpan) -> SpanRecord:
-    """Return the record of a span of the library."""
+    """Return the record of an ended span of the OpenTelemetry library."""
     attributes = dict(span.attributes or {})
     hop = str(attributes.pop("hop", ""))
     started_ns = span.start_time or 0
--- a/tests/observability/test_event_log.py
+++ b/tests/observability/test_event_log.py
@@ -41,7 +41,7 @@
 def log() -> Iterator[io.StringIO]:
     stream = io.StringIO()
     stop = start_log(LogLevel.INFO, host="g1", role="gateway", stream=stream)
-    # Remove the messages that were buffered before a log was started.
+    # Remove messages that the library buffered before the log was started.
     stream.truncate(0)
     stream.seek(0)
     yield stream
@@ -67,7 +67,7 @@
 
 
 class TestLogEvent:
-    """Tests of the lines of the log."""
+    """Tests of the lines that events write to the log."""
 
     def test_line_carries_number_fields_and_process(self, log: io.StringIO) -> None:
         log_event(events.ProcessReady(config_version=ConfigVersion(7)))
--- a/tests/observability/test_library_log.py
+++ b/tests/observability/test_library_log.py
@@ -10,11 +10,9 @@
 
 
 class TestEventHandler:
-    """Tests of records of libraries."""
+    """Tests of the event that is written for a record."""
 
-    def test_record_becomes_one_line_unless_it_is_a_cancellation(
-        self,
-    ) -> None:
+    def test_record_becomes_one_line_unless_it_is_a_cancellation(self) -> None:
         stream = io.StringIO()
         stop = start_log(LogLevel.INFO, host="h", role="gateway", stream=stream)
         logger = logging.Logger("some.library")
--- a/tests/observability/test_losses.py
+++ b/tests/observability/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of counting the outcomes of requests from the log."""
+"""Tests of counting the outcomes of requests in the log."""
 
 import orjson
 import pytest
@@ -26,13 +26,13 @@
     """Tests of the outcome that a line reports."""
 
     @pytest.mark.parametrize(
-        ("change", "loss"),
+        ("change", "outcome"),
         [
-            ({}, Outcome.NONE),
+            ({}, Outcome.ON_TIME),
             ({"first_s": 0.5, "queued_s": 0.4}, Outcome.QUEUED),
             ({"first_s": 0.5, "queued_s": 0.1}, Outcome.SLOW),
             ({"longest_gap_s": 0.31}, Outcome.PAUSED),
-            ({"longest_gap_s": 9.0, "gap_objective_s": 0.0}, Outcome.NONE),
+            ({"longest_gap_s": 9.0, "gap_objective_s": 0.0}, Outcome.ON_TIME),
             ({"message_type": "RequestRejected"}, Outcome.REJECTED),
             ({"message_type": "RequestFailed"}, Outcome.FAILED),
             ({"message_type": "RequestAbandoned"}, Outcome.ABANDONED),
@@ -40,20 +40,24 @@
         ],
     )
     def test_line_is_classified(
-        self, change: dict[str, object], loss: Outcome | None
+        self, change: dict[str, object], outcome: Outcome | None
     ) -> None:
-        assert classify_line({**SERVED, **change}) is loss
+        assert classify_line({**SERVED, **change}) is outcome
 
 
 class TestTable:
     """Tests of the output of the command."""
 
     def test_lines_are_counted_by_route_and_reason(self) -> None:
-        refused = {"message_type": "RequestRejected", "route": "chat", "reason": "full"}
+        rejected = {
+            "message_type": "RequestRejected",
+            "route": "chat",
+            "reason": "full",
+        }
         lines = [
             b" 1.2 host-1 " + orjson.dumps(SERVED),
             orjson.dumps(SERVED),
-            orjson.dumps(refused),
+            orjson.dumps(rejected),
             b"no JSON {",
             b"[1]",
         ]
