--- a/mangoway/operators/__init__.py
+++ b/mangoway/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Documents and commands of the operators."""
+"""Configuration documents of the operators: parsing, validation and storage."""
--- a/mangoway/operators/bundle.py
+++ b/mangoway/operators/bundle.py
@@ -23,7 +23,7 @@
 
 
 def digest_text(text: str) -> str:
-    """Return a digest of a document, to detect differing documents."""
+    """Return a digest of a document's text, by which different texts are detected."""
     return xxh3_64_hexdigest(text.encode())
 
 
@@ -37,7 +37,7 @@
 
 @frozen(kw_only=True)
 class ConfigurationBundle:
-    """All documents that a process needs, or that the key-value service stores."""
+    """All documents in the key-value service, or those that one process needs."""
 
     version: ConfigVersion = ConfigVersion(0)
     """Version in force; not lower than that of any part."""
@@ -46,10 +46,10 @@
 
     def list_sites(self) -> tuple[str, ...]:
         """Return the sites that have an overlay, sorted by name."""
-        starts = OVERLAY_PART_PREFIX
+        prefix = OVERLAY_PART_PREFIX
         return tuple(
             sorted(
-                part[len(starts) :] for part in self.parts if part.startswith(starts)
+                part[len(prefix) :] for part in self.parts if part.startswith(prefix)
             )
         )
 
--- a/mangoway/operators/const.py
+++ b/mangoway/operators/const.py
@@ -28,7 +28,8 @@
 """Edits kept in the history; each new edit deletes older entries."""
 
 MAX_DELTA_BYTES: Final = 4096
-"""Maximum size of a stored delta; whole documents are sent instead of a larger one."""
+"""Maximum size of a history record. The delta of a larger record is not stored, and
+processes read whole documents instead."""
 
 MAX_DIFF_LINES: Final = 2000
 """Longest changed region whose lines are matched individually.
@@ -38,19 +39,20 @@
 """
 
 MAX_SETTLE_ATTEMPTS: Final = 5
-"""Maximum commits to determine whether an edit with a lost response was accepted.
+"""Maximum attempts to commit an edit until it is known whether it was accepted.
 
-Also the maximum reads for documents of the same version.
+Also the maximum attempts to read the documents of a site at one version.
 """
 
 SETTLE_FIRST_PAUSE_S: Final = 0.1
-"""Pause before the second commit; it doubles each time."""
+"""Pause before the second commit attempt; it doubles with each further attempt."""
 
 MAX_DELTAS_KEPT: Final = 64
 """Deltas that a process keeps for peers with an older version."""
 
 MAX_DELTAS_READ: Final = 8
-"""Maximum difference in versions for which edits are read, not whole documents."""
+"""Maximum number of newer versions of which a process reads the single edits; if there
+are more, it reads whole documents."""
 
 COMPRESSION_THRESHOLD_BYTES: Final = 400
 """Minimum size of an update that is compressed."""
--- a/mangoway/operators/converter.py
+++ b/mangoway/operators/converter.py
@@ -14,15 +14,15 @@
 
 from ..models.errors import ErrorCode
 
-Path = tuple[str, ...]
+KeyPath = tuple[str, ...]
 
 
 @frozen
 class Fault:
-    """Fault in a document with the path of its key."""
+    """Fault in a document, with the path of the key concerned."""
 
     code: ErrorCode
-    path: Path
+    path: KeyPath
     detail: str
 
     def __str__(self) -> str:
@@ -39,7 +39,7 @@
     return converter
 
 
-def list_faults(error: BaseException, path: Path = ()) -> Iterator[Fault]:
+def list_faults(error: BaseException, path: KeyPath = ()) -> Iterator[Fault]:
     """Yield every fault in a conversion error, which may be nested."""
     if isinstance(error, ClassValidationError):
         noted, rest = error.group_exceptions()
--- a/mangoway/operators/delta.py
+++ b/mangoway/operators/delta.py
@@ -1,4 +1,4 @@
-"""Deltas of documents, so that edits propagate without whole documents."""
+"""Deltas of documents, so that edits spread without sending whole documents."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -82,6 +82,7 @@
 
 
 def _diff_lines(old: list[str], new: list[str], offset: int) -> Iterator[Hunk]:
+    """Yield the changes from old to new lines; `offset` is the number of the first."""
     start = _count_common(old, new)
     rest_old, rest_new = old[start:], new[start:]
     tail = _count_common(rest_old[::-1], rest_new[::-1])
@@ -132,6 +133,9 @@
         for position, line in enumerate(old)
         if old_counts[line] == 1 and line in positions
     ]
+    # Longest increasing subsequence of the new line numbers. Of all sequences of n + 1
+    # anchors so far, tail_lines[n] is the lowest last line number, and tail_indexes[n]
+    # the index of its anchor in `common`.
     tail_lines: list[int] = []
     tail_indexes: list[int] = []
     predecessors: list[int | None] = []
@@ -149,6 +153,7 @@
 
 
 def _count_common(left: list[str], right: list[str]) -> int:
+    """Return the number of equal lines at the start of both lists."""
     count = 0
     for one, other in zip(left, right, strict=False):
         if one != other:
--- a/mangoway/operators/documents.py
+++ b/mangoway/operators/documents.py
@@ -1,4 +1,4 @@
-"""Operators' documents: a base file that all sites share, and an overlay per site."""
+"""Types of the operators' documents: a base file for all sites, an overlay for each."""
 
 from collections.abc import Mapping
 
@@ -24,7 +24,7 @@
 
 @frozen(kw_only=True)
 class BaseDocument:
-    """Offer of all sites, and defaults of the policy of a site."""
+    """What all sites offer, and the default policy of a site."""
 
     models: Mapping[ModelName, ModelOffer] = field(factory=dict)
     """Models with their versions and adapters."""
@@ -36,7 +36,7 @@
     """Callers with weights and limits; other callers are rejected."""
 
     classes: Mapping[WorkClass, ClassOffer] = field(factory=dict)
-    """Targets of the classes of work; a missing class has default targets."""
+    """Targets of the classes of work; a class that is missing has default targets."""
 
     runner_groups: tuple[RunnerGroup, ...] = ()
     """Runners whose memory the floors must fit."""
--- a/mangoway/operators/follower.py
+++ b/mangoway/operators/follower.py
@@ -42,9 +42,10 @@
 
 @define
 class ConfigurationFollower:
-    """Documents of this process's version, and the latest deltas.
+    """Documents of the version that this process has, and the latest deltas.
 
-    The version never decreases. The configuration core decides when to fetch or push.
+    The version never decreases. The configuration core (`policy.configuration`) decides
+    when to fetch or push.
     """
 
     site: str
@@ -77,8 +78,8 @@
         """Fetch `version` or a newer one from the key-value service.
 
         Raises:
-            MangowayError: PLATFORM_UNAVAILABLE, or CONFIG_CONFLICT if edits are
-                accepted faster than they can be read.
+            MangowayError: PLATFORM_UNAVAILABLE; CONFIG_CONFLICT if edits are accepted
+                faster than they can be read; or the error of an invalid document.
         """
         if self.version and version - self.version <= MAX_DELTAS_READ:
             await self._async_fetch_deltas(repository, version)
@@ -89,7 +90,7 @@
     def make_update(self, known: ConfigVersion) -> bytes:
         """Return the update for a peer of the same site that has version `known`.
 
-        It is empty if the peer's version is not older.
+        The update is empty if `known` is not older than this process's version.
         """
         if known >= self.version:
             return b""
@@ -104,9 +105,9 @@
         """Apply an update from a peer; an older update changes nothing.
 
         Raises:
-            MangowayError: CONFIG_CONFLICT if the update does not match the documents,
-                CONFIG_MALFORMED if it cannot be decoded; whole documents must be
-                fetched then.
+            MangowayError: CONFIG_MALFORMED if the update cannot be decoded;
+                CONFIG_CONFLICT if it is for another site, or if its deltas do not match
+                the documents; `known_version` then requests whole documents.
         """
         update = _decode_update(data)
         if update.site != self.site:
@@ -177,7 +178,10 @@
     if kind == COMPRESSED:
         rest = _decompress(rest)
     elif kind != PLAIN:
-        raise MangowayError(ErrorCode.CONFIG_MALFORMED, "unknown kind of update")
+        raise MangowayError(
+            ErrorCode.CONFIG_MALFORMED,
+            "unknown kind of update: expected its first byte to be p or z",
+        )
     return decode_record(rest, ConfigurationUpdate)
 
 
@@ -188,5 +192,7 @@
     except zlib.error as error:
         raise MangowayError(ErrorCode.CONFIG_MALFORMED, str(error)) from error
     if not decompressor.eof:
-        raise MangowayError(ErrorCode.CONFIG_MALFORMED, "update cut off or too long")
+        raise MangowayError(
+            ErrorCode.CONFIG_MALFORMED, "decompressed update is cut off or too long"
+        )
     return plain
--- a/mangoway/operators/merger.py
+++ b/mangoway/operators/merger.py
@@ -47,7 +47,7 @@
     base_file: str = BASE_FILE,
     overlay_file: str = OVERLAY_FILE,
 ) -> Configuration:
-    """Parse and merge a base file and an overlay (an empty text changes nothing).
+    """Parse and merge a base file and an overlay, whose text may be empty.
 
     Raises:
         MangowayError: See `parse_base` and `merge_documents`.
--- a/mangoway/operators/parser.py
+++ b/mangoway/operators/parser.py
@@ -9,7 +9,7 @@
 
 from ..models.errors import ErrorCode, MangowayError
 from .const import BASE_FILE, MAX_DOCUMENT_BYTES, NAME_PATTERN, OVERLAY_FILE
-from .converter import Fault, Path, list_faults, make_converter
+from .converter import Fault, KeyPath, list_faults, make_converter
 from .documents import BaseDocument, OverlayDocument
 from .ranges import RANGES
 
@@ -55,7 +55,7 @@
 
 
 def make_error(file: str, faults: tuple[Fault, ...]) -> MangowayError:
-    """Return an error that names a file and all its faults.
+    """Return the error for a file, with all faults found in it.
 
     If a key is unknown, its error code takes precedence, since an unknown key hides
     other faults.
@@ -79,16 +79,23 @@
         raise MangowayError(ErrorCode.CONFIG_MALFORMED, f"{file}: {error}") from None
 
 
-def _check_table(table: dict[str, Any], path: Path) -> Iterator[Fault]:
+def _check_table(table: dict[str, Any], path: KeyPath) -> Iterator[Fault]:
+    # Tables and names alternate in a path: in `models.versions`, `versions` is the name
+    # of a model.
     has_free_names = bool(path) and path[-1] in NAME_TABLES and len(path) % 2 == 1
     for key, value in table.items():
         inner = (*path, key)
         if has_free_names and not fullmatch(NAME_PATTERN, key):
-            yield Fault(ErrorCode.CONFIG_INVALID, inner, "not a valid name")
+            yield Fault(
+                ErrorCode.CONFIG_INVALID,
+                inner,
+                "not a valid name: expected up to 100 letters, digits, dots, dashes "
+                "and underscores, the first a letter or digit",
+            )
         yield from _check_value(value, inner)
 
 
-def _check_value(value: Any, path: Path) -> Iterator[Fault]:
+def _check_value(value: Any, path: KeyPath) -> Iterator[Fault]:
     if isinstance(value, dict):
         yield from _check_table(value, path)
     elif isinstance(value, list):
@@ -98,7 +105,7 @@
         yield from _check_number(value, path)
 
 
-def _check_number(value: float, path: Path) -> Iterator[Fault]:
+def _check_number(value: float, path: KeyPath) -> Iterator[Fault]:
     allowed = RANGES.get(path[-1])
     if allowed is None or allowed.lowest <= value <= allowed.highest:
         return
--- a/mangoway/operators/records.py
+++ b/mangoway/operators/records.py
@@ -24,7 +24,7 @@
 
     version: ConfigVersion = ConfigVersion(0)
     nonce: str = ""
-    """Nonce of the edit that made the version."""
+    """Nonce of the edit that created the version."""
 
     parts: Mapping[PartName, ConfigVersion] = field(factory=dict)
     """Version that last changed each part."""
@@ -38,7 +38,7 @@
     nonce: str
     author: str
     edited_at: float
-    """Wall-clock seconds since 1970 UTC."""
+    """Wall-clock time in seconds since the epoch."""
 
     part: PartName
     delta: ConfigurationDelta | None = None
@@ -46,18 +46,18 @@
 
 
 def encode_record(record: object) -> bytes:
-    """Return the encoded record or bundle."""
+    """Return a record or an update as JSON."""
     return _CONVERTER.dumps(record)
 
 
 def decode_record(value: bytes, kind: type[RecordT]) -> RecordT:
-    """Return the decoded record.
+    """Return the record or update of a type from JSON.
 
     Raises:
-        MangowayError: CONFIG_MALFORMED if the bytes are no record of this kind.
+        MangowayError: CONFIG_MALFORMED if the bytes encode no object of this type.
     """
     try:
         return _CONVERTER.loads(value, kind)
     except (BaseValidationError, JSONDecodeError, KeyError, TypeError) as error:
-        detail = f"stored value is no {kind.__name__}: {error}"
+        detail = f"not a valid {kind.__name__}: {error}"
         raise MangowayError(ErrorCode.CONFIG_MALFORMED, detail) from error
--- a/mangoway/operators/repository.py
+++ b/mangoway/operators/repository.py
@@ -33,7 +33,7 @@
 
 ABSENT = Revision(0)
 VERSION_DIGITS = 12
-"""Fixed number of digits of the version in a history key, so that keys sort."""
+"""Fixed number of digits of the version in a history key, so that keys sort by it."""
 
 
 @frozen(kw_only=True)
@@ -46,10 +46,10 @@
     """Unique for each edit; a retry of the edit has the same nonce."""
 
     edited_at: float
-    """Wall-clock seconds since 1970 UTC."""
+    """Wall-clock time in seconds since the epoch."""
 
     based_on: ConfigVersion | None = None
-    """Version that the operator edited; None to skip the conflict check."""
+    """Version whose text the operator edited; None to skip the check for conflicts."""
 
 
 @frozen(kw_only=True)
@@ -70,7 +70,7 @@
 
 @define
 class ConfigurationRepository:
-    """Reader and editor of the configuration; one instance per process."""
+    """Reads and edits the configuration in the key-value service."""
 
     _store: KeyValueStore
     _validate: Validate = field(default=validate_bundle, kw_only=True)
@@ -154,6 +154,11 @@
     async def _async_check_accepted(
         self, record: HistoryRecord, result: TransactionResult
     ) -> None:
+        """Return if an earlier attempt to commit succeeded, whose response was lost.
+
+        Raises:
+            MangowayError: CONFIG_CONFLICT if another edit was accepted instead.
+        """
         head = _decode_head(result.current[0])
         if head.nonce == record.nonce:
             return
@@ -256,11 +261,11 @@
         (f"{CONFIG_PREFIX}{record.part}", encode_record(bundle.parts[record.part])),
         (name_history_key(record.version), encode_record(record)),
     ]
-    last_kept = record.version - MAX_HISTORY_ENTRIES
+    last_removed = record.version - MAX_HISTORY_ENTRIES
     writes += [
         (name_history_key(old.version), None)
         for old in snapshot.history
-        if old.version <= last_kept
+        if old.version <= last_removed
     ]
     return tuple(
         Put(key=key, value=value, expected=snapshot.revisions.get(key, ABSENT))
--- a/mangoway/operators/rollout.py
+++ b/mangoway/operators/rollout.py
@@ -37,7 +37,7 @@
 
 
 def describe_lagging(hosts: Iterable[HostVersion]) -> str:
-    """Return a line with the processes and their versions."""
+    """Return a text that names the processes and their versions."""
     return ", ".join(
         f"{host.process} "
         + ("gave no answer" if host.version is None else f"has {host.version}")
@@ -62,7 +62,7 @@
             return len(hosts)
         if asyncio.get_running_loop().time() >= deadline:
             who = describe_lagging(lagging) or "no live process is known"
-            detail = f"version {version} after {timeout_s:g} s: {who}"
+            detail = f"version {version} not in force after {timeout_s:g} s: {who}"
             raise MangowayError(
                 ErrorCode.CONFIG_NOT_IN_FORCE, detail, retry_after=timeout_s
             )
--- a/mangoway/operators/sections.py
+++ b/mangoway/operators/sections.py
@@ -47,7 +47,8 @@
         try:
             return self._parse_sections(text)
         except (NotSeparable, MangowayError):
-            # An error in a section has a wrong line number, or may be no error at all.
+            # The line number of an error in a section is wrong, and the text as a whole
+            # may be valid.
             return parse_base(text, file)
 
     def _parse_sections(self, text: str) -> BaseDocument:
@@ -62,7 +63,8 @@
     """Return the sections of a base file; a section has all tables of an entry.
 
     Raises:
-        NotSeparable: If a key precedes all tables, or a string spans several lines.
+        NotSeparable: If a key precedes all tables, a string may span several lines, or
+            a table header does not start with a bare key.
     """
     if any(mark in text for mark in MULTILINE_MARKS):
         raise NotSeparable
@@ -78,6 +80,7 @@
 
 
 def _read_header(text: str, start: int) -> tuple[str, str | None]:
+    """Return the first two keys of the table header at a position."""
     match = HEADER.match(text, start)
     if match is None:
         raise NotSeparable
@@ -103,6 +106,7 @@
 
 
 def _merge_disjoint(tables: Iterator[Mapping[NameT, OfferT]]) -> dict[NameT, OfferT]:
+    """Return the entries of all tables, of which no two may have the same name."""
     merged: dict[NameT, OfferT] = {}
     for table in tables:
         size = len(merged) + len(table)
--- a/mangoway/operators/validator.py
+++ b/mangoway/operators/validator.py
@@ -11,10 +11,10 @@
 Check = Callable[[Configuration], Iterator[Fault]]
 
 CHECKS: list[Check] = []
-"""Registered checks, in execution order."""
+"""Registered checks, in the order in which they run."""
 
 NO_SITE = ""
-"""Name of a site without an overlay."""
+"""Stands for a site without an overlay."""
 
 
 def register_check(check: Check) -> Check:
--- a/tests/operators/__init__.py
+++ b/tests/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the operators' documents."""
+"""Tests of the package operators."""
--- a/tests/operators/conftest.py
+++ b/tests/operators/conftest.py
@@ -1,4 +1,4 @@
-"""Documents and fixtures for the tests of the operators' package."""
+"""Documents and fixtures for the tests of the package operators."""
 
 import pytest
 
--- a/tests/operators/test_delta.py
+++ b/tests/operators/test_delta.py
@@ -1,4 +1,4 @@
-"""Tests that deltas transform one text into another and are short."""
+"""Tests that deltas turn one text into another and are short."""
 
 import pytest
 from hypothesis import given
@@ -23,6 +23,7 @@
 
 
 def write_base(models: int, **floors: int) -> str:
+    """Return a base file of models m0, m1 and so on; a floor that is not given is 1."""
     tables = [
         f"[models.m{number}]\nmemory_mb = 10\nfloor = {floors.get(f'm{number}', 1)}\n"
         for number in range(models)
--- a/tests/operators/test_follower.py
+++ b/tests/operators/test_follower.py
@@ -19,7 +19,7 @@
 
 
 class TestDelta:
-    """Tests that deltas transform one text into the next or are rejected."""
+    """Tests that a delta gives the next version of a text or is rejected."""
 
     @given(old=LINES, new=LINES)
     def test_delta_gives_the_new_text(self, old: str, new: str) -> None:
--- a/tests/operators/test_parser.py
+++ b/tests/operators/test_parser.py
@@ -20,6 +20,7 @@
 
 
 def read_type(kind: object) -> str:
+    """Return the text of a field's type."""
     return kind.__name__ if isinstance(kind, type) else str(kind)
 
 
@@ -78,7 +79,7 @@
 
 
 class TestMerger:
-    """Tests of the changes by an overlay."""
+    """Tests of what an overlay changes, and of the example files."""
 
     def test_overlay_overrides_only_what_it_names(self) -> None:
         base = MODEL + "memory_mb = 5\n[callers.desk]\nweight = 2\nburst = 9\n"
--- a/tests/operators/test_rollout.py
+++ b/tests/operators/test_rollout.py
@@ -10,7 +10,7 @@
 
 
 class Hosts:
-    """Hosts, of which the last one gets the version after a number of reads."""
+    """Two hosts, of which the second gets version 5 only after a number of reads."""
 
     def __init__(self, reads: int, version: int | None) -> None:
         self.reads = reads
@@ -18,11 +18,12 @@
 
     async def async_read(self) -> tuple[HostVersion, ...]:
         self.reads -= 1
-        late = 5 if self.reads < 0 else self.version
+        second = 5 if self.reads < 0 else self.version
         return (
             HostVersion(process="a", version=ConfigVersion(6)),
             HostVersion(
-                process="b", version=None if late is None else ConfigVersion(late)
+                process="b",
+                version=None if second is None else ConfigVersion(second),
             ),
         )
 
--- a/tests/operators/test_sections.py
+++ b/tests/operators/test_sections.py
@@ -1,4 +1,4 @@
-"""Tests that parsing in sections has the result of parsing as a whole."""
+"""Tests that parsing by sections gives the same result as parsing as a whole."""
 
 from pathlib import Path
 
@@ -39,7 +39,7 @@
 
 
 class TestSectionParser:
-    """Tests of sequences of texts, parsed with the sections of the previous text."""
+    """Tests of successive texts of a file; only changed sections are parsed."""
 
     @given(
         texts=st.lists(
