--- a/mangoway/settings/fleet.py
+++ b/mangoway/settings/fleet.py
@@ -48,8 +48,8 @@
     )
     quota_slack: float = setting(
         parse_optional(float_between(0, 1e12), DEFAULT_QUOTA_SLACK),
-        "Amount that the fleet may temporarily grant a customer beyond its quota, "
-        "in the quota's unit.",
+        "Amount by which the fleet may temporarily exceed a customer's quota, in the "
+        "quota's unit.",
         DEFAULT_QUOTA_SLACK,
     )
     grace_s: float = setting(
@@ -65,17 +65,18 @@
 
     retry_ratio: float = setting(
         float_between(0, 10),
-        "Retries that the whole fleet may send for each request to a service.",
+        "Retries that the fleet may send per request to a service.",
         DEFAULT_RETRY_RATIO,
     )
     retry_slack: float = setting(
         float_between(0, 100_000),
-        "Retries that the fleet may send to a service in a window beyond that ratio.",
+        "Retries that the fleet may send to a service in each window in addition to "
+        "--retry-ratio.",
         DEFAULT_RETRY_SLACK,
     )
     retry_window_s: float = setting(
         float_between(0.1, 3600),
-        "Seconds of the window in which retries are counted.",
+        "Length of the window of --retry-slack in seconds.",
         DEFAULT_RETRY_WINDOW_S,
     )
     revoke_ms: float = setting(
@@ -85,8 +86,8 @@
     )
     revoke_closed: bool = setting(
         parse_optional(parse_flag, True),
-        "Whether a host that can't know if keys are still valid refuses requests that "
-        "need one.",
+        "Whether a host that can't know if keys are still valid rejects requests that "
+        "need a key.",
         True,
     )
 
@@ -106,15 +107,18 @@
     """Settings of a scheduler."""
 
     peer_listen: str = setting(
-        parse_address, "IP address and port to listen on for edges."
+        parse_address,
+        "IP address and port to listen on for edges and other schedulers.",
     )
     runners_check_fences: bool = setting(
         parse_flag,
-        "Whether all runners refuse orders with a lower fence number.",
+        "Whether all runners reject an order with a lower fence number than an earlier "
+        "order had.",
         False,
     )
     order_delay_s: float = setting(
         float_between(0, 3600),
-        "Seconds after a change of the leading scheduler in which it sends no orders.",
+        "Seconds for which a new leading scheduler sends no orders; not used with "
+        "--runners-check-fences.",
         DEFAULT_ORDER_DELAY_S,
     )
--- a/mangoway/settings/options.py
+++ b/mangoway/settings/options.py
@@ -1,7 +1,7 @@
-"""Settings as fields of attrs classes.
+"""Definition of settings as fields of attrs classes.
 
-The flag, environment variable, default, help and validation of a setting are derived
-from its field.
+The flag, environment variable, default, help text and validation of a setting are
+derived from its field.
 """
 
 import inspect
@@ -54,7 +54,12 @@
     flags: Mapping[str, str | None],
     environment: Mapping[str, str] | None = None,
 ) -> SettingsT:
-    """Create settings from flags, or from the environment if a flag is missing.
+    """Create settings from flags, or from the environment where a flag is not given.
+
+    Args:
+        cls: Class of the settings.
+        flags: Text of each flag by the name of its field; None if it is not given.
+        environment: Environment variables; those of the process by default.
 
     Raises:
         SettingError: If a setting is missing or invalid; it names the setting.
--- a/mangoway/settings/parsers.py
+++ b/mangoway/settings/parsers.py
@@ -28,7 +28,7 @@
     """Parse `ip:port` (IPv6 as `[ip]:port`) and return it in canonical form."""
     host, found, port = text.rpartition(":")
     if not found:
-        raise ValueError("expected IP number and port, a.b.c.d:port")
+        raise ValueError("expected IP number and port, such as 10.0.0.1:80 or [::1]:80")
     bare = host.removeprefix("[").removesuffix("]")
     try:
         ip = ipaddress.ip_address(bare)
@@ -47,7 +47,7 @@
 
 
 def parse_optional_addresses(text: str) -> tuple[str, ...]:
-    """Parse a comma-separated list of addresses that may be empty."""
+    """Parse a comma-separated list of addresses, or an empty text."""
     return parse_addresses(text) if text.strip() else ()
 
 
@@ -59,7 +59,9 @@
     try:
         ipaddress.ip_address(parts.hostname or "")
     except ValueError:
-        raise ValueError("expected an http:// URL with an IP number") from None
+        raise ValueError(
+            "expected an http:// URL with an IP number as its host"
+        ) from None
     # Accessing the port validates it: the library raises ValueError if out of range.
     _ = parts.port
     return text
@@ -76,7 +78,7 @@
 
 
 def parse_optional(parse: Callable[[str], Any], default: Any) -> Callable[[str], Any]:
-    """Return a parser that returns the default for a text that is empty."""
+    """Return a parser that returns the default for an empty text."""
 
     def parse_or_default(text: str) -> Any:
         return parse(text) if text.strip() else default
--- a/mangoway/settings/process.py
+++ b/mangoway/settings/process.py
@@ -30,7 +30,7 @@
 
 @frozen(kw_only=True)
 class KeyValueSettings:
-    """Access to the key-value service, for processes and operators' commands."""
+    """Settings of the key-value service, for processes and operators' commands."""
 
     key_value: tuple[str, ...] = setting(
         parse_addresses, "Addresses of the key-value service, separated by commas."
@@ -45,7 +45,7 @@
     )
     key_value_timeout_s: float = setting(
         float_between(0.01, 60),
-        "Timeout in seconds of one attempt of a key-value call.",
+        "Timeout in seconds of one attempt of a call to the key-value service.",
         DEFAULT_KEY_VALUE_TIMEOUT_S,
     )
 
@@ -137,9 +137,16 @@
 def _fill_address(
     settings: ProcessSettings, listen: str, advertised: str, flag: str
 ) -> None:
+    """Set an advertised address that is not given to the listen address.
+
+    Raises:
+        SettingError: If the process listens on all addresses of its host.
+    """
     if getattr(settings, advertised):
         return
     address: str = getattr(settings, listen)
     if address.rpartition(":")[0] in UNSPECIFIED_HOSTS:
-        raise SettingError(flag, f"must be given, since {address} is no single address")
+        raise SettingError(
+            flag, f"must be given, since {address} is not the address of one host"
+        )
     object.__setattr__(settings, advertised, address)
--- a/tests/settings/test_process.py
+++ b/tests/settings/test_process.py
@@ -47,7 +47,7 @@
 
 
 class TestGatewaySettings:
-    """Tests of parsing and validation."""
+    """Tests of parsing and validation of the flags and variables."""
 
     def test_good_settings(self) -> None:
         settings = parse_settings(GatewaySettings, GOOD, {})
