--- a/mangoway/cli/application.py
+++ b/mangoway/cli/application.py
@@ -17,7 +17,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> NoReturn:
-    """Run a command and exit: 0 success, 1 failure, 2 bad flag or setting."""
+    """Run a command and exit: 0 success, 1 failure, 2 bad flag or setting.
+
+    Commands may return other exit codes.
+    """
     command_line = list(sys.argv[1:] if arguments is None else arguments)
     app = _make_app(command_line)
     try:
@@ -29,7 +32,7 @@
     except MangowayError as error:
         _exit(EXIT_FAILED, str(error))
     except OSError as error:
-        # For example, a listen address that is in use or not one of this host.
+        # For example, an address to listen on is in use or is not one of this host.
         _exit(EXIT_FAILED, error.strerror or str(error))
     except (typer.Abort, KeyboardInterrupt):
         _exit(EXIT_FAILED, "aborted")
--- a/mangoway/cli/commands.py
+++ b/mangoway/cli/commands.py
@@ -16,7 +16,7 @@
     "losses",
     "config",
 )
-"""Modules of this package that contain a command; both have the same name."""
+"""Modules of this package, each of which has the name of the command it registers."""
 
 _registrations: dict[str, Callable[[typer.Typer], object]] = {}
 
--- a/mangoway/cli/config.py
+++ b/mangoway/cli/config.py
@@ -80,7 +80,9 @@
     based_on: Annotated[
         int | None, typer.Option(help="Version that the edit is based on.")
     ] = None,
-    nonce: Annotated[str, typer.Option(help="Nonce of the edit that is retried.")] = "",
+    nonce: Annotated[
+        str, typer.Option(help="Nonce of an earlier attempt, to retry it.")
+    ] = "",
     wait: Annotated[
         bool, typer.Option("--wait", help="Wait until it is in force everywhere.")
     ] = False,
@@ -133,12 +135,14 @@
 
 @group.command()
 def status(key_value: KeyValueOption = None, peers: PeersOption = None) -> None:
-    """Show how many processes have the latest version in force, and which lag."""
+    """Show in how many processes the latest version is in force, and which lag."""
     inquiry = parse_settings(InquirySettings, {"peers": peers})
     head = _run(key_value, lambda repo: repo.async_read_head())
     hosts = _exit_on_error(lambda: asyncio.run(_async_read_versions(inquiry)))
     lagging = list_lagging(hosts, head.version)
-    typer.echo(f"version {head.version}: in force in {len(hosts) - len(lagging)}")
+    typer.echo(
+        f"version {head.version}: in force in {len(hosts) - len(lagging)} processes"
+    )
     if lagging:
         typer.echo(f"lagging: {describe_lagging(lagging)}")
         raise typer.Exit(EXIT_CODES[ErrorCode.CONFIG_NOT_IN_FORCE])
--- a/mangoway/cli/explain.py
+++ b/mangoway/cli/explain.py
@@ -19,7 +19,11 @@
 def format_entries(entries: Iterable[pb.ExplainEntry]) -> str:
     """Return one line for each entry, oldest first."""
     lines = [_format_entry(entry) for entry in entries]
-    return "\n".join(lines) + "\n" if lines else "Nothing is known about it any more.\n"
+    return (
+        "\n".join(lines) + "\n"
+        if lines
+        else "Nothing is known about it; old entries are not kept.\n"
+    )
 
 
 def _format_entry(entry: pb.ExplainEntry) -> str:
@@ -32,7 +36,7 @@
     kind: Annotated[
         str, typer.Argument(help="request, model, runner, version or trace.")
     ],
-    identifier: Annotated[str, typer.Argument(help="Its identifier.")],
+    identifier: Annotated[str, typer.Argument(help="Identifier of that kind.")],
     peers: Annotated[
         str | None,
         typer.Option(
@@ -41,18 +45,18 @@
         ),
     ] = None,
 ) -> None:
-    """Show the decisions on a request, model, runner or version with their reasons.
+    """Show the decisions on a request, model, runner or version and their reasons.
 
     For a trace, show its spans.
     """
     settings = parse_settings(InquirySettings, {"peers": peers})
-    _check_question(kind, identifier)
+    _check_query(kind, identifier)
     request = pb.ExplainRequest(kind=kind, id=identifier)
     entries = asyncio.run(async_explain(settings.peers, request))
     typer.echo(format_entries(entries), nl=False)
 
 
-def _check_question(kind: str, identifier: str) -> None:
+def _check_query(kind: str, identifier: str) -> None:
     if kind == KIND_TRACE:
         return
     try:
--- a/mangoway/cli/imports.py
+++ b/mangoway/cli/imports.py
@@ -1,4 +1,4 @@
-"""Prevention of imports that a process does not need."""
+"""Avoids an import that a process does not need."""
 
 import sys
 from typing import Any
--- a/mangoway/cli/inquiry.py
+++ b/mangoway/cli/inquiry.py
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True)
 class FleetStatus:
-    """Combined status of the processes of a cell."""
+    """Status of all processes that could be queried."""
 
     replies: tuple[pb.StatusReply, ...]
     unreachable: tuple[str, ...]
@@ -45,12 +45,12 @@
 
     @property
     def planner(self) -> pb.StatusReply | None:
-        """Return the status of the controller that plans, or None if none does."""
+        """Return the status of the controller that plans its cell; None without one."""
         return next((reply for reply in self.replies if reply.active), None)
 
     @property
     def queues(self) -> tuple[pb.QueueStatus, ...]:
-        """Return the queues of all gateways, summed by target."""
+        """Return the queue lengths by target, summed over all gateways."""
         sums: dict[str, pb.QueueStatus] = {}
         for queue in (queue for reply in self.replies for queue in reply.queues):
             entry = sums.setdefault(queue.target, pb.QueueStatus(target=queue.target))
@@ -129,5 +129,5 @@
             return await clients.get(peer).async_read_status()
         except MangowayError as error:
             failures.append(error.failure.detail)
-    detail = "; ".join(failures) or "no peer was named"
+    detail = "; ".join(failures) or "no peer address was given"
     raise MangowayError(ErrorCode.PEER_UNREACHABLE, detail)
--- a/mangoway/cli/losses.py
+++ b/mangoway/cli/losses.py
@@ -10,7 +10,7 @@
 
 
 def format_losses(outcomes: OutcomeCounts) -> str:
-    """Return a table of outcomes for each route."""
+    """Return a table of the outcomes of requests for each route."""
     tables = []
     for route, total in outcomes.list_routes():
         rows = [
@@ -28,7 +28,7 @@
         typer.Argument(help="File with the log lines of edges; - is standard input."),
     ],
 ) -> None:
-    """Show by route why requests were not served on time, from the edges' logs."""
+    """Show by route how many requests were not served on time, and why."""
     outcomes = OutcomeCounts()
     for line in read_lines(log):
         outcomes.add(line)
--- a/tests/cli/test_application.py
+++ b/tests/cli/test_application.py
@@ -101,10 +101,10 @@
 
 
 class TestFootprint:
-    """Tests of modules that a controller must not load, to save memory for engines."""
+    """Tests that a controller loads few modules, which saves memory for engines."""
 
     def test_controller_loads_no_unused_modules(self) -> None:
-        """The unknown adapter stops it after all modules of a start are loaded."""
+        """The unknown key-value adapter stops it once all modules are loaded."""
         command = ["controller", *GOOD[:-1], "--key-value-kind=none"]
         code = (
             "import sys\n"
