--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -52,7 +52,7 @@
         print(f"{time.monotonic() - self._start:6.1f} s  {text}", flush=True)
 
     async def async_run(self) -> list[Check]:
-        """Start all processes, send traffic during the failures, and run the checks."""
+        """Start all processes, inject failures into the traffic, and run the checks."""
         await self._async_start()
         artifacts = read_artifacts(BASE_FILE, OVERLAY_FILE)
         await self._async_wait_loaded(artifacts)
--- a/demo/offer.py
+++ b/demo/offer.py
@@ -1,4 +1,4 @@
-"""Artifacts of the demo's configuration files."""
+"""Artifacts in the demo's configuration files."""
 
 from pathlib import Path
 
--- a/demo/tally.py
+++ b/demo/tally.py
@@ -14,9 +14,11 @@
 
 @define
 class Tally:
-    """Results by kind of request, and by identifier for non-idempotent calls."""
+    """Results of the requests that were sent."""
 
     results: dict[str, list[Result]] = field(factory=dict)
+    """Results by kind of request."""
+
     non_idempotent: dict[str, Result] = field(factory=dict)
     """Results of calls that may run at most once, by call name and body identifier."""
 
@@ -25,7 +27,7 @@
         self.results.setdefault(kind, []).append(result)
 
     def count(self, ending: Ending) -> int:
-        """Return the number of requests with an ending."""
+        """Return the number of requests that ended as given."""
         all_results = (
             result for results in self.results.values() for result in results
         )
@@ -47,6 +49,7 @@
             for answer in results
             if answer.ending is Ending.ANSWERED
         ]
+        # The 19 cut points are the 5th to the 95th percentile, in steps of 5.
         cut_points = (
             quantiles(durations_ms, n=20) if len(durations_ms) > 1 else [0.0] * 19
         )
@@ -91,7 +94,7 @@
         Check("nothing mixed up", [f"{wrong} answers"] if wrong else []),
         Check("nothing doubled", _list_repeated_runs(tally, runs)),
         Check("answered means run", _list_missing_runs(tally, runs)),
-        Check("refused means not run", _list_refused_runs(tally, runs)),
+        Check("rejected means not run", _list_rejected_runs(tally, runs)),
         Check("no memory over its size", _list_over_size(engines)),
     ]
 
@@ -109,14 +112,14 @@
     return [key for key in answered if runs[key] == 0]
 
 
-def _list_refused_runs(tally: Tally, runs: Counter[str]) -> list[str]:
-    refused = [
+def _list_rejected_runs(tally: Tally, runs: Counter[str]) -> list[str]:
+    rejected = [
         call_id
         for call_id, result in tally.non_idempotent.items()
         if result.ending is Ending.REFUSED
     ]
     return [
-        f"{key}: {tally.non_idempotent[key].detail}" for key in refused if runs[key]
+        f"{key}: {tally.non_idempotent[key].detail}" for key in rejected if runs[key]
     ]
 
 
--- a/demo/traffic.py
+++ b/demo/traffic.py
@@ -16,7 +16,7 @@
 PATIENT_PERIOD_S = 0.2
 NON_IDEMPOTENT_PERIOD_S = 0.06
 READ_PERIOD_S = 0.1
-"""Mean times between two requests of a kind."""
+"""Mean times between two requests of each kind."""
 
 URGENT_TOKENS = 24
 PATIENT_TOKENS = 80
@@ -24,7 +24,7 @@
 PATIENT_DEADLINE_S = 60.0
 
 HOT_MODEL = "escort-chat"
-DRAFT_MODEL = "policy-summary"
+SUMMARY_MODEL = "policy-summary"
 SERVICE = "booking-records"
 NON_IDEMPOTENT_CALLS = ("confirm-guardian", "print-handover-slip")
 READ_CALL = "read-booking"
@@ -32,7 +32,7 @@
 
 @define
 class Traffic:
-    """Sender of requests until it is stopped; it waits for each request to end."""
+    """Sends requests of all kinds until it is stopped, and waits for each to end."""
 
     address_book: AddressBook
     artifacts: tuple[Artifact, ...]
@@ -88,7 +88,7 @@
 
     async def _async_complete_patient(self) -> None:
         await self._async_complete(
-            "patient", "morning-summaries", DRAFT_MODEL, PATIENT_TOKENS
+            "patient", "morning-summaries", SUMMARY_MODEL, PATIENT_TOKENS
         )
 
     async def _async_complete(
@@ -114,12 +114,12 @@
         call = self.rng.choice(NON_IDEMPOTENT_CALLS)
         body_id = make_id()
         result = await self._async_call(call, body_id, idempotent=False)
-        self.tally.add("not repeatable", result)
+        self.tally.add("non-idempotent call", result)
         self.tally.non_idempotent[f"{call}/{body_id}"] = result
 
     async def _async_call_idempotent(self) -> None:
         result = await self._async_call(READ_CALL, make_id(), idempotent=True)
-        self.tally.add("repeatable call", result)
+        self.tally.add("idempotent call", result)
 
     async def _async_call(self, call: str, body_id: str, idempotent: bool) -> Result:
         caller = Caller("handover-desk", self.address_book)
