--- a/tests/cli/test_application.py
+++ b/tests/cli/test_application.py
@@ -101,7 +101,7 @@
 
 
 class TestFootprint:
-    """Tests that a controller loads few modules, which saves memory for engines."""
+    """Tests of modules that a controller must not load, to save memory for engines."""
 
     def test_controller_loads_no_unused_modules(self) -> None:
         """The unknown key-value adapter stops it once all modules are loaded."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Hypothesis profiles: a short deterministic one by default, and a long one."""
+"""Hypothesis profiles: a short one with fixed seeds by default, and a random one."""
 
 import os
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -9,7 +9,7 @@
 
 
 def read_known_red(root: Path) -> dict[str, str]:
-    """Return the causes by listed test id; empty without a list.
+    """Return the cause of each listed test by its id; empty if there is no list.
 
     Raises:
         pytest.UsageError: If the list is too long or a line is malformed.
@@ -23,10 +23,14 @@
             continue
         test, separator, cause = line.partition(", ")
         if not separator:
-            raise pytest.UsageError(f"{KNOWN_RED_FILE}: no cause in line {line!r}")
+            raise pytest.UsageError(
+                f"{KNOWN_RED_FILE}: expected 'TEST, CAUSE', not {line!r}"
+            )
         known[test.strip()] = cause.strip()
     if len(known) > KNOWN_RED_MAX:
-        raise pytest.UsageError(f"{KNOWN_RED_FILE}: more than {KNOWN_RED_MAX} lines")
+        raise pytest.UsageError(
+            f"{KNOWN_RED_FILE}: lists more than {KNOWN_RED_MAX} tests"
+        )
     return known
 
 
--- a/tests/test_artifact.py
+++ b/tests/test_artifact.py
@@ -6,7 +6,7 @@
 
 
 class TestArtifact:
-    """Parsing and printing of artifact names."""
+    """Tests of parsing, printing and sorting artifact names."""
 
     @pytest.mark.parametrize("text", ["chat@3", "chat@3+mn"])
     def test_parse_reverses_str(self, text: str) -> None:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 class TestReferences:
-    """All references of a page exist."""
+    """Tests that everything exists to which a page refers."""
 
     def test_links_have_targets(self, page: Path) -> None:
         links = LINK.findall(page.read_text())
@@ -97,7 +97,7 @@
 
 
 class TestCompleteness:
-    """Lists on the pages for operators and callers are complete."""
+    """Tests that lists on the pages for operators and callers are complete."""
 
     def test_every_warning_has_a_row(self) -> None:
         text = (ROOT / "docs" / "OPERATIONS.md").read_text()
--- a/tests/test_proofs_page.py
+++ b/tests/test_proofs_page.py
@@ -25,7 +25,7 @@
 
 
 class TestProofsPage:
-    """The page names all scenarios, and only tests that exist."""
+    """Tests that the page names all scenarios, and only tests that exist."""
 
     def test_every_named_test_exists(self) -> None:
         references = REFERENCE.findall(PAGE.read_text())
