--- a/mangoway/operators/bundle.py
+++ b/mangoway/operators/bundle.py
@@ -23,7 +23,7 @@
 
 
 def digest_text(text: str) -> str:
-    """Return a digest of a document's text, by which different texts are detected."""
+    """Return a digest of a document's text, to detect that two texts differ."""
     return xxh3_64_hexdigest(text.encode())
 
 
--- a/mangoway/operators/const.py
+++ b/mangoway/operators/const.py
@@ -51,8 +51,8 @@
 """Deltas that a process keeps for peers with an older version."""
 
 MAX_DELTAS_READ: Final = 8
-"""Maximum number of newer versions of which a process reads the single edits; if there
-are more, it reads whole documents."""
+"""Maximum number of newer versions that a process reads edit by edit; if there are
+more, it reads whole documents."""
 
 COMPRESSION_THRESHOLD_BYTES: Final = 400
 """Minimum size of an update that is compressed."""
--- a/mangoway/operators/follower.py
+++ b/mangoway/operators/follower.py
@@ -107,7 +107,7 @@
         Raises:
             MangowayError: CONFIG_MALFORMED if the update cannot be decoded;
                 CONFIG_CONFLICT if it is for another site, or if its deltas do not match
-                the documents; `known_version` then requests whole documents.
+                the documents, in which case `known_version` requests whole ones.
         """
         update = _decode_update(data)
         if update.site != self.site:
--- a/mangoway/settings/process.py
+++ b/mangoway/settings/process.py
@@ -58,7 +58,10 @@
     data_centre: DataCentreId = setting(parse_name, "Data centre of this host.")
     site: str = setting(parse_name, "Site whose overlay applies.")
     cell: CellId = setting(
-        parse_name, "Cell of this host; its data centre if not given.", CellId("")
+        parse_name,
+        "Cell of this host, whose runners one controller plans; its data centre if not "
+        "given.",
+        CellId(""),
     )
     peer_listen: str = setting(
         parse_address, "IP address and port to listen on for other processes."
@@ -71,7 +74,9 @@
     seeds: tuple[str, ...] = setting(
         parse_addresses, "Peer addresses of other processes, separated by commas.", ()
     )
-    host_list_url: str | None = setting(parse_url, "URL of the host list.", None)
+    host_list_url: str | None = setting(
+        parse_url, "URL of the host list; none is read if not given.", None
+    )
     host_list_kind: str = setting(parse_name, "Adapter of the host list.", "http")
     host_list_period_s: float = setting(
         float_between(0.1, 3600),
@@ -80,7 +85,7 @@
     )
     stop_deadline_s: float = setting(
         float_between(0, 86_400),
-        "Maximum seconds that a planned stop waits for requests in progress.",
+        "Maximum seconds that a planned stop waits for requests or orders in progress.",
         DEFAULT_STOP_DEADLINE_S,
     )
     log_level: LogLevel = setting(
