--- a/mangoway/util/listener.py
+++ b/mangoway/util/listener.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 BACKLOG: Final = 1024
-"""Connections that may wait to be accepted. The kernel drops any further ones, and
-their clients retry after a second. An asyncio server sets its own backlog of 100 on a
-given listener unless this value is passed to it."""
+"""Maximum number of connections that wait to be accepted. The kernel drops any further
+ones, and their clients retry after a second. An asyncio server that is given a listener
+resets its backlog to 100 unless this value is passed to the server too."""
 
 
 def open_listener(host: str, port: int) -> socket.socket:
--- a/mangoway/util/loop_watch.py
+++ b/mangoway/util/loop_watch.py
@@ -9,7 +9,7 @@
 
 CHECK_PERIOD_S = 0.5
 MIN_LOGGED_LAG_S = 1.0
-"""Smallest lag that is logged; the metrics contain all of it."""
+"""Smallest lag that is logged as an event; the metrics contain smaller ones too."""
 
 
 async def async_watch_loop(
--- a/mangoway/util/rendezvous.py
+++ b/mangoway/util/rendezvous.py
@@ -8,8 +8,8 @@
 def is_chosen(own: str, members: Iterable[str], subject: str, count: int) -> bool:
     """Return whether `own` is one of the `count` members assigned to a subject.
 
-    All members with the same list of members get the same result, and a change of one
-    member moves only its own subjects.
+    Members that know the same list of members get the same result. When a member joins
+    or leaves, only subjects that it gains or loses are assigned differently.
     """
     rank = _rank(own, subject)
     higher = sum(
--- a/mangoway/util/signals.py
+++ b/mangoway/util/signals.py
@@ -14,6 +14,8 @@
     """Stop signals: the first requests a graceful stop, later ones force it."""
 
     on_second: Callable[[], None]
+    """Called for each signal after the first."""
+
     _first_signal: "asyncio.Future[str]" = field(init=False)
 
     def __attrs_post_init__(self) -> None:
--- a/mangoway/util/ticks.py
+++ b/mangoway/util/ticks.py
@@ -11,8 +11,8 @@
 async def async_sleep_to_tick(period_s: float) -> None:
     """Sleep until the loop's time is a multiple of a period.
 
-    Tasks whose periods divide each other then wake the process at the same times. A
-    wakeup of an idle process costs more than the check that it is for.
+    Tasks with periods that are multiples of each other then wake the process at the
+    same times. Waking an idle process costs more than the check that it is woken for.
     """
     loop = asyncio.get_running_loop()
     now = loop.time()
--- a/tests/util/test_address.py
+++ b/tests/util/test_address.py
@@ -6,7 +6,7 @@
 
 
 class TestSplitAddress:
-    """Host and port in the form for sockets."""
+    """IP address and port in the form that sockets take."""
 
     @pytest.mark.parametrize(
         ("address", "parts"),
--- a/tests/util/test_core_driver.py
+++ b/tests/util/test_core_driver.py
@@ -12,7 +12,7 @@
 
 
 class ScriptedCore:
-    """A core that returns prepared actions for each event and records the events."""
+    """Core that returns prepared actions for an event and records events and times."""
 
     def __init__(self, **actions: list[str | float]) -> None:
         self.actions = actions
@@ -24,7 +24,7 @@
 
 
 def make_driver(core: ScriptedCore) -> CoreDriver[str, str | float]:
-    """Return a driver that handles texts as events and numbers as wakeup times."""
+    """Return a driver for which text actions are events and numbers wakeup times."""
 
     def execute(action: str | float) -> None:
         if isinstance(action, str):
--- a/tests/util/test_loop_watch.py
+++ b/tests/util/test_loop_watch.py
@@ -18,7 +18,8 @@
     async def test_pause_is_logged(self) -> None:
         stream = io.StringIO()
         stop = start_log(LogLevel.INFO, host="h", role="gateway", stream=stream)
-        # On time, then late by exactly the limit; the third iteration ends the watch.
+        # On time, then late by exactly the smallest logged lag; the third iteration
+        # ends the watch.
         times = iter(
             [0.0, CHECK_PERIOD_S, 10.0, 10.0 + CHECK_PERIOD_S + MIN_LOGGED_LAG_S]
         )
