--- a/mangoway/key_value/backoff.py
+++ b/mangoway/key_value/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts, with jitter so that clients do not retry at once."""
+"""Delays between attempts, with jitter so that clients do not retry simultaneously."""
 
 import random
 
--- a/mangoway/key_value/budget.py
+++ b/mangoway/key_value/budget.py
@@ -9,7 +9,7 @@
 class CallBudget:
     """Token bucket in which each rank leaves a reserve to the ranks above it.
 
-    The caller passes the time in seconds, which must never decrease.
+    Times are passed to its methods in seconds and must never decrease.
     """
 
     def __init__(self, calls_per_second: float, now: float) -> None:
--- a/mangoway/key_value/endpoints.py
+++ b/mangoway/key_value/endpoints.py
@@ -43,11 +43,11 @@
         Status.UNIMPLEMENTED,
     }
 )
-"""Statuses which mean that the service did not execute a call."""
+"""Statuses with which the service rejects a call that it did not execute."""
 
 
 class CallFailed(Exception):
-    """An attempt of a call failed; the verdict is whether it may have taken effect."""
+    """An attempt of a call failed; its verdict says whether it may have run."""
 
     def __init__(
         self, reason: str, verdict: Verdict, status: Status | None = None
@@ -64,6 +64,8 @@
     address: str
     channel: Channel
     calls: int = 0
+    """Number of calls in progress."""
+
     retired: bool = False
 
     def retire(self) -> None:
@@ -72,7 +74,7 @@
         self._close_if_idle()
 
     def end_call(self) -> None:
-        """Update the connection after the end of a call."""
+        """Count a call as ended; close the connection if it was the last."""
         self.calls -= 1
         self._close_if_idle()
 
@@ -82,10 +84,11 @@
 
 
 class Endpoints:
-    """Endpoints of the service, with one connection that is replaced if a call fails.
+    """Endpoints of the service, with a connection to one of them.
 
-    A connection may stop responding for good while new ones work, so it is replaced
-    after a timeout as well; calls in progress on it continue.
+    If a call fails, the connection is replaced by one to the next endpoint, except if
+    the service rejected the call. A connection may stop responding for good while new
+    ones work, so it is also replaced after a timeout. Its calls in progress continue.
     """
 
     def __init__(
@@ -101,7 +104,7 @@
         """Make one attempt of a call.
 
         Raises:
-            CallFailed: If no valid response arrived in time.
+            CallFailed: If the service rejected the call or no response arrived in time.
         """
         connection = self._find_connection()
         connection.calls += 1
@@ -116,7 +119,7 @@
             connection.end_call()
 
     def open_connection(self) -> Connection:
-        """Return a new connection to the next endpoint, which is not yet connected."""
+        """Return a new connection to the next endpoint, for use by `async_connect`."""
         address = self._addresses[self._next % len(self._addresses)]
         self._next += 1
         return Connection(address, Channel(*split_address(address)))
@@ -135,7 +138,7 @@
             raise CallFailed(reason, Verdict.NOT_RUN) from error
 
     def close(self) -> None:
-        """Retire the current connection."""
+        """Close the current connection after its last call."""
         if self._connection is not None:
             self._connection.retire()
             self._connection = None
--- a/mangoway/key_value/etcd.py
+++ b/mangoway/key_value/etcd.py
@@ -57,13 +57,14 @@
         change made between a read and this call is yielded if no other call was made
         in between.
 
-        A watch that ends or stalls is resumed at its position; after a long
-        interruption all existing keys are yielded again.
+        A watch that ends or stalls is resumed at its position. If the service no longer
+        has the changes after that position, all existing keys are yielded instead, and
+        deletions in between are not.
         """
         return watch_prefix(self._client, prefix, self._client.revision)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connection after its last call; watches have their own."""
         self._client.endpoints.close()
 
     async def _async_range(
--- a/mangoway/key_value/etcd_client.py
+++ b/mangoway/key_value/etcd_client.py
@@ -25,7 +25,7 @@
 
 RESULT_OK = "ok"
 RESULT_FAILED = "failed"
-RESULT_REFUSED = "refused"
+RESULT_REJECTED = "refused"
 
 
 class EtcdClient:
@@ -40,7 +40,7 @@
         self.random_source = random_source or random.SystemRandom()
         self.metrics = metrics
         self.revision = 0
-        """Newest revision of the service in any response."""
+        """Newest revision of the service that a response contained."""
 
         self.endpoints = Endpoints(
             settings.key_value, settings.key_value_timeout_s, self.random_source
@@ -52,7 +52,8 @@
         """Make a call that may be retried, with a limited number of attempts.
 
         Raises:
-            MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET, NOT_RUN.
+            MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET; the verdict is
+                always NOT_RUN.
         """
         for failures in range(READ_ATTEMPTS):
             await self.async_back_off(failures)
@@ -84,8 +85,8 @@
             MangowayError: PLATFORM_UNAVAILABLE or PLATFORM_BUDGET. If the lease was
                 granted nevertheless, it has no key and expires.
         """
-        lease = self.random_source.getrandbits(LEASE_ID_BITS) + 1
-        request = rpc_pb2.LeaseGrantRequest(TTL=ttl_s, ID=lease)
+        lease_id = self.random_source.getrandbits(LEASE_ID_BITS) + 1
+        request = rpc_pb2.LeaseGrantRequest(TTL=ttl_s, ID=lease_id)
 
         async def send(channel: Channel) -> rpc_pb2.LeaseGrantResponse:
             stub = rpc_grpc.LeaseStub(channel)
@@ -101,9 +102,10 @@
         if reply.TTL < ttl_s:
             raise MangowayError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
-                f"the service granted a lease of {reply.TTL} s, not {ttl_s} s",
+                f"the key-value service granted a lease of {reply.TTL} s, expected at "
+                f"least {ttl_s} s",
             )
-        return lease
+        return lease_id
 
     async def async_call_once(
         self, call: str, rank: CallRank, send: Send[ReplyT]
@@ -111,7 +113,7 @@
         """Make one attempt of a call.
 
         Raises:
-            CallFailed: If no valid response arrived in time.
+            CallFailed: If the service rejected the call or no response arrived in time.
             MangowayError: PLATFORM_BUDGET; the call was not made.
         """
         await self.async_consume_budget(call, rank)
@@ -128,20 +130,21 @@
         return reply
 
     async def async_consume_budget(self, call: str, rank: CallRank) -> None:
-        """Consume a call of the budget, with a short wait if it is exhausted.
+        """Consume a call of the budget, after a short wait if it is exhausted.
 
         Raises:
-            MangowayError: PLATFORM_BUDGET if it remains exhausted.
+            MangowayError: PLATFORM_BUDGET if the call would have to wait for longer
+                than `BUDGET_WAIT_S`.
         """
         loop = asyncio.get_running_loop()
         wait_until = loop.time() + BUDGET_WAIT_S
         while wait_s := self.budget.consume(rank, loop.time()):
             if loop.time() + wait_s > wait_until:
-                self._refuse(call, rank, wait_s)
+                self._reject(call, rank, wait_s)
             await asyncio.sleep(wait_s)
 
-    def _refuse(self, call: str, rank: CallRank, wait_s: float) -> None:
-        self.metrics.key_value_calls.add(call, rank.name.lower(), RESULT_REFUSED)
+    def _reject(self, call: str, rank: CallRank, wait_s: float) -> None:
+        self.metrics.key_value_calls.add(call, rank.name.lower(), RESULT_REJECTED)
         log_event(BudgetExhausted(rank=rank.name.lower()))
         raise MangowayError(
             ErrorCode.PLATFORM_BUDGET,
@@ -163,7 +166,7 @@
 def make_unavailable_error(
     call: str, key: str, cause: CallFailed, verdict: Verdict
 ) -> MangowayError:
-    """Log and return the error of a call of which all attempts failed."""
+    """Log and return the error for a call whose attempts have all failed."""
     log_event(
         KeyValueUnavailable(call=call, key=key, error=str(cause), verdict=verdict.value)
     )
--- a/mangoway/key_value/etcd_expiry.py
+++ b/mangoway/key_value/etcd_expiry.py
@@ -15,7 +15,7 @@
 
     id: int
     usable_until: float
-    """Loop time until which the remaining time of the lease suffices for a new key."""
+    """Loop time until which the lease still lasts long enough for a new key."""
 
 
 class ExpiryLeases:
@@ -48,5 +48,5 @@
             return lease.id
 
     def clear(self) -> None:
-        """Remove all leases, for use after the service has lost one of them."""
+        """Stop using all leases, since the service has lost one of them."""
         self._leases.clear()
--- a/mangoway/key_value/etcd_lease.py
+++ b/mangoway/key_value/etcd_lease.py
@@ -26,9 +26,10 @@
 class LeaseKeeper:
     """Acquisition, renewal and release of lease keys.
 
-    Calls: 1 for a renewal, 1 for an attempt while another owner holds the key, 3 to
-    acquire a free key. The service starts the time of the lease after the call was
-    sent, so its holder can safely measure it from before the call.
+    Number of calls: 1 for a renewal, 1 for an attempt while another owner holds the
+    key, 3 to acquire a free key. The time of a lease starts at the service, after the
+    call was sent, so a holder that measures it from before the call never overestimates
+    it.
     """
 
     def __init__(self, client: EtcdClient, writer: TransactionWriter) -> None:
@@ -96,11 +97,11 @@
     async def _async_create(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        lease = await self._client.async_grant(math.ceil(ttl_s), rank)
+        lease_id = await self._client.async_grant(math.ceil(ttl_s), rank)
         put = Put(key=key, value=owner.encode(), expected=Revision(0))
-        result = await self._writer.async_commit((put,), rank, lease)
+        result = await self._writer.async_commit((put,), rank, lease_id)
         if result.succeeded:
-            self._held[key] = HeldLease(lease, owner)
+            self._held[key] = HeldLease(lease_id, owner)
         # After a failed commit the lease has no key and expires.
         return result.succeeded
 
--- a/mangoway/key_value/etcd_watch.py
+++ b/mangoway/key_value/etcd_watch.py
@@ -62,11 +62,12 @@
 
 
 class WatchSession:
-    """One watch on a separate connection.
+    """One watch on its own connection.
 
-    Progress is requested when no events arrive. The service responds with the revision
-    up to which all changes were sent. If that is older than the newest revision that
-    other calls had received before the request, the watch has stalled.
+    If no response arrives for a while, the session requests a progress report, which
+    contains the revision up to which the service has sent all changes. If that is older
+    than the newest revision that any call had received before the request, the watch
+    has stalled.
     """
 
     def __init__(self, client: EtcdClient, prefix: str, position: int) -> None:
@@ -115,7 +116,9 @@
         response = await self._async_wait()
         self._client.update_revision(response)
         if response.compact_revision:
-            raise WatchCompacted(f"compacted at {response.compact_revision}")
+            raise WatchCompacted(
+                f"the changes before revision {response.compact_revision} are compacted"
+            )
         if response.canceled:
             raise WatchFailed(f"canceled: {response.cancel_reason}")
         if response.events:
--- a/mangoway/key_value/etcd_write.py
+++ b/mangoway/key_value/etcd_write.py
@@ -1,8 +1,8 @@
 """Transactions of the etcd API, and how those without a response are settled.
 
-A transaction is sent again with the same comparisons and the same nonce. If the
-first one has taken effect, the comparisons of the second fail, and the nonce in the
-value or in previous versions of the key identifies the writer.
+A transaction without a response is sent again with the same comparisons and the same
+nonce. If the first attempt took effect, the comparisons of the second fail, and the
+nonce in the value or in a previous version of the key shows that the write took effect.
 """
 
 from collections.abc import Sequence
@@ -31,16 +31,16 @@
 
     puts: tuple[Put, ...]
     nonce: bytes
-    leases: tuple[int, ...]
+    lease_ids: tuple[int, ...]
     """Lease id of each put; 0 for none."""
 
     def make_request(self) -> rpc_pb2.TxnRequest:
-        """Return the request: compare all keys, then put all or read all."""
+        """Return the request: compare all keys, then write all or read all."""
         return rpc_pb2.TxnRequest(
             compare=[_make_compare(put) for put in self.puts],
             success=[
-                self._make_op(put, lease)
-                for put, lease in zip(self.puts, self.leases, strict=True)
+                self._make_op(put, lease_id)
+                for put, lease_id in zip(self.puts, self.lease_ids, strict=True)
             ],
             failure=[
                 rpc_pb2.RequestOp(
@@ -50,7 +50,7 @@
             ],
         )
 
-    def _make_op(self, put: Put, lease: int) -> rpc_pb2.RequestOp:
+    def _make_op(self, put: Put, lease_id: int) -> rpc_pb2.RequestOp:
         key = put.key.encode()
         if put.value is None:
             return rpc_pb2.RequestOp(
@@ -58,21 +58,21 @@
             )
         value = Envelope(self.nonce, put.value).encode()
         return rpc_pb2.RequestOp(
-            request_put=rpc_pb2.PutRequest(key=key, value=value, lease=lease)
+            request_put=rpc_pb2.PutRequest(key=key, value=value, lease=lease_id)
         )
 
 
 class TransactionWriter:
-    """Writer of transactions that settles their result."""
+    """Commits transactions and settles those whose response was lost."""
 
     def __init__(self, client: EtcdClient) -> None:
         self._client = client
         self._expiry_leases = ExpiryLeases(client)
 
     async def async_commit(
-        self, puts: tuple[Put, ...], rank: CallRank, lease: int = 0
+        self, puts: tuple[Put, ...], rank: CallRank, lease_id: int = 0
     ) -> TransactionResult:
-        """Commit one transaction; its keys are attached to a lease if one is given.
+        """Commit one transaction; its keys are attached to a lease unless the id is 0.
 
         Raises:
             MangowayError: See `KeyValueStore`.
@@ -82,8 +82,8 @@
         for failures in range(WRITE_ATTEMPTS):
             await self._client.async_back_off(failures)
             try:
-                leases = await self._async_find_leases(puts, lease, rank)
-                write = Write(puts=puts, nonce=nonce, leases=leases)
+                lease_ids = await self._async_find_leases(puts, lease_id, rank)
+                write = Write(puts=puts, nonce=nonce, lease_ids=lease_ids)
                 reply = await self._async_send(write, rank)
             except CallFailed as error:
                 verdict = verdict.merge(error.verdict)
@@ -99,13 +99,13 @@
         raise make_unavailable_error("txn", key, last, verdict) from last
 
     async def _async_find_leases(
-        self, puts: tuple[Put, ...], lease: int, rank: CallRank
+        self, puts: tuple[Put, ...], lease_id: int, rank: CallRank
     ) -> tuple[int, ...]:
         return tuple(
             [
                 await self._expiry_leases.async_find(put.ttl_s, rank)
                 if put.ttl_s
-                else lease
+                else lease_id
                 for put in puts
             ]
         )
@@ -150,7 +150,7 @@
     async def _async_find_own_revision(
         self, write: Write, kvs: Sequence[rpc_pb2.KeyValue | None], rank: CallRank
     ) -> int | None:
-        """Return the revision at which a write took effect, or None if it did not."""
+        """Return the revision at which the write took effect, or None if it did not."""
         pairs = list(zip(write.puts, kvs, strict=True))
         written = [pair for pair in pairs if pair[0].value is not None]
         if not written:
--- a/mangoway/key_value/registry.py
+++ b/mangoway/key_value/registry.py
@@ -19,7 +19,7 @@
 
 
 def register_key_value(kind: str) -> Callable[[FactoryT], FactoryT]:
-    """Register the factory of an adapter under a name."""
+    """Return a decorator that registers the factory of an adapter under a name."""
 
     def register(factory: FactoryT) -> FactoryT:
         _factories[kind] = factory
@@ -32,7 +32,7 @@
     """Return the store chosen in the settings; an event loop must be running.
 
     Raises:
-        SettingError: If no adapter has that name.
+        SettingError: If no adapter has the chosen name.
     """
     for module in ADAPTER_MODULES:
         import_module(f"{__package__}.{module}")
--- a/mangoway/key_value/store.py
+++ b/mangoway/key_value/store.py
@@ -37,13 +37,13 @@
     """Revision that the key must have; 0 if it must be absent."""
 
     ttl_s: float | None = None
-    """Minimum time after which the key may expire; None to never expire. The key
-    expires after at most twice this time."""
+    """Minimum time until the key expires, rounded up to whole seconds; the maximum is
+    twice that. None if the key never expires."""
 
 
 @frozen(kw_only=True)
 class TransactionResult:
-    """Definite result of a transaction."""
+    """Result of a transaction of which it is known whether it took effect."""
 
     succeeded: bool
     revision: Revision
@@ -56,10 +56,10 @@
 class KeyValueStore(Protocol):
     """Interface with compare-and-swap, leases and watches.
 
-    Every method raises `MangowayError` with code PLATFORM_UNAVAILABLE or
-    PLATFORM_BUDGET; its verdict is whether a write may have taken effect. An ambiguous
-    write is settled by reading the key before the call returns; the verdict is
-    MAY_HAVE_RUN only if that fails too.
+    Every `async_` method raises `MangowayError` with code PLATFORM_UNAVAILABLE or
+    PLATFORM_BUDGET. If a response to `async_commit` is lost, the method reads the keys
+    to determine whether the write took effect. The verdict of its error is MAY_HAVE_RUN
+    only if that fails too.
     """
 
     async def async_get(self, key: str, rank: CallRank) -> StoredValue:
@@ -81,8 +81,8 @@
     ) -> bool:
         """Acquire or renew a lease key; return False while another owner holds it.
 
-        The lease is valid for `ttl_s` from the time before the call was made, not
-        from its response. An owner's name must never be used by two processes.
+        The lease is valid for `ttl_s` from the start of the call, not from its
+        response. An owner's name must never be used by two processes.
         """
         ...
 
@@ -91,7 +91,7 @@
         ...
 
     def watch(self, prefix: str) -> AsyncIterator[StoredValue]:
-        """Yield changes under a prefix; it may stall or end without notice."""
+        """Yield changes under a prefix; the watch may stall or end without notice."""
         ...
 
     def close(self) -> None:
--- a/tests/key_value/conftest.py
+++ b/tests/key_value/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of a stand-in of the key-value service and its clients."""
+"""Fixtures: a stand-in for the key-value service, and clients of it."""
 
 from collections.abc import AsyncIterator, Callable, Iterator
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def make_store(stand_in: KeyValueStandIn) -> Iterator[MakeStore]:
-    """Return a factory of clients; by default they use the stand-in only."""
+    """Return a factory of stores; by default they use the stand-in as only endpoint."""
     stores: list[EtcdStore] = []
 
     def make(*addresses: str, calls_per_second: float = 1000.0) -> EtcdStore:
--- a/tests/key_value/test_etcd.py
+++ b/tests/key_value/test_etcd.py
@@ -15,7 +15,7 @@
 from .conftest import MakeStore
 
 RANK = CallRank.SAFETY
-LIMIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 
 
 def put(key: str, value: bytes | None, expected: int = 0) -> tuple[Put, ...]:
@@ -24,7 +24,7 @@
 
 async def async_wait_for(condition: Callable[[], bool]) -> None:
     """Wait until a condition is met."""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():  # noqa: ASYNC110  # The switch is a plain number.
             await asyncio.sleep(0.005)
 
--- a/tests/key_value/test_etcd_lease.py
+++ b/tests/key_value/test_etcd_lease.py
@@ -13,7 +13,7 @@
 
 RANK = CallRank.SAFETY
 TTL_S = 10.0
-LIMIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 
 
 async def async_acquire(store: EtcdStore, owner: str) -> bool:
@@ -73,7 +73,7 @@
         first, second = make_store(), make_store()
         stand_in.switches.lose_answers = 1
         acquisition = asyncio.create_task(async_acquire(first, "a"))
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while stand_in.switches.lose_answers:  # noqa: ASYNC110  # A plain number.
                 await asyncio.sleep(0.005)
         acquisition.cancel()
@@ -88,7 +88,7 @@
         assert await async_acquire(store, "a")
         assert await async_acquire(store, "a")
 
-    async def test_unsettled_acquisition_is_found_later(
+    async def test_acquisition_that_was_not_recorded_is_found(
         self, stand_in: KeyValueStandIn, store: EtcdStore
     ) -> None:
         stand_in.switches.lose_answers = 1
--- a/tests/key_value/test_etcd_watch.py
+++ b/tests/key_value/test_etcd_watch.py
@@ -12,7 +12,7 @@
 from .conftest import MakeStore
 
 RANK = CallRank.CONFIGURATION
-LIMIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 
 
 async def async_write(store: EtcdStore, key: str, value: bytes) -> None:
@@ -22,7 +22,7 @@
 
 
 async def async_next(watch: AsyncIterator[StoredValue]) -> tuple[str, bytes | None]:
-    change = await asyncio.wait_for(anext(watch), LIMIT_S)
+    change = await asyncio.wait_for(anext(watch), WAIT_TIMEOUT_S)
     return change.key, change.value
 
 
@@ -46,7 +46,7 @@
 
 async def async_wait_calls(stand_in: KeyValueStandIn, kind: str, count: int) -> None:
     """Wait until the stand-in has received a number of calls of a kind."""
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while stand_in.calls[kind] < count:  # noqa: ASYNC110 - no event to wait for
             await asyncio.sleep(0.01)
 
--- a/tests/key_value/test_store.py
+++ b/tests/key_value/test_store.py
@@ -10,7 +10,7 @@
 from tests.fakes.key_value import FakeKeyValueStore
 
 RANK = CallRank.SAFETY
-LIMIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 
 
 @pytest.fixture(params=["etcd", "fake"])
@@ -56,14 +56,14 @@
         assert [found.key for found in listed] == ["/p/a", "/p/b"]
 
     async def test_lease_has_one_owner(self, any_store: KeyValueStore) -> None:
-        async def async_take(owner: str) -> bool:
+        async def async_acquire(owner: str) -> bool:
             return await any_store.async_acquire_lease("/l", owner, 10.0, RANK)
 
-        assert [await async_take(owner) for owner in "aba"] == [True, False, True]
+        assert [await async_acquire(owner) for owner in "aba"] == [True, False, True]
         await any_store.async_release_lease("/l", "b", RANK)
-        assert not await async_take("b")
+        assert not await async_acquire("b")
         await any_store.async_release_lease("/l", "a", RANK)
-        assert await async_take("b")
+        assert await async_acquire("b")
 
     async def test_watch_yields_writes_and_deletions(
         self, any_store: KeyValueStore
@@ -73,8 +73,8 @@
         await asyncio.sleep(0.1)
         first = await any_store.async_commit((make_put("/w/a", b"1"),), RANK)
         await any_store.async_commit((make_put("/w/a", None, first.revision),), RANK)
-        written = await asyncio.wait_for(next_change, LIMIT_S)
-        deleted = await asyncio.wait_for(anext(watch), LIMIT_S)
+        written = await asyncio.wait_for(next_change, WAIT_TIMEOUT_S)
+        deleted = await asyncio.wait_for(anext(watch), WAIT_TIMEOUT_S)
         assert (written.value, written.revision) == (b"1", first.revision)
         assert (deleted.value, deleted.revision) == (None, 0)
         await watch.aclose()  # type: ignore[attr-defined]
