--- a/mangoway/engines/client.py
+++ b/mangoway/engines/client.py
@@ -1,4 +1,4 @@
-"""Client of model engines for requests of callers."""
+"""Client of model engines for completions, descriptions, reports and orders."""
 
 from collections.abc import AsyncGenerator, Callable
 
@@ -31,7 +31,7 @@
 
 
 class EngineClient:
-    """Client of engines, which are given by address (`a.b.c.d:port`).
+    """Client of engines, which are given by address (`ip:port`).
 
     Every method raises `MangowayError`; its verdict is NOT_RUN only if it is certain
     that the engine did not act.
@@ -42,7 +42,7 @@
         self._clock = clock
 
     async def async_describe(self, address: str) -> EngineDescription:
-        """Read the description of an engine."""
+        """Read an engine's description: its identity and capabilities."""
         return decode_description(await self._async_get(address, PATH_DESCRIPTION))
 
     async def async_read_report(self, address: str) -> EngineReport:
@@ -79,7 +79,8 @@
     ) -> AsyncGenerator[list[CompletionChunk], None]:
         """Stream a completion, yielding the chunks of each read as one list.
 
-        The iterator ends only after the engine has sent the end mark of the stream.
+        The iterator ends without an error only after the engine has sent the end mark
+        of the stream.
         """
         call = UpstreamCall(
             method="POST",
--- a/mangoway/engines/codec.py
+++ b/mangoway/engines/codec.py
@@ -25,7 +25,12 @@
 
 
 def decode_report(body: bytes, received_at: float) -> EngineReport:
-    """Decode a report; `received_at` is a time of the receiver's clock."""
+    """Decode a report; its time is `received_at` minus its age.
+
+    Args:
+        body: Encoded report.
+        received_at: Time of the receiver's clock, not later than the receipt.
+    """
     fields = _parse(body)
     age_s = float(fields.pop("age_s", 0.0))
     return _structure({**fields, "reported_at": received_at - age_s}, EngineReport)
@@ -52,7 +57,7 @@
 
 
 def encode_attempt(attempt: CompletionAttempt) -> bytes:
-    """Encode a completion attempt; the engine always streams the answer."""
+    """Encode a completion attempt; the response is always streamed."""
     return orjson.dumps(
         {
             **attempt.parameters,
@@ -70,7 +75,7 @@
 
 
 def make_malformed_error(detail: str) -> MangowayError:
-    """Return the error for an answer that violates the protocol."""
+    """Return the error for a response that violates the protocol."""
     return MangowayError(ErrorCode.UPSTREAM_FAILED, detail, Verdict.MAY_HAVE_RUN)
 
 
@@ -78,9 +83,9 @@
     try:
         fields = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise make_malformed_error(f"the answer is not JSON: {error}") from error
+        raise make_malformed_error(f"the response is not JSON: {error}") from error
     if not isinstance(fields, dict):
-        raise make_malformed_error("the answer is not a JSON object")
+        raise make_malformed_error("the response is not a JSON object")
     return fields
 
 
--- a/mangoway/engines/const.py
+++ b/mangoway/engines/const.py
@@ -19,5 +19,5 @@
 EVENT_PREFIX: Final = b"data:"
 EVENT_END: Final = b"\n\n"
 EVENT_DONE: Final = b"[DONE]"
-EVENT_LIMIT_BYTES: Final = 1 << 20
+MAX_EVENT_BYTES: Final = 1 << 20
 """Maximum size of a single event of a stream."""
--- a/mangoway/engines/control.py
+++ b/mangoway/engines/control.py
@@ -1,7 +1,7 @@
-"""Client of a controller for descriptions, reports and orders of engines.
+"""Client with which a controller reads descriptions and reports, and sends orders.
 
-It is separate from `client.py`, which sends requests of callers, so that a controller
-does not import the streaming client.
+It is separate from `client.py`, so that a controller does not import the client that
+streams completions.
 """
 
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 @define(eq=False)
 class EngineControl:
-    """Client of engines by address (`a.b.c.d:port`), with a new connection per call.
+    """Client of engines by address (`ip:port`), with a new connection for each call.
 
     Every method raises `MangowayError`; its verdict is NOT_RUN only if it is certain
     that the engine did not act.
@@ -41,14 +41,15 @@
     clock: Callable[[], float]
 
     async def async_describe(self, address: str) -> EngineDescription:
-        """Read the description of an engine."""
+        """Read an engine's description: its identity and capabilities."""
         return decode_description(await self._async_get(address, PATH_DESCRIPTION))
 
     async def async_read_report(self, address: str) -> EngineReport:
-        """Read an engine's report.
+        """Read an engine's report on its load, memory and cache.
 
-        The report's time is based on the time before the request, so that a process
-        that is paused before it reads the answer does not date the report too late.
+        The report's time is computed from the time before the request, so that a
+        process that is paused before it reads the response does not date the report
+        too late.
         """
         requested_at = self.clock()
         body = await self._async_get(address, PATH_REPORT)
@@ -57,7 +58,7 @@
     async def async_send_order(
         self, address: str, order: Order, send_before: float = inf
     ) -> OrderAnswer:
-        """Send an order, unless the loop time is past `send_before`.
+        """Send an order unless the loop time is past `send_before`; return the answer.
 
         Raises:
             MangowayError: NOT_RUN if the order never reached the engine; otherwise
--- a/mangoway/engines/messages.py
+++ b/mangoway/engines/messages.py
@@ -28,13 +28,16 @@
     """Text of the tokens that were delivered before."""
 
     prefix_hashes: tuple[int, ...] = ()
-    """Hashes of the prompt's leading blocks, as used in the engine's cache changes."""
+    """Hashes of the prompt's leading blocks, as in the cache changes of the engine."""
 
     parameters: Mapping[str, Any] = field(factory=dict)
     """Other fields of the caller's body, passed on unchanged."""
 
     timeout_s: float
+    """Maximum duration of the attempt."""
+
     silence_s: float
+    """Time without a received byte after which the attempt fails."""
 
 
 @frozen
@@ -43,7 +46,8 @@
 
     text: str
     offset: int
-    """Number of tokens of the whole answer up to the end of this piece."""
+    """Number of tokens of the whole completion up to the end of this piece, including
+    those that were delivered before the attempt."""
 
     finish_reason: str | None = None
 
@@ -55,4 +59,4 @@
     order_id: OrderId
     outcome: OrderOutcome
     fence: FenceNumber
-    """Highest fence that the engine has received; 0 if it does not check fences."""
+    """Highest fence number that the engine has received; 0 if it checks none."""
--- a/mangoway/engines/stream.py
+++ b/mangoway/engines/stream.py
@@ -6,7 +6,7 @@
 
 from ..models.identifiers import AttemptId
 from .codec import make_malformed_error
-from .const import EVENT_DONE, EVENT_END, EVENT_LIMIT_BYTES, EVENT_PREFIX
+from .const import EVENT_DONE, EVENT_END, EVENT_PREFIX, MAX_EVENT_BYTES
 from .messages import CompletionChunk
 
 
@@ -14,8 +14,8 @@
     """Decoder of the stream of one attempt.
 
     An event with another attempt's id is an error, since the connection has mixed up
-    answers and no data on it can be trusted. An event whose tokens were delivered
-    before is a duplicate and is dropped.
+    responses and no data on it can be trusted. An event whose tokens were delivered
+    before is a duplicate; only its finish reason is kept.
     """
 
     def __init__(self, attempt_id: AttemptId, resume_from: int) -> None:
@@ -33,9 +33,9 @@
         if b"\r" in data:
             data = data.replace(b"\r", b"")
         *events, self._incomplete = (self._incomplete + data).split(EVENT_END)
-        if len(self._incomplete) > EVENT_LIMIT_BYTES:
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise make_malformed_error(
-                f"an event is larger than {EVENT_LIMIT_BYTES} bytes"
+                f"an event is larger than {MAX_EVENT_BYTES} bytes"
             )
         chunks: list[CompletionChunk] = []
         for event in events:
