--- a/measure/baselines/dispatch.py
+++ b/measure/baselines/dispatch.py
@@ -1,8 +1,8 @@
 """Dispatch of a simple load balancer, without windows, admission or classes.
 
-A request is sent immediately to a ready upstream, and the engines queue requests. An
-upstream gets a cooldown of some seconds after a failure. Urgent requests have the
-higher engine priority.
+A request is sent immediately to a ready upstream, and waits only while there is none;
+the engines queue requests. An upstream gets a cooldown of some seconds after a failure.
+Urgent requests have the higher engine priority.
 """
 
 from collections.abc import Iterable
@@ -191,9 +191,9 @@
             and now < open_request.request.deadline
         ):
             return self._send(request_id, now)
-        return self._refuse(request_id, event.failure.code, event.verdict)
+        return self._reject(request_id, event.failure.code, event.verdict)
 
-    def _refuse(
+    def _reject(
         self, request_id: RequestId, code: ErrorCode, verdict: Verdict
     ) -> list[DispatchAction]:
         request = self._open_requests.pop(request_id).request
@@ -210,9 +210,9 @@
         )
         if report.upstream not in self._listed:
             return []
-        is_new = self._ready.get(report.upstream) != ready
+        has_changed = self._ready.get(report.upstream) != ready
         self._ready[report.upstream] = ready
-        return self._send_waiting(now) if is_new else []
+        return self._send_waiting(now) if has_changed else []
 
     def _send_waiting(self, now: float) -> list[DispatchAction]:
         waiting, self._waiting = self._waiting, []
@@ -222,7 +222,7 @@
                 continue
             if self._open_requests[request_id].request.deadline <= now:
                 code = ErrorCode.DEADLINE_EXCEEDED
-                actions.extend(self._refuse(request_id, code, Verdict.NOT_RUN))
+                actions.extend(self._reject(request_id, code, Verdict.NOT_RUN))
             else:
                 actions.extend(self._send(request_id, now))
         return actions
--- a/measure/baselines/placement.py
+++ b/measure/baselines/placement.py
@@ -200,7 +200,11 @@
     def _add_copy(
         self, artifact: Artifact, wanted: int, may_evict: bool, now: float
     ) -> list[PlacementAction]:
-        """Order one more copy if there are fewer copies than wanted."""
+        """Order one more copy if there are fewer copies than wanted.
+
+        An adapter is loaded beside a ready copy of its base. If no other runner has one
+        and `may_evict` is set, another copy of the base is ordered first.
+        """
         holders = self._find_holders(artifact)
         if len(holders) >= wanted:
             return []
--- a/measure/bound.py
+++ b/measure/bound.py
@@ -24,7 +24,7 @@
 
 @frozen
 class Capacity:
-    """Token rate of all engines together."""
+    """Token rate of all engines together, and its losses."""
 
     tokens_per_second: float
     losses: tuple[Loss, ...] = ()
--- a/measure/callers.py
+++ b/measure/callers.py
@@ -18,7 +18,7 @@
 class Caller:
     """One request of a caller, with its retries.
 
-    The caller's list of gateways may be some seconds old. The caller retries a refused
+    The caller's list of gateways may be some seconds old. The caller retries a rejected
     request after the returned delay if the request is idempotent or was not run, and
     resends an idempotent request after its gateway has failed.
     """
@@ -66,8 +66,8 @@
         self.outcome.finished_at = self._clock.now + _CALLER_LATENCY_S
 
     def receive_failure(self, failure: Failure) -> None:
-        """Record the refusal, and schedule a retry if one is allowed."""
-        self.outcome.refusals.append(failure.code)
+        """Record the rejection, and schedule a retry if one is allowed."""
+        self.outcome.rejections.append(failure.code)
         may_retry = self.arrival.idempotent or failure.verdict is Verdict.NOT_RUN
         if failure.retry_after is None or not may_retry:
             return
@@ -76,7 +76,7 @@
             self._clock.call_at(retry_at, self.start)
 
     def receive_disconnect(self) -> None:
-        """Resend an idempotent request whose gateway has failed."""
-        self.outcome.refusals.append(ErrorCode.INTERNAL)
+        """Record the failure of the gateway, and resend an idempotent request."""
+        self.outcome.rejections.append(ErrorCode.INTERNAL)
         if self.arrival.idempotent and self._clock.now < self.arrival.deadline:
             self._clock.call_later(_CALLER_LATENCY_S, self.start)
--- a/measure/campaign.py
+++ b/measure/campaign.py
@@ -36,7 +36,9 @@
 }
 """Policies that are measured with each fault."""
 
-_BY_NAME = {policy.name: policy for found in POLICIES.values() for policy in found}
+_POLICIES_BY_NAME = {
+    policy.name: policy for found in POLICIES.values() for policy in found
+}
 
 _COLLECTION_THRESHOLD = 200_000
 """Number of new objects that triggers a garbage collection."""
@@ -123,6 +125,6 @@
     case = job.case
     site = find_site(case.site)
     demand = _find_demand(case.site, job.seed, case.fault)
-    policy = _BY_NAME[case.policy]
+    policy = _POLICIES_BY_NAME[case.policy]
     result = Simulation(site, demand, policy, case.fault, job.seed).run()
     return job, score_run(result, find_bound(demand.arrivals, result.capacity))
--- a/measure/const.py
+++ b/measure/const.py
@@ -27,8 +27,10 @@
 """Shares of the requests to a browned-out engine that fail, or hang before they run."""
 
 BROWN_OUT_HANG_S: Final = 3.0
+"""Delay after which a hanging request runs."""
 
 COOL_DOWN_S: Final = 20.0
+"""Duration after the traffic, for requests that are still in progress."""
 
 SEEDS: Final = (1, 2, 3, 4, 5)
 REDUCED_SEEDS: Final = SEEDS[:3]
@@ -41,6 +43,8 @@
 REPORT_PERIOD_S: Final = 1.0
 REPORT_DELAY_S: Final = 0.25
 HOST_LIST_DELAY_S: Final = 10.0
+"""Delay until the host list omits upstreams that are down."""
+
 FAILURE_DETECTION_S: Final = 3.0
 """Delay until the failure or restart of a gateway or an engine is detected."""
 
@@ -53,6 +57,10 @@
 
 INTRA_DATA_CENTRE_LATENCY_S: Final = 0.0002
 INTER_DATA_CENTRE_LATENCY_S: Final = 0.0011
+"""One-way latencies within a data centre, and between two of them."""
 
 CALLER_RETRIES: Final = 3
-"""Maximum retries of a caller after refusals with a retry delay."""
+"""Maximum retries of a rejected request.
+
+Resends after the failure of a gateway count as retries, but are not limited.
+"""
--- a/measure/demand.py
+++ b/measure/demand.py
@@ -180,6 +180,7 @@
     def _draw_second(
         self, second: float
     ) -> list[tuple[float, Callable[[float], Arrival]]]:
+        """Return the time of each arrival in a second, and a function to build it."""
         mix = self._site.mix
         capacity = self._site.tokens_per_second
         urgent_rate = capacity / _find_mean_tokens(_URGENT_MAX_TOKENS)
@@ -254,14 +255,14 @@
     def _build_urgent(self, time: float, artifact: Artifact) -> Arrival:
         max_tokens = self._random.randint(*_URGENT_MAX_TOKENS)
         hashes = self._draw_prompt(artifact)
-        answer_s = max_tokens * TOKEN_INTERVAL_S
+        response_s = max_tokens * TOKEN_INTERVAL_S
         return Arrival(
             number=0,
             time=time,
             caller=self._draw_caller(),
             work_class=WorkClass.URGENT,
             target=artifact,
-            deadline=time + FIRST_TOKEN_S + answer_s + _DEADLINE_MARGIN_S,
+            deadline=time + FIRST_TOKEN_S + response_s + _DEADLINE_MARGIN_S,
             first_token_deadline=time + FIRST_TOKEN_S,
             max_tokens=max_tokens,
             output_tokens=self._draw_output(max_tokens),
--- a/measure/gateways.py
+++ b/measure/gateways.py
@@ -63,7 +63,7 @@
         ...
 
     def receive_failure(self, failure: Failure) -> None:
-        """Handle a failure."""
+        """Handle the rejection of the request."""
         ...
 
     def receive_disconnect(self) -> None:
@@ -85,12 +85,12 @@
     """A request that the gateway has not finished yet."""
 
     caller: GatewayCaller
-    has_token: bool = False
+    has_first_token: bool = False
 
 
 @define
 class _RunningAttempt:
-    """An attempt in progress."""
+    """An attempt in progress, and the time of its last progress."""
 
     request_id: RequestId
     upstream_id: UpstreamId
@@ -126,7 +126,7 @@
         self._executors: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
             CancelAttempt: self._cancel_attempt,
-            Refuse: self._refuse_request,
+            Refuse: self._reject_request,
             FinishRequest: self._finish_request,
             ReportDemand: self._send_demand,
             WakeAt: self._schedule_wakeup,
@@ -202,7 +202,7 @@
         self._send_first_token(attempt.request_id)
         self.handle(AttemptSucceeded(attempt_id=attempt_id))
 
-    def receive_refusal(self, attempt_id: AttemptId) -> None:
+    def receive_rejection(self, attempt_id: AttemptId) -> None:
         """Report to the core that an upstream did not run an attempt."""
         self._fail_attempt(attempt_id, ErrorCode.UPSTREAM_BUSY, Verdict.NOT_RUN)
 
@@ -217,8 +217,8 @@
 
     def _send_first_token(self, request_id: RequestId) -> None:
         request = self._open_requests.get(request_id)
-        if request is not None and not request.has_token:
-            request.has_token = True
+        if request is not None and not request.has_first_token:
+            request.has_first_token = True
             request.caller.receive_first_token()
 
     def _fail_attempt(
@@ -299,7 +299,7 @@
             latency = find_latency(self.data_centre, host.data_centre)
             self.clock.call_later(latency, host.cancel, attempt_id, self)
 
-    def _refuse_request(self, action: Refuse) -> None:
+    def _reject_request(self, action: Refuse) -> None:
         request = self._open_requests.pop(action.request_id, None)
         if request is not None:
             request.caller.receive_failure(action.failure)
--- a/measure/milestones.py
+++ b/measure/milestones.py
@@ -1,4 +1,4 @@
-"""Time of each step from the start of a surge until a new copy receives requests."""
+"""Time of each step from the start of a surge until gateways know a new copy."""
 
 from enum import Enum
 
--- a/measure/outcomes.py
+++ b/measure/outcomes.py
@@ -15,7 +15,9 @@
     arrival: Arrival
     first_token_at: float | None = None
     finished_at: float | None = None
-    refusals: list[ErrorCode] = field(factory=list)
+    rejections: list[ErrorCode] = field(factory=list)
+    """Errors of the attempts that were rejected, or whose gateway failed."""
+
     attempts: int = 0
 
     @property
--- a/measure/path/__main__.py
+++ b/measure/path/__main__.py
@@ -51,7 +51,10 @@
         ) as response:
             received = await response.read()
             if response.status != 200 or not received.endswith(b"[DONE]\n\n"):
-                raise RuntimeError(f"{response.status}: {received[:200]!r}")
+                raise RuntimeError(
+                    "completion failed or was cut off: "
+                    f"status {response.status}, body {received[:200]!r}"
+                )
             return received.count(b"data: ") - 1
 
 
--- a/measure/path/gateway.py
+++ b/measure/path/gateway.py
@@ -35,31 +35,31 @@
     """A key-value service that is always unavailable; the data path does not use it."""
 
     async def async_get(self, key: str, rank: CallRank) -> StoredValue:
-        """Raise an error."""
+        """Raise the error `PLATFORM_UNAVAILABLE`."""
         raise _make_error()
 
     async def async_list(self, prefix: str, rank: CallRank) -> tuple[StoredValue, ...]:
-        """Raise an error."""
+        """Raise the error `PLATFORM_UNAVAILABLE`."""
         raise _make_error()
 
     async def async_commit(
         self, puts: tuple[Put, ...], rank: CallRank
     ) -> TransactionResult:
-        """Raise an error."""
+        """Raise the error `PLATFORM_UNAVAILABLE`."""
         raise _make_error()
 
     async def async_acquire_lease(
         self, key: str, owner: str, ttl_s: float, rank: CallRank
     ) -> bool:
-        """Raise an error."""
+        """Raise the error `PLATFORM_UNAVAILABLE`."""
         raise _make_error()
 
     async def async_release_lease(self, key: str, owner: str, rank: CallRank) -> None:
-        """Raise an error."""
+        """Raise the error `PLATFORM_UNAVAILABLE`."""
         raise _make_error()
 
     def watch(self, prefix: str) -> AsyncIterator[StoredValue]:
-        """Raise an error."""
+        """Raise the error `PLATFORM_UNAVAILABLE`."""
         raise _make_error()
 
     def close(self) -> None:
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -110,7 +110,10 @@
     _build_ours("ours, no evictions", None, PlacementOptions(make_room=False)),
     _build_ours("ours, no move price", None, PlacementOptions(move_price=False)),
 )
-"""Variants of this project's policy that are measured without faults."""
+"""Variants that are measured without faults.
+
+Each lacks one mechanism of this project's policy, or adds preemption to it.
+"""
 
 BROWN_OUT_ABLATIONS = (
     _build_ours("ours, no retry budget", DispatchOptions(retry_budget=False)),
--- a/measure/policy.py
+++ b/measure/policy.py
@@ -30,9 +30,11 @@
         int,
         typer.Option(min=1, max=len(SEEDS), help="Maximum number of seeds per case."),
     ] = len(SEEDS),
-    write: Annotated[bool, typer.Option(help="Write the pages.")] = True,
+    write: Annotated[
+        bool, typer.Option(help="Write the pages, unless --only is used.")
+    ] = True,
 ) -> None:
-    """Replay both deployments' demand with every policy, with and without faults."""
+    """Simulate the demand of both sites with every policy, with and without faults."""
     started_at = time.monotonic()
     cases = list_cases(_SITES, faults)
     if only:
--- a/measure/report.py
+++ b/measure/report.py
@@ -75,12 +75,14 @@
         if case in scores:
             rows.append(_format_row(policy.name, case, scores[case]))
         if case in scores and policy is OURS and fault is Fault.NONE:
-            rows.append(_format_paired_row(case, runs))
+            rows.append(_format_reduced_seeds_row(case, runs))
     columns = _COLUMNS if fault is not Fault.FLOOD else (*_COLUMNS, *_FLOOD_COLUMNS)
     return _format_table(columns, rows)
 
 
-def _format_paired_row(case: Case, runs: Sequence[tuple[Job, RunScore]]) -> list[str]:
+def _format_reduced_seeds_row(
+    case: Case, runs: Sequence[tuple[Job, RunScore]]
+) -> list[str]:
     """Return the row of this project's policy over the reduced seeds.
 
     The policies in the rows below it are measured with the reduced seeds only.
@@ -99,6 +101,7 @@
 
 def _format_row(name: str, case: Case, score: Score) -> list[str]:
     accelerators = find_site(case.site).accelerators
+    # The bound covers the requests of the flooding caller as well.
     below_bound = 1.0 - score.with_flooder / score.bound
     row = [
         name,
@@ -110,9 +113,9 @@
         f"{score.patient:.3f}",
         f"{score.calls:.3f}",
         f"{score.first_token_p95_s:.2f}",
-        f"{score.refusals:.0f}",
+        f"{score.rejections:.0f}",
         f"{score.moves:.0f}",
-        f"{score.worst_model:.3f}",
+        f"{score.worst_artifact:.3f}",
         f"{score.worst_caller:.3f}",
         str(score.over_size),
         str(score.doubled_runs),
--- a/measure/scheduling/__main__.py
+++ b/measure/scheduling/__main__.py
@@ -27,14 +27,14 @@
         "--seconds", type=float, default=6.0, help="duration in virtual time"
     )
     seconds = parser.parse_args().seconds
-    print("| runners, models | nothing waits | much waits | that wait, granted |")
+    print("| runners, models | low load | overload | waiting, share granted |")
     print("|---|---|---|---|")
     for size in SIZES:
         low = Fleet(size, LOW_UTILIZATION).simulate(seconds)
         high = Fleet(size, OVERLOAD_UTILIZATION).simulate(seconds)
         print(
             f"| {size.runners}, {size.models} | {low.ms_per_request:.3f} ms "
-            f"({low.mean_waiting:.1f} wait) | {high.ms_per_request:.3f} ms | "
+            f"({low.mean_waiting:.1f} waiting) | {high.ms_per_request:.3f} ms | "
             f"{high.mean_waiting:.0f}, {high.granted / high.requests:.2f} |",
             flush=True,
         )
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -85,7 +85,10 @@
     """Processor time of the core after the warm-up."""
 
     mean_waiting: float
+    """Mean number of waiting requests when a request arrives, including it."""
+
     granted: int
+    """Number of requests granted after the warm-up."""
 
     @property
     def ms_per_request(self) -> float:
--- a/measure/score.py
+++ b/measure/score.py
@@ -35,16 +35,16 @@
 
     overall: Tally
     with_flooder: Tally
-    """All requests with those of the flooding caller, which other tallies leave out."""
+    """All requests; all other tallies but `flooder` leave out the flooding caller."""
 
     flooder: Tally
     urgent: Tally
     patient: Tally
     calls: Tally
-    by_model: dict[str, Tally]
+    by_artifact: dict[str, Tally]
     by_caller: dict[str, Tally]
     first_tokens_s: tuple[float, ...] = field(repr=False)
-    refusals: int
+    rejections: int
     loads: int
     unloads: int
     over_size: int
@@ -58,21 +58,22 @@
     """Scores of a policy over several runs."""
 
     attainment: float
+    """Share of the requests that met their targets."""
+
     spread: float
     """Difference between the highest and lowest attainment of the seeds."""
 
     with_flooder: float
-    """Attainment with the flooding caller, which the other shares leave out."""
+    """Attainment with the flooding caller; all shares but `flooder` leave it out."""
 
     flooder: float
-
     urgent: float
     patient: float
     calls: float
     first_token_p95_s: float
-    refusals: float
+    rejections: float
     moves: float
-    worst_model: float
+    worst_artifact: float
     worst_caller: float
     over_size: int
     doubled_runs: int
@@ -100,14 +101,14 @@
         urgent=_count_met(urgent),
         patient=_count_met(one for one in models if not one.is_urgent),
         calls=_count_met(one for one in outcomes if one.is_call),
-        by_model=_count_met_by(models, _find_model),
+        by_artifact=_count_met_by(models, _name_artifact),
         by_caller=_count_met_by(outcomes, lambda outcome: outcome.arrival.caller),
         first_tokens_s=tuple(
             outcome.first_token_s
             for outcome in urgent
             if outcome.first_token_s is not None
         ),
-        refusals=sum(len(outcome.refusals) for outcome in result.outcomes),
+        rejections=sum(len(outcome.rejections) for outcome in result.outcomes),
         loads=result.loads,
         unloads=result.unloads,
         over_size=result.over_size,
@@ -130,9 +131,9 @@
         patient=_mean([run.patient.share for run in runs]),
         calls=_mean([run.calls.share for run in runs]),
         first_token_p95_s=tokens[int(len(tokens) * _P95)] if tokens else 0.0,
-        refusals=_mean([run.refusals for run in runs]),
+        rejections=_mean([run.rejections for run in runs]),
         moves=_mean([run.loads + run.unloads for run in runs]),
-        worst_model=_find_worst([run.by_model for run in runs]),
+        worst_artifact=_find_worst([run.by_artifact for run in runs]),
         worst_caller=_find_worst([run.by_caller for run in runs]),
         over_size=sum(run.over_size for run in runs),
         doubled_runs=sum(run.doubled_runs for run in runs),
@@ -149,7 +150,7 @@
     return Tally(met=sum(met), total=len(met))
 
 
-def _find_model(outcome: Outcome) -> str:
+def _name_artifact(outcome: Outcome) -> str:
     target = outcome.arrival.target
     assert isinstance(target, Artifact)
     return str(target)
@@ -165,7 +166,7 @@
 
 
 def _find_worst(runs: Sequence[dict[str, Tally]]) -> float:
-    """Return the lowest share of any name over all seeds."""
+    """Return the lowest share of any name, each summed over all seeds."""
     sums: dict[str, Tally] = {}
     for run in runs:
         for name, tally in run.items():
--- a/measure/simulation.py
+++ b/measure/simulation.py
@@ -236,10 +236,10 @@
                     description=host.model.describe()
                 )
                 gateway.handle(described)
-        self._send_members([gateway])
+        self._send_gateway_list([gateway])
         gateway.handle(dispatch_events.Ticked())
 
-    def _send_members(self, gateways: Iterable[GatewayShell]) -> None:
+    def _send_gateway_list(self, gateways: Iterable[GatewayShell]) -> None:
         live = frozenset(
             gateway.identity.incarnation for gateway in self._listed_gateways
         )
@@ -348,7 +348,7 @@
         self._listed_gateways = [
             one for one in self.gateways.values() if not one.is_down
         ]
-        self._send_members(self._listed_gateways)
+        self._send_gateway_list(self._listed_gateways)
 
     def update_host_list(self) -> None:
         """Update the host list, and send it to the gateways and controllers."""
--- a/measure/sites.py
+++ b/measure/sites.py
@@ -129,7 +129,7 @@
 
 
 def build_cascadia() -> Site:
-    """Build a site for drafts and floor calls, with the lower move price."""
+    """Build a site for drafts and service calls, with the lower move price."""
     policy = SitePolicy(
         move_price=100.0,
         order_lateness_bound_s=ORDER_LATENESS_BOUND_S,
--- a/measure/upstreams.py
+++ b/measure/upstreams.py
@@ -45,8 +45,8 @@
         """Handle the end of a response."""
         ...
 
-    def receive_refusal(self, attempt_id: AttemptId) -> None:
-        """Handle a refusal; the attempt was not run."""
+    def receive_rejection(self, attempt_id: AttemptId) -> None:
+        """Handle a rejection or a failed connection; the attempt was not run."""
         ...
 
     def receive_connection_loss(self, attempt_id: AttemptId) -> None:
@@ -155,7 +155,7 @@
             self._connections[attempt.id] = _Connection(client)
         else:
             delay = CONNECT_TIMEOUT_S if self.is_silent else self._find_latency(client)
-            self.clock.call_later(delay, client.receive_refusal, attempt.id)
+            self.clock.call_later(delay, client.receive_rejection, attempt.id)
         self._schedule_wakeup()
 
     def cancel(self, attempt_id: AttemptId, client: AttemptClient) -> None:
@@ -268,7 +268,7 @@
         """Run a call that has arrived over the network."""
         if self.is_down:
             self._clock.call_later(
-                CONNECT_TIMEOUT_S, client.receive_refusal, attempt.id
+                CONNECT_TIMEOUT_S, client.receive_rejection, attempt.id
             )
             return
         assert isinstance(attempt.arrival.target, ServiceCall)
