--- a/mangoway/peers/client.py
+++ b/mangoway/peers/client.py
@@ -11,6 +11,7 @@
 from ..models.errors import ErrorCode, MangowayError
 from ..models.verdict import Verdict
 from . import peers_pb2 as pb
+from .connection import CurrentConnection, PeerConnection
 from .const import (
     CALL_TIMEOUT_S,
     CONNECT_TIMEOUT_S,
@@ -19,7 +20,6 @@
     IDLE_CLOSE_S,
     SILENCE_S,
 )
-from .link import CurrentLink, Link
 from .peers_grpc import PeersStub
 
 RequestT = TypeVar("RequestT")
@@ -32,16 +32,16 @@
 class PeerClient:
     """Calls to the process at one address.
 
-    Every method raises `MangowayError` with code PEER_UNREACHABLE, PEER_SILENT or
-    PEER_FAILED. Its verdict is NOT_RUN if the request was certainly not sent, else
+    Every call raises `MangowayError` with code PEER_UNREACHABLE, PEER_SILENT or
+    PEER_FAILED. Its verdict is NOT_RUN if the request was certainly not sent, otherwise
     MAY_HAVE_RUN.
     """
 
     address: str
-    _current_link: CurrentLink = field(init=False)
+    _current_connection: CurrentConnection = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._current_link = CurrentLink(self.address)
+        self._current_connection = CurrentConnection(self.address)
 
     async def async_exchange(self, heartbeat: pb.Heartbeat) -> pb.Heartbeat:
         """Send a heartbeat and return the peer's heartbeat."""
@@ -98,9 +98,9 @@
         `SILENCE_S`.
         """
         call = _Call(self.address)
-        async with self._current_link.async_use() as link:
+        async with self._current_connection.async_use() as connection:
             try:
-                async with link.stub.Forward.open() as stream:
+                async with connection.stub.Forward.open() as stream:
                     async with asyncio.timeout(CONNECT_TIMEOUT_S):
                         await _async_open(stream)
                     call.sent = True
@@ -111,24 +111,24 @@
                             frame = await stream.recv_message()
                         if frame is None:
                             return
-                        link.record_received()
+                        connection.record_received()
                         yield frame
             except TimeoutError as error:
-                self._current_link.replace(link)
+                self._current_connection.replace(connection)
                 raise call.make_timeout_error() from error
             except CONNECTION_ERRORS as error:
-                self._current_link.replace(link)
+                self._current_connection.replace(connection)
                 raise call.make_connection_error(error) from error
             except GRPCError as error:
                 raise call.make_peer_error(error) from error
 
     def close(self) -> None:
         """Close the connection once no call is open."""
-        self._current_link.close()
+        self._current_connection.close()
 
     def is_idle(self, since: float) -> bool:
         """Return whether no call is open and none was started after `since`."""
-        return self._current_link.is_idle(since)
+        return self._current_connection.is_idle(since)
 
     async def _async_call(
         self,
@@ -138,18 +138,19 @@
     ) -> ReplyT:
         call = _Call(self.address)
         started_at = asyncio.get_running_loop().time()
-        async with self._current_link.async_use() as link:
+        async with self._current_connection.async_use() as connection:
             try:
                 async with asyncio.timeout(timeout_s):
                     return await _async_exchange_messages(
-                        link, choose_method, messages, call
+                        connection, choose_method, messages, call
                     )
             except TimeoutError as error:
-                if link.last_received_at <= started_at:
-                    self._current_link.replace(link)
+                # A connection on which other calls received messages isn't silent.
+                if connection.last_received_at <= started_at:
+                    self._current_connection.replace(connection)
                 raise call.make_timeout_error() from error
             except CONNECTION_ERRORS as error:
-                self._current_link.replace(link)
+                self._current_connection.replace(connection)
                 raise call.make_connection_error(error) from error
             except GRPCError as error:
                 raise call.make_peer_error(error) from error
@@ -193,7 +194,7 @@
 
     @property
     def verdict(self) -> Verdict:
-        """Return the verdict on whether the request may have run."""
+        """Return the verdict: NOT_RUN until the request may have been sent."""
         return Verdict.MAY_HAVE_RUN if self.sent else Verdict.NOT_RUN
 
     def make_timeout_error(self) -> MangowayError:
@@ -207,35 +208,35 @@
         return MangowayError(ErrorCode.PEER_UNREACHABLE, detail, self.verdict)
 
     def make_peer_error(self, error: GRPCError) -> MangowayError:
-        """Return the error of a call to which the peer responded with a failure."""
+        """Return the error of a call to which the peer responded with an error."""
         detail = f"{self.address} responded {error.status.name}: {error.message}"
         return MangowayError(ErrorCode.PEER_FAILED, detail, self.verdict)
 
 
 async def _async_exchange_messages(
-    link: Link,
+    connection: PeerConnection,
     choose_method: Callable[[PeersStub], ServiceMethod[RequestT, ReplyT]],
     messages: Iterable[RequestT],
     call: _Call,
 ) -> ReplyT:
-    async with choose_method(link.stub).open() as stream:
+    async with choose_method(connection.stub).open() as stream:
         await _async_open(stream)
         call.sent = True
         for message in messages:
             await stream.send_message(message)
         await stream.end()
         reply = await stream.recv_message()
-        link.record_received()
+        connection.record_received()
         if reply is None:
-            raise StreamTerminatedError("no reply")
+            raise StreamTerminatedError("the peer ended the call without a reply")
         return reply
 
 
 async def _async_open(stream: Stream[RequestT, ReplyT]) -> None:
-    """Send the headers of a call."""
+    """Open a connection if there is none, and send the headers of a call."""
     try:
         await stream.send_request()
     except AttributeError as error:
         # grpclib may use a connection that the peer has just closed; it has no
         # transport any more, so nothing was sent.
-        raise ConnectionResetError("closed before the call") from error
+        raise ConnectionResetError("closed by the peer before the call") from error
--- a/mangoway/peers/configuration.py
+++ b/mangoway/peers/configuration.py
@@ -1,4 +1,4 @@
-"""Event loop adapter of the configuration core: fetches and pushes of versions."""
+"""Event loop adapter of the configuration core; fetches and pushes configurations."""
 
 import asyncio
 from collections.abc import Callable
@@ -63,8 +63,10 @@
     _repository: ConfigurationRepository = field(init=False)
     _watch: "asyncio.Task[None] | None" = field(default=None, init=False)
     _advertised: dict[HostId, ConfigVersion] = field(factory=dict, init=False)
+    """Last known version of each peer."""
+
     _source: HostId | None = field(default=None, init=False)
-    """Source of the document that is being handled; None for the key-value service."""
+    """Source of the last received document; None for the key-value service."""
 
     def __attrs_post_init__(self) -> None:
         self._driver = CoreDriver(self.core, self._execute, Ticked)
@@ -97,7 +99,10 @@
     def async_read_document(
         self, request: pb.FetchConfigurationRequest
     ) -> pb.ConfigurationDocument:
-        """Return the update from a peer's version to the version of this process."""
+        """Return the update from the requester's version to that of this process.
+
+        The document is empty if the requester's version is not older.
+        """
         known = ConfigVersion(request.known_version)
         return pb.ConfigurationDocument(
             version=self.follower.version, document=self.follower.make_update(known)
@@ -194,7 +199,7 @@
         if document.document:
             self._accept(document, peer)
         elif document.version and self.follower.version:
-            # The peer's version isn't newer, so the loaded one is up to date with it.
+            # The peer has no newer version, so the loaded one counts as its response.
             self._receive(self.follower.load(), peer)
         else:
             self._driver.async_handle(FetchFailed(source=peer))
--- a/mangoway/peers/configuration_log.py
+++ b/mangoway/peers/configuration_log.py
@@ -13,7 +13,7 @@
 
 SOURCE_SERVICE: Final = "key_value"
 REASON_APPLIED: Final = "applied"
-REASON_REFUSED: Final = "refused"
+REASON_REJECTED: Final = "refused"
 
 DOCUMENT_ERRORS: Final = frozenset(
     {
@@ -23,7 +23,7 @@
         ErrorCode.CONFIG_DOES_NOT_FIT,
     }
 )
-"""Errors in a document itself; all other errors are failures to fetch it."""
+"""Codes of errors in a document; an error with another code is a failed fetch."""
 
 
 @define(eq=False)
@@ -34,7 +34,7 @@
     _ready: bool = field(default=False, init=False)
 
     def log_applied(self, version: ConfigVersion, source: HostId | None) -> None:
-        """Log that a version was applied; source None is the key-value service."""
+        """Log that a version was applied; a source of None is the key-value service."""
         name = source or SOURCE_SERVICE
         log_event(log.ConfigurationApplied(config_version=version, source=name))
         if not self._ready:
@@ -45,7 +45,10 @@
     def log_failure(
         self, source: HostId | None, version: ConfigVersion | None, error: MangowayError
     ) -> None:
-        """Log that a version, None if unknown, could not be fetched or applied."""
+        """Log that a fetch failed, or that the document of a version was rejected.
+
+        The version is None if it is unknown; a source of None is the key-value service.
+        """
         name = source or SOURCE_SERVICE
         if version is None or error.code not in DOCUMENT_ERRORS:
             log_event(log.ConfigurationFetchFailed(source=name, error=str(error)))
@@ -55,7 +58,7 @@
                 config_version=version, source=name, detail=str(error)
             )
         )
-        self._add_to_journal(REASON_REFUSED, version, f"source {name}: {error}")
+        self._add_to_journal(REASON_REJECTED, version, f"source {name}: {error}")
 
     def log_pushed(self, peer: HostId, version: ConfigVersion) -> None:
         """Log that the version in force was sent to a peer."""
--- a/mangoway/peers/demand.py
+++ b/mangoway/peers/demand.py
@@ -15,7 +15,7 @@
 from .directory import Directory
 
 if TYPE_CHECKING:
-    # A controller decodes reports as well, but doesn't need request dispatching.
+    # For types only, since controllers import this module without request dispatch.
     from ..policy.dispatch.events import ArtifactDemand
 
 
--- a/mangoway/peers/directory.py
+++ b/mangoway/peers/directory.py
@@ -1,4 +1,4 @@
-"""Directory of the processes, by the names that the decision cores use."""
+"""Directory of known processes, by the names that the decision cores use."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 
 
 def name_process(member: Member) -> HostId:
-    """Return a name that differs between a gateway and a controller of one host."""
+    """Return a name that is unique even if a host has a gateway and a controller."""
     if member.role is ProcessRole.GATEWAY:
         return member.host
     return HostId(f"{member.host}/{member.role.value}")
--- a/mangoway/peers/forward_codec.py
+++ b/mangoway/peers/forward_codec.py
@@ -96,7 +96,7 @@
 
 
 def encode_verdict(verdict: Verdict) -> pb.Verdict.ValueType:
-    """Return the number of a verdict."""
+    """Return the protocol number of a verdict."""
     return _VERDICT_NUMBERS[verdict]
 
 
--- a/mangoway/peers/forwarding.py
+++ b/mangoway/peers/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and idempotency keys that this gateway sends to other gateways."""
+"""Sending of requests and idempotency keys to other gateways."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -27,10 +27,13 @@
 
         Raises:
             MangowayError: With the peer's verdict if it responded with a failure;
-                NOT_RUN if the request was certainly not sent; else MAY_HAVE_RUN.
+                otherwise NOT_RUN if the request was certainly not sent, and
+                MAY_HAVE_RUN if it may have been.
         """
         if request.hops > MAX_HOPS:
-            detail = f"forwarded {request.hops} times"
+            detail = (
+                f"the request would be forwarded {request.hops} times, above the limit"
+            )
             raise MangowayError(ErrorCode.PEER_UNREACHABLE, detail, Verdict.NOT_RUN)
         client = self._clients.get(address)
         async with aclosing(client.async_forward(encode_request(request))) as messages:
@@ -42,7 +45,7 @@
                     raise _make_error(frame)
                 if frame is not None:
                     yield frame
-        detail = f"the response of {address} is incomplete"
+        detail = f"the response from {address} ended before it was complete"
         raise MangowayError(ErrorCode.PEER_FAILED, detail, Verdict.MAY_HAVE_RUN)
 
     async def async_hand_over(self, address: str, keys: KeyHandOver, now: float) -> int:
--- a/mangoway/peers/hand_over.py
+++ b/mangoway/peers/hand_over.py
@@ -31,7 +31,7 @@
 
 @frozen(kw_only=True)
 class KeyHandOver:
-    """All records of one home; times are on the clock of the process holding them."""
+    """All records of one home, with times on the clock of the process that has them."""
 
     home: IncarnationId
     records: tuple[KeyRecord, ...]
@@ -54,7 +54,7 @@
     """Assembles a hand-over from its messages."""
 
     _now: float
-    """Start time of the hand-over, on the clock of the records."""
+    """Time on the receiver's clock at which the hand-over started."""
 
     _home: IncarnationId = field(default=IncarnationId(""), init=False)
     _records: list[KeyRecord] = field(factory=list, init=False)
@@ -62,7 +62,7 @@
     _bodies: dict[str, bytearray] = field(factory=dict, init=False)
 
     def add(self, chunk: pb.KeyChunk) -> None:
-        """Add the next message."""
+        """Add the contents of the next message."""
         self._home = IncarnationId(chunk.home)
         self._records += [_decode_record(each, self._now) for each in chunk.records]
         for part in chunk.answers:
--- a/mangoway/peers/heartbeat.py
+++ b/mangoway/peers/heartbeat.py
@@ -20,12 +20,12 @@
 from .messages import ReceivedHeartbeat
 from .report_codec import ReportDecoder, ReportEncoder
 from .reports import ReportEntry, ReportTracker
-from .slots import PeerView, SenderViews, SlotsExhausted, SlotTable
+from .slots import RecentSenderSlots, SentState, SlotsExhausted, SlotTable
 
 
 @define(eq=False)
 class UnknownSlots:
-    """Unknown slots of a peer, which it has to resend."""
+    """Slots of a peer that are unknown here; the peer has to resend their data."""
 
     members: set[int] = field(factory=set)
     names: set[int] = field(factory=set)
@@ -44,14 +44,14 @@
     make_session: Callable[[], int]
     _session: int = field(init=False)
     _table: SlotTable = field(init=False)
-    _peers: OrderedDict[int, PeerView] = field(factory=OrderedDict, init=False)
-    _senders: SenderViews = field(factory=SenderViews, init=False)
+    _sent: OrderedDict[int, SentState] = field(factory=OrderedDict, init=False)
+    _recent_senders: RecentSenderSlots = field(factory=RecentSenderSlots, init=False)
     _unknown_slots: dict[int, UnknownSlots] = field(factory=dict, init=False)
     _sender_report_times: dict[int, dict[UpstreamId, float]] = field(
         factory=dict, init=False
     )
-    """Times of the reports in the last received heartbeat, by its session, so that the
-    reply leaves out reports that the peer has."""
+    """Times of the runner reports in the last received heartbeat, by the session of its
+    sender; the reply leaves out reports that the sender already has."""
 
     def __attrs_post_init__(self) -> None:
         self._begin_session()
@@ -59,7 +59,7 @@
     def encode(
         self, peer_session: int, members: Sequence[Member], now: float
     ) -> pb.Heartbeat:
-        """Return a heartbeat for a peer; session 0 is for an unknown peer."""
+        """Return a heartbeat for a peer; 0 stands for an unknown session."""
         try:
             return self._encode(peer_session, members, now)
         except SlotsExhausted:
@@ -67,7 +67,7 @@
             return self._encode(peer_session, members, now)
 
     def decode(self, heartbeat: pb.Heartbeat, now: float) -> ReceivedHeartbeat:
-        """Decode a heartbeat and add its reports to the report tracker.
+        """Decode a heartbeat and add its newer reports to the report tracker.
 
         Raises:
             MangowayError: PEER_FAILED if the message violates the protocol.
@@ -79,38 +79,43 @@
             raise MangowayError(ErrorCode.PEER_FAILED, detail) from error
 
     def reset_peer(self, peer_session: int) -> None:
-        """Resend everything to a peer, since a heartbeat to it was lost."""
-        self._peers.pop(peer_session, None)
+        """Forget what a peer was sent, so that the next heartbeat resends all of it.
+
+        It must be called after a heartbeat to the peer was lost.
+        """
+        self._sent.pop(peer_session, None)
 
     def _begin_session(self) -> None:
         self._session = self.make_session()
         self._table = SlotTable(self.own)
-        self._peers.clear()
+        self._sent.clear()
 
     def _encode(
         self, peer_session: int, members: Sequence[Member], now: float
     ) -> pb.Heartbeat:
-        view = self._get_or_create_view(peer_session)
+        sent = self._get_or_create_sent_state(peer_session)
         heartbeat = pb.Heartbeat(session=self._session, receiver_session=peer_session)
-        encode_members(members, self._table, view, heartbeat)
-        self._add_reports(view, heartbeat, now)
+        encode_members(members, self._table, sent, heartbeat)
+        self._add_reports(sent, heartbeat, now)
         self._add_unknown_slots(peer_session, heartbeat)
         return heartbeat
 
-    def _add_reports(self, view: PeerView, heartbeat: pb.Heartbeat, now: float) -> None:
-        is_first = not view.reports_up_to
+    def _add_reports(
+        self, sent: SentState, heartbeat: pb.Heartbeat, now: float
+    ) -> None:
+        is_first = not sent.reports_up_to
         limit = MAX_FIRST_REPORTS if is_first else MAX_REPORTS_PER_HEARTBEAT
-        entries = self.report_tracker.list_since(view.reports_up_to, limit)
+        entries = self.report_tracker.list_since(sent.reports_up_to, limit)
         if not entries:
             return
-        view.reports_up_to = entries[-1].update
-        report_times = self._sender_report_times.pop(view.session, {})
+        sent.reports_up_to = entries[-1].update
+        report_times = self._sender_report_times.pop(sent.session, {})
         others = [
             entry
             for entry in entries
-            if entry.source != view.session and not _has_report(report_times, entry)
+            if entry.source != sent.session and not _has_report(report_times, entry)
         ]
-        ReportEncoder(self._table, view, heartbeat, now).add(others)
+        ReportEncoder(self._table, sent, heartbeat, now).add(others)
 
     def _add_unknown_slots(self, peer_session: int, heartbeat: pb.Heartbeat) -> None:
         unknown = self._unknown_slots.pop(peer_session, None)
@@ -120,23 +125,23 @@
         heartbeat.unknown_names.extend(sorted(unknown.names))
         heartbeat.unknown_residencies.extend(sorted(unknown.residencies))
 
-    def _get_or_create_view(self, peer_session: int) -> PeerView:
-        view = self._peers.get(peer_session)
-        if view is None:
-            view = PeerView(peer_session)
+    def _get_or_create_sent_state(self, peer_session: int) -> SentState:
+        sent = self._sent.get(peer_session)
+        if sent is None:
+            sent = SentState(peer_session)
             if peer_session:
-                self._peers[peer_session] = view
-        if len(self._peers) > MAX_SESSIONS:
-            self._peers.popitem(last=False)
-        return view
+                self._sent[peer_session] = sent
+        if len(self._sent) > MAX_SESSIONS:
+            self._sent.popitem(last=False)
+        return sent
 
     def _decode(self, heartbeat: pb.Heartbeat, now: float) -> ReceivedHeartbeat:
         session = heartbeat.session
         self._mark_for_resend(heartbeat)
-        sender = self._senders.get(session)
+        sender_slots = self._recent_senders.get(session)
         unknown = UnknownSlots()
-        members = decode_members(heartbeat, sender, unknown.members)
-        decoder = ReportDecoder(sender, self.report_tracker, now)
+        members = decode_members(heartbeat, sender_slots, unknown.members)
+        decoder = ReportDecoder(sender_slots, self.report_tracker, now)
         reports = decoder.decode(heartbeat)
         unknown.names = decoder.unknown_names
         unknown.residencies = decoder.unknown_residencies
@@ -148,31 +153,32 @@
             for report in reports
             if self.report_tracker.add_if_newer(report, source=session)
         )
-        own = sender.members.get(OWN_SLOT)
+        sender = sender_slots.members.get(OWN_SLOT)
         return ReceivedHeartbeat(
-            sender=None if own is None else own.host,
-            sender_address=None if own is None else own.peer_address,
+            sender=None if sender is None else sender.host,
+            sender_address=None if sender is None else sender.peer_address,
             members=members,
             reports=newer,
         )
 
     def _mark_for_resend(self, heartbeat: pb.Heartbeat) -> None:
-        view = self._peers.get(heartbeat.session)
-        if view is None or heartbeat.receiver_session != self._session:
+        sent = self._sent.get(heartbeat.session)
+        # Slots of an earlier session of this process are no longer in use.
+        if sent is None or heartbeat.receiver_session != self._session:
             return
         for slot in heartbeat.unknown_members:
-            view.successors.pop(slot, None)
+            sent.successors.pop(slot, None)
         for slot in heartbeat.unknown_residencies:
-            view.residencies.pop(slot, None)
+            sent.residencies.pop(slot, None)
         if heartbeat.unknown_names:
-            view.names.clear()
-            view.residencies.clear()
+            sent.names.clear()
+            sent.residencies.clear()
         if heartbeat.unknown_names or heartbeat.unknown_residencies:
-            view.reports_up_to = 0
+            sent.reports_up_to = 0
 
 
 def _has_report(report_times: dict[UpstreamId, float], entry: ReportEntry) -> bool:
-    """Return whether a peer's report of a runner is as new as the own entry."""
+    """Return whether a peer already has the report of an entry, or a newer one."""
     reported_at = report_times.get(entry.report.upstream)
     if reported_at is None:
         return False
--- a/mangoway/peers/member_codec.py
+++ b/mangoway/peers/member_codec.py
@@ -12,7 +12,7 @@
 )
 from ..models.member import Member, MemberState, ProcessRole
 from . import peers_pb2 as pb
-from .slots import PeerView, SenderView, SlotTable
+from .slots import SenderSlots, SentState, SlotTable
 
 STATE_MASK = 0b11
 READY_FLAG = 0b100
@@ -27,17 +27,20 @@
 
 
 def encode_members(
-    members: Sequence[Member], table: SlotTable, view: PeerView, heartbeat: pb.Heartbeat
+    members: Sequence[Member],
+    table: SlotTable,
+    sent: SentState,
+    heartbeat: pb.Heartbeat,
 ) -> None:
-    """Add entries to a heartbeat, with the identities that the peer doesn't have."""
+    """Add entries to a heartbeat, with identities not yet sent to the peer."""
     columns = heartbeat.members
     newest = max((member.config_version for member in members), default=0)
     columns.newest_version = newest
     for member in members:
-        slot = table.find_member(member.incarnation)
-        if _needs_identity(slot, member, view):
+        slot = table.get_member_slot(member.incarnation)
+        if _needs_identity(slot, member, sent):
             heartbeat.identities.append(_encode_identity(slot, member))
-            view.successors[slot] = member.successor
+            sent.successors[slot] = member.successor
         columns.slots.append(slot)
         columns.beats.append(member.beat)
         columns.lags.append(newest - member.config_version)
@@ -45,17 +48,17 @@
 
 
 def decode_members(
-    heartbeat: pb.Heartbeat, view: SenderView, unknown: set[int]
+    heartbeat: pb.Heartbeat, sender_slots: SenderSlots, unknown: set[int]
 ) -> tuple[Member, ...]:
     """Return the entries with known slots; add the other slots to `unknown`."""
     for identity in heartbeat.identities:
-        view.members[identity.slot] = _decode_identity(identity)
+        sender_slots.members[identity.slot] = _decode_identity(identity)
     columns = heartbeat.members
     newest = columns.newest_version
     members: list[Member] = []
     rows = zip(columns.slots, columns.beats, columns.lags, columns.flags, strict=True)
     for slot, beat, lag, flags in rows:
-        known = view.members.get(slot)
+        known = sender_slots.members.get(slot)
         if known is None:
             unknown.add(slot)
             continue
@@ -68,10 +71,10 @@
     return _ROLE_NUMBERS[role]
 
 
-def _needs_identity(slot: int, member: Member, view: PeerView) -> bool:
-    if slot not in view.successors:
+def _needs_identity(slot: int, member: Member, sent: SentState) -> bool:
+    if slot not in sent.successors:
         return True
-    return view.successors[slot] != member.successor
+    return sent.successors[slot] != member.successor
 
 
 def _encode_identity(slot: int, member: Member) -> pb.MemberIdentity:
--- a/mangoway/peers/membership.py
+++ b/mangoway/peers/membership.py
@@ -39,7 +39,7 @@
 
 @define(eq=False)
 class PeerRecord:
-    """State of the process at one address."""
+    """Session of the process at one address, and whether an exchange is open."""
 
     session: int = UNKNOWN_SESSION
     exchanging: bool = False
@@ -50,7 +50,8 @@
     """Exchanges heartbeats as the core decides, one at a time with each peer.
 
     `own` is the initial entry of this process. `on_members` is called with all entries
-    whenever the core reports a change.
+    whenever the core reports a change, and `on_unreachable` with the address and the
+    error of each failed exchange.
     """
 
     core: Core[MembershipEvent, MembershipAction]
@@ -63,7 +64,7 @@
     _driver: CoreDriver[MembershipEvent, MembershipAction] = field(init=False)
     _peers: dict[str, PeerRecord] = field(factory=dict, init=False)
     _hosts: dict[str, HostId] = field(factory=dict, init=False)
-    """Hosts by peer address."""
+    """Host of each process by its peer address."""
 
     _reply_members: tuple[Member, ...] = field(default=(), init=False)
     """Entries for the reply to the heartbeat that is being received."""
@@ -81,13 +82,13 @@
         self._driver.async_stop()
 
     def async_update_hosts(self, hosts: Iterable[ListedHost]) -> None:
-        """Update the processes that the host list or the settings contain."""
+        """Report the processes in the host list or the settings to the core."""
         self._driver.async_handle(HostListUpdated(hosts=tuple(hosts)))
 
     def async_update_own_member(
         self, config_version: ConfigVersion, ready: bool
     ) -> None:
-        """Update the version in force and the readiness that peers receive."""
+        """Update the version in force and the readiness in this process's own entry."""
         changed = OwnMemberChanged(config_version=config_version, ready=ready)
         self._driver.async_handle(changed)
 
@@ -111,7 +112,7 @@
         self._update_own(action.members)
         record = self._peers.setdefault(action.peer_address, PeerRecord())
         if record.exchanging:
-            # The core counts these entries as sent.
+            # The core counts these entries as sent, so report that they were not.
             self._handle_undelivered(action.peer_address)
             return
         record.exchanging = True
@@ -167,7 +168,7 @@
         self._handle_undelivered(address)
 
     def _handle_undelivered(self, address: str) -> None:
-        """Report to the core that a peer did not receive a heartbeat."""
+        """Report to the core that a peer did not receive all entries of a heartbeat."""
         host = self._hosts.get(address)
         if host is not None:
             self._driver.async_handle(SendFailed(peer=host))
--- a/mangoway/peers/messages.py
+++ b/mangoway/peers/messages.py
@@ -36,7 +36,7 @@
     """Seconds left until the deadline; 0 if the request has none."""
 
     hops: int = 0
-    """Number of gateways that forwarded the request before."""
+    """Number of times that the request was forwarded, including this time."""
 
 
 @frozen(kw_only=True)
@@ -63,10 +63,11 @@
     """A received heartbeat with its slots resolved."""
 
     sender: HostId | None
-    """None if the sender's own entry could not be resolved."""
+    """None if the slot of the sender's own entry is unknown."""
 
     sender_address: str | None
-    """Peer address of the sender; None as above."""
+    """Peer address of the sender; None if `sender` is None."""
 
     members: tuple[Member, ...]
     reports: tuple[EngineReport, ...]
+    """Reports that are newer than those that were tracked before."""
--- a/mangoway/peers/network.py
+++ b/mangoway/peers/network.py
@@ -93,7 +93,7 @@
         self.configuration.async_stop()
 
     def async_update_hosts(self, hosts: Iterable[ListedHost]) -> None:
-        """Update the processes that the host list contains."""
+        """Report the processes in the host list to the membership core."""
         self.membership.async_update_hosts(hosts)
 
     def async_announce(self, successor: IncarnationId | None) -> None:
@@ -118,5 +118,5 @@
 
 
 def make_session() -> int:
-    """Return a random session number, unique with near certainty and not 0."""
+    """Return a random session number that is not 0 and almost certainly unique."""
     return SystemRandom().getrandbits(SESSION_BITS) or 1
--- a/mangoway/peers/report_codec.py
+++ b/mangoway/peers/report_codec.py
@@ -9,7 +9,7 @@
 from ..models.upstream import EngineReport, Residency, ResidentArtifact
 from . import peers_pb2 as pb
 from .reports import ReportEntry, ReportTracker
-from .slots import PeerView, SenderView, SlotTable
+from .slots import SenderSlots, SentState, SlotTable
 
 AGE_UNITS_PER_S = 100
 
@@ -22,13 +22,13 @@
 
 
 class ReportEncoder:
-    """Adds reports to one heartbeat, with the texts that the peer doesn't have."""
+    """Adds reports to one heartbeat, with the names not yet sent to the peer."""
 
     def __init__(
-        self, table: SlotTable, view: PeerView, heartbeat: pb.Heartbeat, now: float
+        self, table: SlotTable, sent: SentState, heartbeat: pb.Heartbeat, now: float
     ) -> None:
         self._table = table
-        self._view = view
+        self._sent = sent
         self._heartbeat = heartbeat
         self._now = now
 
@@ -42,7 +42,7 @@
         report = entry.report
         loads = self._heartbeat.loads
         age_s = max(0.0, self._now - report.reported_at)
-        loads.runners.append(self._find_slot(report.upstream))
+        loads.runners.append(self._add_name(report.upstream))
         loads.ages.append(round(age_s * AGE_UNITS_PER_S))
         loads.running.append(report.running)
         loads.waiting.append(report.waiting)
@@ -51,25 +51,26 @@
 
     def _add_residency(self, entry: ReportEntry) -> None:
         report = entry.report
-        runner = self._find_slot(report.upstream)
-        if self._view.residencies.get(runner) == entry.digest:
+        runner = self._add_name(report.upstream)
+        if self._sent.residencies.get(runner) == entry.digest:
             return
-        self._view.residencies[runner] = entry.digest
+        self._sent.residencies[runner] = entry.digest
         residency = self._heartbeat.residencies.add(
             runner=runner,
-            incarnation=self._find_slot(report.incarnation),
+            incarnation=self._add_name(report.incarnation),
             fence=report.fence,
             leaving=report.leaving,
         )
         for resident in report.residents:
-            residency.artifacts.append(self._find_slot(str(resident.artifact)))
+            residency.artifacts.append(self._add_name(str(resident.artifact)))
             residency.memory_mb.append(resident.memory_mb)
             residency.states.append(_STATE_NUMBERS[resident.state])
 
-    def _find_slot(self, text: str) -> int:
-        slot = self._table.find_name(text)
-        if slot not in self._view.names:
-            self._view.names.add(slot)
+    def _add_name(self, text: str) -> int:
+        """Return the slot of a name; add the name unless the peer has it."""
+        slot = self._table.get_name_slot(text)
+        if slot not in self._sent.names:
+            self._sent.names.add(slot)
             self._heartbeat.names.add(slot=slot, text=text)
         return slot
 
@@ -82,15 +83,15 @@
     """
 
     def __init__(
-        self, view: SenderView, report_tracker: ReportTracker, now: float
+        self, sender_slots: SenderSlots, report_tracker: ReportTracker, now: float
     ) -> None:
-        self._view = view
+        self._sender_slots = sender_slots
         self._report_tracker = report_tracker
         self._now = now
         self.unknown_names: set[int] = set()
         self.unknown_residencies: set[int] = set()
         self.report_times: dict[UpstreamId, float] = {}
-        """Time of the sender's report of each runner in the heartbeat."""
+        """Time of the sender's report of each runner, even if it is not newer."""
 
     def decode(self, heartbeat: pb.Heartbeat) -> list[EngineReport]:
         """Return the reports that are newer than the tracked ones."""
@@ -131,7 +132,7 @@
         Most reports are received from several peers, and decoding each of them would
         take most of the processor time of a heartbeat.
         """
-        upstream = self._view.names.get(runner)
+        upstream = self._sender_slots.names.get(runner)
         if upstream is None:
             return True
         self.report_times[UpstreamId(upstream)] = reported_at
@@ -139,11 +140,15 @@
 
     def _store_names(self, names: Iterable[pb.Name]) -> None:
         for name in names:
-            self._view.names.store(name.slot, name.text)
+            self._sender_slots.names.store(name.slot, name.text)
 
     def _find_base(
         self, runner: int, digest: int, residency: pb.Residency | None
     ) -> EngineReport | None:
+        """Return a report with a runner's residency; None if the sender must resend it.
+
+        The load in the returned report is not that of the heartbeat.
+        """
         upstream = self._find_text(runner)
         if upstream is None:
             return None
@@ -185,7 +190,7 @@
         )
 
     def _find_text(self, slot: int) -> str | None:
-        text = self._view.names.get(slot)
+        text = self._sender_slots.names.get(slot)
         if text is None:
             self.unknown_names.add(slot)
         return text
--- a/mangoway/peers/reports.py
+++ b/mangoway/peers/reports.py
@@ -18,7 +18,7 @@
 
     report: EngineReport
     digest: int
-    """Digest of the residency, by which a receiver detects whether it has it."""
+    """Digest of the residency; a receiver compares it with that of the one it has."""
 
     update: int
     """Number of the update that added the report."""
@@ -29,7 +29,7 @@
 
 @define(eq=False)
 class ReportTracker:
-    """Newest report of each runner, in the order of arrival."""
+    """Keeps the newest report of each runner, in the order of arrival."""
 
     _entries: OrderedDict[UpstreamId, ReportEntry] = field(
         factory=OrderedDict, init=False
@@ -47,7 +47,7 @@
         self._listeners.append(listener)
 
     def add_if_newer(self, report: EngineReport, source: int = 0) -> bool:
-        """Add a report if it is newer than the tracked one; return whether it is."""
+        """Add a report if it is newer than the tracked one; return whether it was."""
         known = self._entries.get(report.upstream)
         if not self.is_newer(report.upstream, report.reported_at):
             return False
@@ -84,7 +84,8 @@
     def list_since(self, update: int, limit: int) -> list[ReportEntry]:
         """Return the newest entries after an update, in the order of arrival.
 
-        Above the limit, the older ones are left out, since they will be replaced next.
+        Of more than `limit` entries, the oldest are left out, since they are the next
+        ones to be replaced.
         """
         newest = list(islice(self._iterate_back_to(update), limit))
         newest.reverse()
--- a/mangoway/peers/server.py
+++ b/mangoway/peers/server.py
@@ -28,10 +28,10 @@
     def async_receive(
         self, request: ForwardedRequest
     ) -> AsyncGenerator[ForwardedFrame, None]:
-        """Yield the parts of the response; closed if the forwarder disconnects.
+        """Yield the parts of the response; closed early if the peer disconnects.
 
         Raises:
-            MangowayError: If the request fails; it is forwarded unchanged.
+            MangowayError: If the request fails; the peer receives the same failure.
         """
         ...
 
@@ -45,7 +45,7 @@
 
 
 class ConfigurationReceiver(Protocol):
-    """Handles configuration calls."""
+    """Handles fetches and pushes of configurations."""
 
     def async_read_document(
         self, request: pb.FetchConfigurationRequest
@@ -132,7 +132,7 @@
 
 
 class PeerService(PeersBase):
-    """Passes each call to its receiver; UNIMPLEMENTED if there is none."""
+    """Passes each call to its receiver; responds UNIMPLEMENTED if there is none."""
 
     def __init__(self, receivers: PeerReceivers) -> None:
         self._receivers = receivers
@@ -194,14 +194,16 @@
         finally:
             self._handed_over_bytes -= size
         if not last:
-            raise GRPCError(Status.DATA_LOSS, "the hand-over is incomplete")
+            raise GRPCError(
+                Status.DATA_LOSS, "the hand-over ended without its last message"
+            )
 
     def _count_handed_over(self, size: int) -> None:
         self._handed_over_bytes += size
         if self._handed_over_bytes > HAND_OVER_LIMIT_BYTES:
             raise GRPCError(
                 Status.RESOURCE_EXHAUSTED,
-                f"concurrent hand-overs of more than {HAND_OVER_LIMIT_BYTES} bytes",
+                f"concurrent hand-overs exceed {HAND_OVER_LIMIT_BYTES} bytes",
             )
 
     async def ReportDemand(
@@ -239,7 +241,7 @@
         self._sent += 1
 
     async def async_ping(self) -> None:
-        """Send a ping in each period in which nothing else was sent."""
+        """Send a ping after each period in which nothing else was sent."""
         while True:
             sent = self._sent
             await asyncio.sleep(PING_PERIOD_S)
@@ -284,5 +286,5 @@
 
 def _require(receiver: RequestT | None) -> RequestT:
     if receiver is None:
-        raise GRPCError(Status.UNIMPLEMENTED, "not served by this process")
+        raise GRPCError(Status.UNIMPLEMENTED, "this process does not serve the call")
     return receiver
--- a/mangoway/peers/slots.py
+++ b/mangoway/peers/slots.py
@@ -24,7 +24,7 @@
     _names: dict[str, int] = field(factory=dict, init=False)
     _texts: list[str] = field(factory=list, init=False)
 
-    def find_member(self, incarnation: IncarnationId) -> int:
+    def get_member_slot(self, incarnation: IncarnationId) -> int:
         """Return the slot of an incarnation; assign one if it has none.
 
         Raises:
@@ -39,7 +39,7 @@
             self._members[incarnation] = slot
         return slot
 
-    def find_name(self, text: str) -> int:
+    def get_name_slot(self, text: str) -> int:
         """Return the slot of a text; assign one if it has none.
 
         Raises:
@@ -60,7 +60,7 @@
 
 @define(eq=False)
 class SlotSet:
-    """A set of slots as one byte each; compact, since there is a set for each peer."""
+    """A set of slots, one byte each, to save memory: there is one set for each peer."""
 
     _marks: bytearray = field(factory=bytearray, init=False)
 
@@ -100,7 +100,7 @@
             ValueError: If the slot exceeds the limit of a session.
         """
         if slot >= MAX_SLOTS:
-            raise ValueError(f"slot {slot}")
+            raise ValueError(f"slot {slot} exceeds the limit of a session")
         missing = slot + 1 - len(self._texts)
         if missing > 0:
             self._texts.extend([None] * missing)
@@ -108,50 +108,54 @@
 
 
 @define(eq=False)
-class PeerView:
-    """Data that a peer was sent in this process's current session."""
+class SentState:
+    """Record of the data that a peer was sent in this process's current session."""
 
     session: int
     """Session of the peer."""
 
     successors: dict[int, IncarnationId | None] = field(factory=dict)
-    """Slots of members whose identity was sent, with the sent successor."""
+    """Successor in the last sent identity, by slot of the member."""
 
     names: SlotSet = field(factory=SlotSet)
+    """Slots of names that were sent."""
+
     reports_up_to: int = 0
-    """Reports up to this update of the report tracker were sent."""
+    """Number of the last update of the report tracker that was sent."""
 
     residencies: dict[int, int] = field(factory=dict)
     """Digest of the last sent residency, by slot of the runner."""
 
 
 @define(eq=False)
-class SenderView:
-    """Meanings of a peer's slots in one of its sessions."""
+class SenderSlots:
+    """Members and names that a peer's slots stand for in one of its sessions."""
 
     members: dict[int, Member] = field(factory=dict)
     names: SlotTexts = field(factory=SlotTexts)
 
 
 @define(eq=False)
-class SenderViews:
-    """Views of the most recent senders, by session."""
+class RecentSenderSlots:
+    """Slots of the peers that sent heartbeats most recently, by session."""
 
-    _views: OrderedDict[int, SenderView] = field(factory=OrderedDict, init=False)
+    _slots_by_session: OrderedDict[int, SenderSlots] = field(
+        factory=OrderedDict, init=False
+    )
 
     def __iter__(self) -> Iterator[int]:
-        return iter(self._views)
-
-    def get(self, session: int) -> SenderView:
-        """Return the view of a session; the least recent one may be removed."""
-        view = self._views.get(session)
-        if view is None:
-            view = SenderView()
-            self._views[session] = view
-            if len(self._views) > MAX_SESSIONS:
-                self._views.popitem(last=False)
-        self._views.move_to_end(session)
-        return view
+        return iter(self._slots_by_session)
+
+    def get(self, session: int) -> SenderSlots:
+        """Return the slots of a session; a new one may replace the least recent one."""
+        slots = self._slots_by_session.get(session)
+        if slots is None:
+            slots = SenderSlots()
+            self._slots_by_session[session] = slots
+            if len(self._slots_by_session) > MAX_SESSIONS:
+                self._slots_by_session.popitem(last=False)
+        self._slots_by_session.move_to_end(session)
+        return slots
 
 
 def _check_slot(slot: int) -> None:
--- a/mangoway/peers/status.py
+++ b/mangoway/peers/status.py
@@ -12,7 +12,7 @@
 from .member_codec import encode_role
 
 if TYPE_CHECKING:
-    # A controller stores no spans, and the tracing library would cost memory.
+    # For types only: controllers record no spans, and the tracing library takes memory.
     from ..observability.tracing import SpanRecord, Tracing
 
 KIND_TRACE: Final = "trace"
@@ -77,7 +77,9 @@
         case "version":
             detail = f"version: expected a whole number, not {identifier!r}"
         case _:
-            detail = f"expected request, model, runner, version or trace, not {kind!r}"
+            detail = (
+                f"kind: expected request, model, runner, version or trace, not {kind!r}"
+            )
     raise MangowayError(ErrorCode.MALFORMED_REQUEST, detail)
 
 
--- a/tests/peers/test_client.py
+++ b/tests/peers/test_client.py
@@ -153,8 +153,8 @@
         receivers.heartbeats = HeartbeatStub()
         client = PeerClient(relay.address)
         await client.async_exchange(pb.Heartbeat(session=1))
-        async with client._current_link.async_use() as link:
-            protocol = await link.channel.__connect__()
+        async with client._current_connection.async_use() as connection:
+            protocol = await connection.channel.__connect__()
         protocol.processor.connection.close()
         with pytest.raises(MangowayError) as raised:
             await client.async_exchange(pb.Heartbeat(session=1))
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -41,6 +41,7 @@
 pytestmark = pytest.mark.looptime
 
 SETTLE_S = 15
+"""Virtual time in which all processes learn of a start, a change or a loss."""
 
 
 @define
