--- a/mangoway/callers/answer.py
+++ b/mangoway/callers/answer.py
@@ -13,7 +13,7 @@
 
 @frozen(kw_only=True)
 class PlainBody:
-    """Complete answer that is passed on unchanged."""
+    """Response of a plain service, which is passed on unchanged."""
 
     status: int
     content_type: str
@@ -31,7 +31,7 @@
 
 @define(eq=False)
 class Answer:
-    """Answer of one request, from its start to its end.
+    """Answer to one request, from its start to its end.
 
     A completion is filled with pieces of text, a service call receives its `plain`
     body at once, and a request that was forwarded to another gateway receives
@@ -48,11 +48,16 @@
     failure: Failure | None = None
     ended: bool = False
     _leader: "Answer | None" = None
+    """Answer that is followed; None if this one is filled itself."""
+
     _readers: "set[AnswerReader]" = field(factory=set)
 
     @property
     def source(self) -> "Answer":
-        """Return the answer that this one follows, or itself without a leader."""
+        """Return the answer that readers of this one read.
+
+        It is the followed answer, unless none is followed or this one ended by itself.
+        """
         if self._leader is None or self.ended:
             return self
         return self._leader.source
@@ -82,7 +87,7 @@
         self._notify_readers()
 
     def set_plain(self, plain: PlainBody) -> None:
-        """Set the complete answer of a service call."""
+        """Set the response to a service call."""
         self.plain = plain
 
     def relay(self, relayed: RelayedAnswer) -> None:
@@ -91,7 +96,7 @@
         self._notify_readers()
 
     def follow(self, leader: "Answer") -> None:
-        """Follow the answer of another request."""
+        """Let readers read the answer to another request with the same key."""
         self._leader = leader
         for reader in self._readers:
             leader.source._readers.add(reader)
@@ -124,7 +129,10 @@
 
 
 class AnswerReader:
-    """Read position of one caller in an answer; must be closed after use."""
+    """Read position of one caller in an answer; must be closed after use.
+
+    Closing it ends every wait.
+    """
 
     def __init__(self, answer: Answer) -> None:
         self._answer = answer
@@ -145,17 +153,17 @@
 
     @property
     def answer(self) -> Answer:
-        """Return the answer that is read: the leader's if one is followed."""
+        """Return the answer that is read, which may be a followed one."""
         return self._answer.source
 
     def notify(self) -> None:
-        """Report a change of the answer to the waiting task."""
+        """Wake the waiting task after a change of the answer."""
         self._changed = True
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def close(self) -> None:
-        """Stop reading; a task that waits for the answer continues."""
+        """Stop reading and end every wait."""
         self.closed = True
         self._answer._detach(self)
         self.notify()
--- a/mangoway/callers/application.py
+++ b/mangoway/callers/application.py
@@ -31,7 +31,7 @@
     PATH_STATUS,
 )
 from .gate import Exchange, Gate, make_internal_failure
-from .messages import IncomingRequest, OutgoingAnswer
+from .messages import IncomingRequest, OutgoingResponse
 from .problems import make_problem
 
 STATUS_OK = 200
@@ -41,7 +41,7 @@
 
 
 class GatewayView(Protocol):
-    """Interface to the state of the gateway that the application serves."""
+    """Interface to the state of the gateway to which the application belongs."""
 
     def list_addresses(self) -> AddressAnswer:
         """Return the addresses of the gateways that callers should use."""
@@ -56,7 +56,7 @@
         ...
 
     def read_status(self) -> Mapping[str, Any]:
-        """Return a snapshot of the status that can be encoded as JSON."""
+        """Return a snapshot of the gateway's status that can be encoded as JSON."""
         ...
 
     def explain(self, request_id: RequestId) -> list[Mapping[str, Any]]:
@@ -77,14 +77,14 @@
 def make_application(parts: ApplicationParts) -> Application:
     """Return the application, which is started and stopped through its lifespan."""
     app = Application(router=Router())
-    pages = _StatusHandlers(parts)
+    status = _StatusHandlers(parts)
     requests = _RequestHandlers(parts)
-    _add_route(app, "GET", PATH_ADDRESSES, pages.async_list_addresses)
-    _add_route(app, "GET", PATH_STATUS, pages.async_read_status)
-    _add_route(app, "GET", PATH_EXPLAIN + "{request_id}", pages.async_explain)
-    _add_route(app, "GET", PATH_HEALTH, pages.async_check_health)
-    _add_route(app, "GET", PATH_READY, pages.async_check_ready)
-    _add_route(app, "GET", PATH_METRICS, pages.async_read_metrics)
+    _add_route(app, "GET", PATH_ADDRESSES, status.async_list_addresses)
+    _add_route(app, "GET", PATH_STATUS, status.async_read_status)
+    _add_route(app, "GET", PATH_EXPLAIN + "{request_id}", status.async_explain)
+    _add_route(app, "GET", PATH_HEALTH, status.async_check_health)
+    _add_route(app, "GET", PATH_READY, status.async_check_ready)
+    _add_route(app, "GET", PATH_METRICS, status.async_read_metrics)
     _add_route(app, "POST", PATH_COMPLETIONS, requests.async_handle)
     _add_route(app, "POST", PATH_SERVICES + "{service}/{call}", requests.async_handle)
     app.router.fallback = _async_reject_path
@@ -94,7 +94,7 @@
 def _add_route(app: Application, method: str, path: str, handler: Handler) -> None:
     # BlackSheep passes the request unchanged to a handler with this signature.
     async def async_handle(request: Request) -> Response:
-        return await _async_handle_errors(handler, request)
+        return await _async_call_handler(handler, request)
 
     app.router.add(method, path, async_handle)
     for other in HANDLED_METHODS:
@@ -102,13 +102,13 @@
             app.router.add(other, path, _async_reject_method)
 
 
-async def _async_handle_errors(handler: Handler, request: Request) -> Response:
+async def _async_call_handler(handler: Handler, request: Request) -> Response:
+    """Return the response of a handler, or a problem document if it raises."""
     try:
         return await handler(request)
     except MangowayError as error:
         return _make_response(make_problem(error.failure, None))
     except Exception as error:
-        # Callers receive a problem document for unexpected errors as well.
         log_event(TaskFailed(task="callers", error=repr(error)))
         return _make_response(make_problem(make_internal_failure(error), None))
 
@@ -146,7 +146,7 @@
         return _make_json({"gateways": gateways, "valid_for_s": answer.valid_for_s})
 
     async def async_read_status(self, _: Request) -> Response:
-        """Return a snapshot of the status."""
+        """Return a snapshot of the gateway's status."""
         return _make_json(self._parts.view.read_status())
 
     async def async_explain(self, request: Request) -> Response:
@@ -160,11 +160,11 @@
         return _make_json({"request_id": request_id, "decisions": decisions})
 
     async def async_check_health(self, _: Request) -> Response:
-        """Return that the process is running."""
+        """Return status 200, since a process that responds is running."""
         return _make_json({"status": "ok"})
 
     async def async_check_ready(self, _: Request) -> Response:
-        """Return whether new requests are accepted."""
+        """Return status 200 if new requests are accepted; raise an error otherwise."""
         self._parts.view.check_ready()
         return _make_json({"status": "ready"})
 
@@ -188,7 +188,7 @@
                 request, self._parts.max_body_bytes, self._parts.body_timeout_s
             )
         except MangowayError as error:
-            request_id = gate.refuse(_make_incoming(request, b""), error.failure)
+            request_id = gate.reject(_make_incoming(request, b""), error.failure)
             return _make_response(make_problem(error.failure, request_id))
         exchange = gate.open(_make_incoming(request, body))
         disconnect_watch = asyncio.get_running_loop().create_task(
@@ -207,7 +207,7 @@
 async def _async_respond(
     exchange: Exchange, disconnect_watch: "asyncio.Task[None]"
 ) -> tuple[Response, bool]:
-    """Return the response, and whether its body is still streamed."""
+    """Return the response, and whether its body will be streamed."""
     try:
         outgoing = await exchange.async_answer()
     except MangowayError as error:
@@ -226,7 +226,7 @@
 
 
 def _make_stream(
-    outgoing: OutgoingAnswer,
+    outgoing: OutgoingResponse,
     parts: AsyncGenerator[bytes, None],
     exchange: Exchange,
     disconnect_watch: "asyncio.Task[None]",
@@ -264,14 +264,14 @@
     )
 
 
-def _make_response(outgoing: OutgoingAnswer) -> Response:
+def _make_response(outgoing: OutgoingResponse) -> Response:
     assert isinstance(outgoing.body, bytes)
     content_type = dict(outgoing.headers)[HEADER_CONTENT_TYPE].encode()
     content = Content(content_type, outgoing.body)
     return Response(outgoing.status, _encode_headers(outgoing), content)
 
 
-def _encode_headers(outgoing: OutgoingAnswer) -> list[tuple[bytes, bytes]]:
+def _encode_headers(outgoing: OutgoingResponse) -> list[tuple[bytes, bytes]]:
     return [
         (name.encode(), value.encode("latin-1", "replace"))
         for name, value in outgoing.headers
--- a/mangoway/callers/body.py
+++ b/mangoway/callers/body.py
@@ -12,8 +12,8 @@
     """Return the body of a request.
 
     Raises:
-        MangowayError: BODY_TOO_LARGE, MALFORMED_REQUEST if the body takes longer
-            than `timeout_s`, or CANCELLED if the caller closed the connection.
+        MangowayError: BODY_TOO_LARGE, MALFORMED_REQUEST if the body is not received
+            within `timeout_s`, or CANCELLED if the caller closed the connection.
     """
     length = request.get_first_header(b"content-length")
     if length is not None and length.isdigit() and int(length) > max_bytes:
@@ -28,7 +28,7 @@
     except TimeoutError:
         raise MangowayError(
             ErrorCode.MALFORMED_REQUEST,
-            f"the body took longer than {timeout_s:g} seconds",
+            f"the body was not received within {timeout_s:g} seconds",
         ) from None
     except MessageAborted:
         raise MangowayError(
--- a/mangoway/callers/completions.py
+++ b/mangoway/callers/completions.py
@@ -9,13 +9,15 @@
 from .fields import BODY_FIELDS, make_malformed_error
 
 OWN_FIELDS: Final = frozenset({"model", "prompt", "max_tokens", "stream"}) | BODY_FIELDS
+"""Fields that the gateway evaluates itself and doesn't pass on as parameters."""
+
 ENGINE_FIELDS: Final = frozenset(
     {"priority", "request_id", "resume_from", "resume_text"}
 )
 """Fields of the engine protocol that callers must not set."""
 
 SINGLE_VALUE_FIELDS: Final = {"n": 1, "best_of": 1, "echo": False, "logprobs": None}
-"""Fields of the public API for which only one value is supported."""
+"""Fields of the public API with the only value that is supported for each."""
 
 
 @frozen(kw_only=True)
@@ -27,10 +29,10 @@
     max_tokens: int
     stream: bool
     parameters: Mapping[str, Any]
-    """All other fields; the engine validates them."""
+    """All remaining fields; the engine validates them."""
 
     fields: Mapping[str, Any] = field(repr=False)
-    """All fields of the body."""
+    """All fields of the body, as received."""
 
 
 def parse_completion(fields: Mapping[str, Any]) -> CompletionBody:
@@ -65,7 +67,7 @@
 def _read_text(fields: Mapping[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise make_malformed_error(f"{name}: expected text")
+        raise make_malformed_error(f"{name}: expected non-empty text")
     return value
 
 
--- a/mangoway/callers/connection.py
+++ b/mangoway/callers/connection.py
@@ -45,11 +45,11 @@
         self._unread_timer = self.loop.call_later(
             UNREAD_TIMEOUT_S,
             self._abort,
-            "timeout while the caller does not read its response",
+            "timeout while waiting for the caller to read its response",
         )
 
     def resume_writing(self) -> None:
-        """Stop the timeout after the caller has read."""
+        """Stop the timeout, since the caller has read."""
         self._stop_unread_timer()
         super().resume_writing()
 
--- a/mangoway/callers/const.py
+++ b/mangoway/callers/const.py
@@ -1,4 +1,4 @@
-"""Constants of the callers' interface."""
+"""Constants of the interface for callers."""
 
 from typing import Final
 
@@ -50,15 +50,22 @@
 """Time after which a connection with a full write buffer is aborted."""
 
 DEADLINE_MAX_S: Final = 7 * 86_400.0
+"""Longest deadline that a caller may request."""
+
 DEFAULT_MAX_TOKENS: Final = 16
-"""Default of the public completions API."""
+"""Default of `max_tokens`, as in the public completions API."""
 
 MAX_TOKENS_LIMIT: Final = 1 << 20
+"""Largest `max_tokens` that a caller may request."""
+
 CHARACTERS_PER_TOKEN: Final = 4
 """Approximate length of a token, for estimates of a prompt's size."""
 
 PREFIX_BLOCK_CHARACTERS: Final = 256
+"""Length of the blocks of a prompt that are hashed for routing."""
+
 PREFIX_BLOCKS_MAX: Final = 32
+"""Maximum number of hashed blocks of a prompt."""
 
 TRUE_WORDS: Final = frozenset({"1", "true", "yes"})
 FALSE_WORDS: Final = frozenset({"0", "false", "no"})
--- a/mangoway/callers/fields.py
+++ b/mangoway/callers/fields.py
@@ -40,14 +40,14 @@
 
 
 def read_fields(headers: Mapping[str, str], body: Mapping[str, Any]) -> RequestFields:
-    """Read the fields; a header takes precedence over the field of the body.
+    """Read the fields; a header takes precedence over the field in the body.
 
     Raises:
         MangowayError: MALFORMED_REQUEST or UNKNOWN_CLASS with the name of the field.
     """
     key = _read_text(headers, HEADER_IDEMPOTENCY_KEY, body, FIELD_KEY)
     if key == "":
-        raise make_malformed_error(f"{HEADER_IDEMPOTENCY_KEY}: is empty")
+        raise make_malformed_error(f"{HEADER_IDEMPOTENCY_KEY}: expected non-empty text")
     return RequestFields(
         caller=_read_text(headers, HEADER_CALLER, body, FIELD_CALLER),
         work_class=_read_class(headers, body),
--- a/mangoway/callers/gate.py
+++ b/mangoway/callers/gate.py
@@ -1,4 +1,4 @@
-"""Handling of requests from their arrival to their answer."""
+"""Handling of requests from their arrival to the end of their answer."""
 
 import time
 from collections.abc import AsyncGenerator
@@ -18,19 +18,23 @@
 from ..observability.tracing import Hop, HopSpan, Tracing
 from .answer import Answer, AnswerReader
 from .const import HEADER_TRACEPARENT
-from .messages import IncomingRequest, OutgoingAnswer, Submission
+from .messages import IncomingRequest, OutgoingResponse, Submission
 from .parser import Arrival, parse_request, read_key_home
 from .problems import make_error_event
-from .render import CompletionHead, render_plain, render_stream, render_whole
+from .render import CompletionHead, render_complete, render_plain, render_stream
+
+OUTCOME_COMPLETE = "whole"
+OUTCOME_FAILED = "refused"
+"""Outcome of every request that failed, whether or not it ran."""
 
-OUTCOME_WHOLE = "whole"
-OUTCOME_REFUSED = "refused"
 REASON_FAILED_PREFIX = "answered_"
 """Prefix of the reason under which the journal keeps the failure sent to a caller.
 
 The decision that led to the failure has a journal entry with its own reason.
 """
+
 NOT_READY_RETRY_S = 1.0
+"""Delay after which callers should retry while no configuration is in force."""
 
 
 class RequestHandler(Protocol):
@@ -50,7 +54,7 @@
         ...
 
     def hang_up(self, request_id: RequestId) -> None:
-        """Handle the loss of the last reader of a request's answer."""
+        """Handle a caller that no longer waits for the answer to its request."""
         ...
 
 
@@ -65,7 +69,7 @@
     _journal: Journal
     _arrivals: int = field(default=0, init=False)
     open_count: int = field(default=0, init=False)
-    """Number of requests whose answer is not complete."""
+    """Number of exchanges that are not closed."""
 
     def make_id(self) -> RequestId:
         """Return a new request id that is unique in the whole system."""
@@ -80,8 +84,8 @@
         self._metrics.in_progress.set(level=self.open_count)
         return Exchange(self, incoming, self.make_id(), span)
 
-    def refuse(self, incoming: IncomingRequest, failure: Failure) -> RequestId:
-        """Record a request that was refused before its body was complete."""
+    def reject(self, incoming: IncomingRequest, failure: Failure) -> RequestId:
+        """Record a request that was rejected before its body was complete."""
         exchange = self.open(incoming)
         exchange.record_failure(failure)
         exchange.close()
@@ -91,7 +95,7 @@
         """Validate and submit a request.
 
         Raises:
-            MangowayError: If the request was refused before any decision.
+            MangowayError: If no configuration is in force, or the request is invalid.
         """
         configuration = self._handler.configuration
         if configuration is None:
@@ -104,7 +108,7 @@
         return submission
 
     def close(self, exchange: "Exchange") -> None:
-        """Update metrics, log and trace after the end of an exchange."""
+        """Update metrics, log, journal and trace at the end of an exchange."""
         self.open_count -= 1
         self._metrics.in_progress.set(level=self.open_count)
         reader, submission = exchange.reader, exchange.submission
@@ -135,7 +139,7 @@
         request = submission.request
         work_class = request.work_class.value
         seconds = self._handler.now() - request.arrived_at
-        self._metrics.requests.add(work_class, OUTCOME_WHOLE, "")
+        self._metrics.requests.add(work_class, OUTCOME_COMPLETE, "")
         self._metrics.request_seconds.observe(work_class, seconds=seconds)
         log_event(
             RequestFinished(
@@ -151,7 +155,7 @@
     def _log_failure(self, exchange: "Exchange", failure: Failure) -> None:
         request = None if exchange.submission is None else exchange.submission.request
         work_class = "" if request is None else request.work_class.value
-        self._metrics.requests.add(work_class, OUTCOME_REFUSED, failure.code.value)
+        self._metrics.requests.add(work_class, OUTCOME_FAILED, failure.code.value)
         exchange.span.fail(failure.code.value)
         log_event(
             RequestRefused(
@@ -180,7 +184,7 @@
 
 @define(eq=False)
 class Exchange:
-    """One request and its answer; must be closed in every case."""
+    """One request and the response to it; must be closed in every case."""
 
     _gate: Gate
     incoming: IncomingRequest
@@ -191,15 +195,18 @@
     failure: Failure | None = None
     attempts: int = 0
     ended: bool = False
-    """Whether the answer was delivered completely, or failed."""
+    """Whether the exchange failed, or the complete response was handed over."""
 
     closed: bool = False
 
-    async def async_answer(self) -> OutgoingAnswer | None:
-        """Wait for the start of the answer; return None if the caller disconnected.
+    async def async_answer(self) -> OutgoingResponse | None:
+        """Wait for the answer, and return the response once it can be sent.
+
+        That is at the start of a streamed answer, and at the end of any other. Returns
+        None if the caller disconnected.
 
         Raises:
-            MangowayError: If the request fails before the start of its answer.
+            MangowayError: If the request fails before the response can be sent.
         """
         try:
             return await self._async_answer()
@@ -213,12 +220,12 @@
         self.ended = True
 
     def hang_up(self) -> None:
-        """Handle a disconnect; a task that waits for the answer continues."""
+        """Handle a disconnect of the caller, and end the wait for the answer."""
         if self.reader is not None:
             self.reader.close()
 
     def close(self) -> None:
-        """End the exchange; an incomplete answer is cancelled."""
+        """End the exchange; a request whose answer is incomplete is cancelled."""
         if self.closed:
             return
         self.closed = True
@@ -227,7 +234,7 @@
             self.ended = True
         self._gate.close(self)
 
-    async def _async_answer(self) -> OutgoingAnswer | None:
+    async def _async_answer(self) -> OutgoingResponse | None:
         submission = self.submission = self._gate.submit(self)
         reader = self.reader
         assert reader is not None
@@ -242,7 +249,7 @@
             raise _make_error(answer.failure)
         return self._render(submission, reader)
 
-    def _render(self, submission: Submission, reader: AnswerReader) -> OutgoingAnswer:
+    def _render(self, submission: Submission, reader: AnswerReader) -> OutgoingResponse:
         answer = reader.answer
         if not isinstance(submission.request.target, Artifact):
             self.ended = True
@@ -253,12 +260,12 @@
         if submission.request.streamed:
             return render_stream(reader, head)
         self.ended = True
-        return render_whole(answer, head)
+        return render_complete(answer, head)
 
-    def _relay(self, answer: Answer) -> OutgoingAnswer:
+    def _relay(self, answer: Answer) -> OutgoingResponse:
         relayed = answer.relayed
         assert relayed is not None
-        return OutgoingAnswer(
+        return OutgoingResponse(
             status=relayed.status,
             headers=relayed.headers,
             body=self._async_relay(relayed.parts),
@@ -291,7 +298,7 @@
 
 
 def make_internal_failure(error: Exception) -> Failure:
-    """Return the failure of an unexpected error; the request may have run."""
+    """Return the failure for an unexpected error; the request may have run."""
     return Failure(
         code=ErrorCode.INTERNAL,
         verdict=Verdict.MAY_HAVE_RUN,
--- a/mangoway/callers/messages.py
+++ b/mangoway/callers/messages.py
@@ -1,4 +1,4 @@
-"""Requests of callers and their answers, independent of the transport."""
+"""Requests of callers and the responses to them, independent of the transport."""
 
 from collections.abc import AsyncGenerator, Mapping
 from typing import Any
@@ -40,8 +40,8 @@
 
 
 @frozen(kw_only=True)
-class OutgoingAnswer:
-    """Response whose body is complete or streamed in parts."""
+class OutgoingResponse:
+    """Response to a caller or another gateway; the body may be streamed in parts."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
--- a/mangoway/callers/parser.py
+++ b/mangoway/callers/parser.py
@@ -57,13 +57,13 @@
 
 
 def read_key_home(incoming: IncomingRequest) -> IncarnationId | None:
-    """Return the home named in a request's idempotency key, or None.
+    """Return the home in a request's idempotency key; None if there is none.
 
     Raises:
         MangowayError: If the request is invalid; it did not run.
     """
-    completion = incoming.path == PATH_COMPLETIONS
-    body = _load_object(incoming.body) if completion else {}
+    is_completion = incoming.path == PATH_COMPLETIONS
+    body = _load_object(incoming.body) if is_completion else {}
     return _find_home(read_fields(incoming.headers, body).key)
 
 
@@ -84,14 +84,16 @@
     if offer is None:
         detail = f"{work_class.value}: the configuration does not offer this class"
         raise MangowayError(ErrorCode.UNKNOWN_CLASS, detail)
-    first = offer.first_token_s
+    first_token_s = offer.first_token_s
     request = _make_request(
         fields,
         arrival,
         target=artifact,
         work_class=work_class,
         deadline_s=incoming.deadline_s or fields.deadline_s or offer.deadline_s,
-        first_token_deadline=None if first is None else arrival.now + first,
+        first_token_deadline=None
+        if first_token_s is None
+        else arrival.now + first_token_s,
         idempotent=fields.idempotent is not False,
         fingerprint=_hash_completion(fields, artifact, body),
         prompt_tokens=len(body.prompt) // CHARACTERS_PER_TOKEN + 1,
@@ -114,7 +116,7 @@
     fields = read_fields(incoming.headers, {})
     _check_caller(fields, arrival.configuration)
     offer = _find_call(target, arrival.configuration)
-    _load_json(incoming.body)
+    _load_json(incoming.body)  # Only to reject a body that is not JSON.
     request = _make_request(
         fields,
         arrival,
@@ -161,7 +163,8 @@
 def _check_caller(fields: RequestFields, configuration: Configuration) -> None:
     if fields.caller is None:
         raise MangowayError(
-            ErrorCode.UNKNOWN_CALLER, "X-Caller: header or field is missing"
+            ErrorCode.UNKNOWN_CALLER,
+            "X-Caller: this header, or the field caller of a completion, is missing",
         )
     if CallerId(fields.caller) not in configuration.callers:
         raise MangowayError(
@@ -173,7 +176,7 @@
     service = configuration.services.get(target.service)
     offer = None if service is None else service.calls.get(target.call)
     if offer is None:
-        raise MangowayError(ErrorCode.UNKNOWN_SERVICE, f"{target} is not offered")
+        raise MangowayError(ErrorCode.UNKNOWN_SERVICE, f"call {target} is not offered")
     return offer
 
 
@@ -195,15 +198,16 @@
     fields: RequestFields, artifact: Artifact, body: CompletionBody
 ) -> int:
     content = (body.prompt, body.max_tokens, dict(body.parameters))
-    return _hash_parts(
+    return _make_fingerprint(
         fields, artifact, orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     )
 
 
 def _hash_call(fields: RequestFields, target: ServiceCall, body: bytes) -> int:
-    return _hash_parts(fields, target, body)
+    return _make_fingerprint(fields, target, body)
 
 
-def _hash_parts(fields: RequestFields, target: Target, content: bytes) -> int:
+def _make_fingerprint(fields: RequestFields, target: Target, content: bytes) -> int:
+    """Return a hash by which the reuse of a key for another request is detected."""
     parts = orjson.dumps((fields.caller, str(target)))
     return xxh64_intdigest(parts + content)
--- a/mangoway/callers/problems.py
+++ b/mangoway/callers/problems.py
@@ -14,11 +14,11 @@
     HEADER_RETRY_AFTER,
     PROBLEM_TYPE_PREFIX,
 )
-from .messages import OutgoingAnswer
+from .messages import OutgoingResponse
 from .statuses import find_status
 
 
-def make_problem(failure: Failure, request_id: RequestId | None) -> OutgoingAnswer:
+def make_problem(failure: Failure, request_id: RequestId | None) -> OutgoingResponse:
     """Return a failure as a response of type application/problem+json."""
     headers = [(HEADER_CONTENT_TYPE, CONTENT_TYPE_PROBLEM)]
     if request_id is not None:
@@ -27,7 +27,7 @@
         # The header allows whole seconds only; the body has the exact value.
         seconds = max(1, math.ceil(failure.retry_after))
         headers.append((HEADER_RETRY_AFTER, str(seconds)))
-    return OutgoingAnswer(
+    return OutgoingResponse(
         status=find_status(failure.code).value,
         headers=tuple(headers),
         body=orjson.dumps(_make_fields(failure, request_id)),
--- a/mangoway/callers/render.py
+++ b/mangoway/callers/render.py
@@ -14,7 +14,7 @@
     HEADER_CONTENT_TYPE,
     HEADER_REQUEST_ID,
 )
-from .messages import OutgoingAnswer, Submission
+from .messages import OutgoingResponse, Submission
 from .problems import make_error_event
 
 EVENT_DONE = b"data: [DONE]\n\n"
@@ -33,8 +33,8 @@
     submission: Submission
 
 
-def render_whole(answer: Answer, head: CompletionHead) -> OutgoingAnswer:
-    """Return the response of a complete completion."""
+def render_complete(answer: Answer, head: CompletionHead) -> OutgoingResponse:
+    """Return the response of a completion that is sent as a whole."""
     prompt_tokens = len(head.submission.prompt) // CHARACTERS_PER_TOKEN + 1
     choice = {
         "index": 0,
@@ -54,27 +54,27 @@
             "total_tokens": prompt_tokens + answer.tokens,
         },
     }
-    return OutgoingAnswer(
+    return OutgoingResponse(
         status=STATUS_OK,
         headers=_make_headers(CONTENT_TYPE_JSON, head.request_id),
         body=orjson.dumps(body),
     )
 
 
-def render_stream(reader: AnswerReader, head: CompletionHead) -> OutgoingAnswer:
+def render_stream(reader: AnswerReader, head: CompletionHead) -> OutgoingResponse:
     """Return the response of a completion as server-sent events."""
-    return OutgoingAnswer(
+    return OutgoingResponse(
         status=STATUS_OK,
         headers=_make_headers(CONTENT_TYPE_EVENTS, head.request_id),
         body=_async_stream(reader, head),
     )
 
 
-def render_plain(answer: Answer, request_id: RequestId) -> OutgoingAnswer:
+def render_plain(answer: Answer, request_id: RequestId) -> OutgoingResponse:
     """Return the response of a service call."""
     plain = answer.plain
     assert plain is not None
-    return OutgoingAnswer(
+    return OutgoingResponse(
         status=plain.status,
         headers=_make_headers(plain.content_type, request_id),
         body=plain.body,
@@ -84,30 +84,30 @@
 async def _async_stream(
     reader: AnswerReader, head: CompletionHead
 ) -> AsyncGenerator[bytes, None]:
-    frame = _make_frame(head)
+    template = _make_event_template(head)
     while pieces := await reader.async_read():
-        yield b"".join([frame.wrap(piece, None) for piece in pieces])
+        yield b"".join([template.render(piece, None) for piece in pieces])
     answer = reader.answer
     if reader.closed:
         return
     if answer.failure is not None:
         yield make_error_event(answer.failure, head.request_id)
         return
-    yield frame.wrap("", answer.finish_reason) + EVENT_DONE
+    yield template.render("", answer.finish_reason) + EVENT_DONE
 
 
 @frozen
-class _Frame:
-    """Encoded bytes around the text of each event.
+class _EventTemplate:
+    """Encoded bytes around the text and the finish reason of each event.
 
-    They are encoded once for the stream, so that each event encodes its text only.
+    They are encoded once for the stream, so that an event encodes only these two.
     """
 
     before: bytes
     between: bytes = b',"logprobs":null,"finish_reason":'
     after: bytes = b"}]}\n\n"
 
-    def wrap(self, text: str, finish_reason: str | None) -> bytes:
+    def render(self, text: str, finish_reason: str | None) -> bytes:
         """Return the bytes of one event."""
         return b"".join(
             (
@@ -120,7 +120,7 @@
         )
 
 
-def _make_frame(head: CompletionHead) -> _Frame:
+def _make_event_template(head: CompletionHead) -> _EventTemplate:
     shared = orjson.dumps(
         {
             "id": head.request_id,
@@ -129,7 +129,7 @@
             "model": head.submission.model_name,
         }
     )
-    return _Frame(b"data: " + shared[:-1] + b',"choices":[{"index":0,"text":')
+    return _EventTemplate(b"data: " + shared[:-1] + b',"choices":[{"index":0,"text":')
 
 
 def _make_headers(
--- a/mangoway/callers/server.py
+++ b/mangoway/callers/server.py
@@ -11,11 +11,14 @@
 from .connection import CallerConnection
 
 KEEP_ALIVE_S = 30
+"""Time after which an idle connection is closed."""
+
 START_POLL_S = 0.01
+"""Time between two checks whether the server has started."""
 
 
 class CallerServer:
-    """Server of an application on the running loop; the daemon handles signals."""
+    """Serves an application on the running loop; the daemon handles signals."""
 
     def __init__(self, app: Application) -> None:
         config = uvicorn.Config(
--- a/tests/callers/test_answer.py
+++ b/tests/callers/test_answer.py
@@ -17,7 +17,7 @@
 
 
 class TestAnswerReader:
-    """Tests of the pieces and the end that each reader receives."""
+    """Tests of what each reader of an answer receives."""
 
     async def test_every_reader_gets_the_whole_answer(self) -> None:
         answer = Answer()
--- a/tests/callers/test_body.py
+++ b/tests/callers/test_body.py
@@ -29,7 +29,7 @@
     return {"type": "http.request", "body": body, "more_body": more}
 
 
-async def fail(request: Request, timeout_s: float = 5.0) -> MangowayError:
+async def async_expect_error(request: Request, timeout_s: float = 5.0) -> MangowayError:
     with pytest.raises(MangowayError) as caught:
         await async_read_body(request, 4, timeout_s)
     return caught.value
@@ -43,13 +43,19 @@
         assert await async_read_body(request, 4, 5.0) == b"abcd"
 
     async def test_too_large(self) -> None:
-        error = await fail(make_request(make_part(b"abc"), make_part(b"de")))
+        error = await async_expect_error(
+            make_request(make_part(b"abc"), make_part(b"de"))
+        )
         assert error.code is ErrorCode.BODY_TOO_LARGE
 
     async def test_too_slow(self) -> None:
-        error = await fail(make_request(make_part(b"a"), None), timeout_s=0.05)
+        error = await async_expect_error(
+            make_request(make_part(b"a"), None), timeout_s=0.05
+        )
         assert error.code is ErrorCode.MALFORMED_REQUEST
 
     async def test_disconnect(self) -> None:
-        error = await fail(make_request(make_part(b"a"), {"type": "http.disconnect"}))
+        error = await async_expect_error(
+            make_request(make_part(b"a"), {"type": "http.disconnect"})
+        )
         assert error.code is ErrorCode.CANCELLED
--- a/tests/callers/test_connection.py
+++ b/tests/callers/test_connection.py
@@ -16,8 +16,8 @@
 PARTS = 1000
 """Number of parts that exceeds the buffers of a connection by far."""
 
-WHOLE = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
-LONG = b"GET /long HTTP/1.1\r\nHost: h\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+LONG_RESPONSE_REQUEST = b"GET /long HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 @pytest.fixture
@@ -59,13 +59,13 @@
 class TestCallerConnection:
     """Tests of connections that are aborted, and of those that are not."""
 
-    @pytest.mark.parametrize("sent", [b"", b"GET / HTTP/1.1\r\nHo", WHOLE + b"\r\n"])
+    @pytest.mark.parametrize("sent", [b"", b"GET / HTTP/1.1\r\nHo", REQUEST + b"\r\n"])
     async def test_missing_headers_abort_the_connection(
         self, server: CallerServer, sent: bytes
     ) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         writer.write(sent)
-        if sent.startswith(WHOLE):
+        if sent.startswith(REQUEST):
             # The response takes longer than the limit, which applies to headers only.
             assert await read_status(reader) == b"200"
             writer.write(b"GET")
@@ -76,7 +76,7 @@
         self, server: CallerServer
     ) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
-        writer.write(LONG)
+        writer.write(LONG_RESPONSE_REQUEST)
         assert await read_status(reader) == b"200"
         async with asyncio.timeout(WAIT_S):
             while server.connections:  # noqa: ASYNC110
--- a/tests/callers/test_statuses.py
+++ b/tests/callers/test_statuses.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP statuses of error codes."""
+"""Tests of the HTTP status of each error code."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class TestStatuses:
-    """Tests of the status of each error code."""
+    """Tests of the table of statuses."""
 
     @pytest.mark.parametrize("code", list(ErrorCode))
     def test_every_code_has_an_error_status(self, code: ErrorCode) -> None:
