--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -30,7 +30,7 @@
     ForwardToPeer,
     JoinRequest,
     LogBreakerChange,
-    Refuse,
+    Reject,
     ReplayAnswer,
     ReportDemand,
     StartAttempt,
@@ -179,8 +179,8 @@
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         self.runner.async_cancel(action.attempt_id)
 
-    @_handles(Refuse)
-    def _refuse(self, action: Refuse) -> None:
+    @_handles(Reject)
+    def _refuse(self, action: Reject) -> None:
         record = self.records.pop(action.request_id)
         if record is not None:
             record.attempt = None
--- a/mangoway/edge/plain_grant_provider.py
+++ b/mangoway/edge/plain_grant_provider.py
@@ -15,7 +15,7 @@
 from ..policy.edge.health import HealthTracker
 from ..policy.scheduling.const import MAX_RETRY_AFTER_S, RETRY_SPREAD
 from ..policy.scheduling.core import RATE_LIMITED_REASON
-from ..policy.scheduling.events import EndKind, Refuse
+from ..policy.scheduling.events import EndKind, Reject
 
 NO_RUNNER_REASON: Final = "no runner of the service is known"
 ALL_REJECTED_REASON: Final = "each runner that may get it has refused it"
@@ -44,7 +44,7 @@
         only: tuple[str, ...],
         refused: Container[str] = (),
         waits: Mapping[str, float] = NO_WAITS,
-    ) -> RunnerEntry | Refuse:
+    ) -> RunnerEntry | Reject:
         """Return a runner of a service, or why there is none.
 
         Args:
@@ -103,5 +103,5 @@
                 )
 
 
-def _make_refusal(reason: str, retry_after_s: float = RETRY_AFTER_OUTAGE_S) -> Refuse:
-    return Refuse(edge="", request_id="", retry_after_s=retry_after_s, reason=reason)
+def _make_refusal(reason: str, retry_after_s: float = RETRY_AFTER_OUTAGE_S) -> Reject:
+    return Reject(edge="", request_id="", retry_after_s=retry_after_s, reason=reason)
--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -17,7 +17,7 @@
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
 from ..policy.edge.retries import FailedAttempt, RetryCause, RetryDecision, decide_retry
-from ..policy.scheduling.events import EndKind, Refuse
+from ..policy.scheduling.events import EndKind, Reject
 from .admission import Admission, Caller, Rejection
 from .attempt import Attempt, AttemptResult, BufferedResponse, deliver_buffered
 from .const import (
@@ -113,7 +113,7 @@
     async def _async_try_runners(self) -> None:
         while True:
             found = await self._finder.async_find()
-            if isinstance(found, Refuse):
+            if isinstance(found, Reject):
                 status = STATUS_OVER_QUOTA if found.over_quota else STATUS_NOT_RUN
                 self._reject(found.reason, found.retry_after_s, status)
                 return
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -18,7 +18,7 @@
 from ..policy.crashes.const import RETRY_AFTER_BLOCK_S
 from ..policy.customers.const import OVER_QUOTA
 from ..policy.edge.const import MIN_RETRY_TIME_S, RETRY_AFTER_OUTAGE_S
-from ..policy.scheduling.events import EndKind, GrantRequest, Refuse
+from ..policy.scheduling.events import EndKind, GrantRequest, Reject
 from ..scheduling.grant_provider import GrantProvider, GrantResponse
 from .admission import Caller
 from .const import ALTERNATIVE_TIMEOUT_S, CRASHING_REQUEST_REASON, MAX_GRANT_REQUESTS
@@ -100,7 +100,7 @@
         """Return whether a runner was found while the previous one was silent."""
         return self._reserved is not None
 
-    async def async_find(self) -> RunnerEntry | Refuse:
+    async def async_find(self) -> RunnerEntry | Reject:
         """Return the runner to send the request to, or why there is none.
 
         The request is checked for being blocked again when a runner is found, because
@@ -146,7 +146,7 @@
         """Find an alternative to a silent runner."""
         if self.service.engine is None:
             found = await self._async_find_plain_runner(excluded, ())
-            if isinstance(found, Refuse) or found.runner_id in excluded:
+            if isinstance(found, Reject) or found.runner_id in excluded:
                 return False
             self._reserved = ReservedGrant(None, found)
             return True
@@ -200,7 +200,7 @@
         """Return what the request has yet to consume of its customer's quota."""
         return 0.0 if self._quota_consumed else self.caller.measure_cost(self.fields)
 
-    def _consume_quota(self) -> Refuse | None:
+    def _consume_quota(self) -> Reject | None:
         """Consume the quota of a request that needs no grant; return why it can't."""
         cost = self._measure_cost()
         if not cost or self.caller.name is None:
@@ -214,10 +214,10 @@
     def _is_blocked(self) -> bool:
         return self.context.crash_filter.is_blocked(self.log.identity)
 
-    def _reject_blocked(self) -> Refuse:
+    def _reject_blocked(self) -> Reject:
         return self._make_refusal(CRASHING_REQUEST_REASON, RETRY_AFTER_BLOCK_S)
 
-    async def _async_find_runner(self) -> RunnerEntry | Refuse:
+    async def _async_find_runner(self) -> RunnerEntry | Reject:
         """Return the runner to send the request to, or why there is none."""
         if self._reserved is not None:
             reserved, self._reserved = self._reserved, None
@@ -231,7 +231,7 @@
             )
         for _ in range(MAX_GRANT_REQUESTS):
             response = await self._async_request_next_grant()
-            if isinstance(response, Refuse):
+            if isinstance(response, Reject):
                 return response
             entry = self.context.view.find_open_runner(response.runner_id)
             if entry is not None and self._accepts_requests(entry):
@@ -249,7 +249,7 @@
         self._grant_id = grant_request.request_id
         response = await self._async_request_grant(grant_request)
         self.log.queued_s += self._clock() - requested_at
-        if isinstance(response, Refuse):
+        if isinstance(response, Reject):
             self.release_grant(EndKind.LEFT)
         else:
             self._quota_consumed += grant_request.cost
@@ -257,14 +257,14 @@
 
     async def _async_find_plain_runner(
         self, excluded: list[str], only: tuple[str, ...]
-    ) -> RunnerEntry | Refuse:
+    ) -> RunnerEntry | Reject:
         """Choose a plain runner, with a permit if it is limited."""
         waits = self._list_cooldowns()
         while True:
             found = self.context.plain_grant_provider.find_runner(
                 self.service.name, excluded, only, self._rejecting, waits
             )
-            if isinstance(found, Refuse) or not self._is_limited(found):
+            if isinstance(found, Reject) or not self._is_limited(found):
                 return found
             wait_s = await self.context.grant_provider.async_request_permit(found)
             if wait_s == 0.0:
@@ -313,7 +313,7 @@
                 raise
             return False
         entry = None
-        if not isinstance(response, Refuse):
+        if not isinstance(response, Reject):
             entry = self.context.view.find_open_runner(response.runner_id)
         if entry is None or not self._accepts_requests(entry):
             grant_provider.end_request(grant_request.request_id, EndKind.LEFT)
@@ -354,8 +354,8 @@
 
     def _make_refusal(
         self, reason: str, retry_after_s: float, *, over_quota: bool = False
-    ) -> Refuse:
-        return Refuse(
+    ) -> Reject:
+        return Reject(
             edge=self.context.incarnation,
             request_id=self.fields.request_id,
             retry_after_s=retry_after_s,
--- a/mangoway/policy/dispatch/actions.py
+++ b/mangoway/policy/dispatch/actions.py
@@ -41,7 +41,7 @@
 
 
 @frozen(kw_only=True)
-class Refuse:
+class Reject:
     """Answer a request with a failure; the core keeps no state of it afterwards."""
 
     request_id: RequestId
@@ -148,7 +148,7 @@
 DispatchAction = (
     StartAttempt
     | CancelAttempt
-    | Refuse
+    | Reject
     | FinishRequest
     | ReplayAnswer
     | JoinRequest
--- a/mangoway/policy/dispatch/requests.py
+++ b/mangoway/policy/dispatch/requests.py
@@ -6,7 +6,7 @@
 from ...models.identifiers import RequestId
 from ...models.request import Request
 from ...models.verdict import Verdict
-from .actions import DeleteAnswer, FinishRequest, JoinRequest, Refuse
+from .actions import DeleteAnswer, FinishRequest, JoinRequest, Reject
 from .attempts import Attempts
 from .const import REASON_CONTINUED_DETACHED
 from .context import Context
@@ -47,7 +47,7 @@
     def refuse_arrival(self, request: Request, failure: Failure) -> None:
         """Refuse a request that was not added."""
         self.context.explain_failure(request.id, failure)
-        self.context.emit(Refuse(request_id=request.id, failure=failure))
+        self.context.emit(Reject(request_id=request.id, failure=failure))
 
     def finish(self, entry: Entry) -> None:
         """End a request whose answer is complete."""
@@ -78,7 +78,7 @@
             self.keys.fail(entry.tracked_key, merged)
             self._schedule_drop(entry.tracked_key)
         self.context.explain_failure(entry.request.id, merged)
-        self.context.emit(Refuse(request_id=entry.request.id, failure=merged))
+        self.context.emit(Reject(request_id=entry.request.id, failure=merged))
         self._end(entry)
 
     def join(self, request: Request, leader: RequestId) -> None:
--- a/mangoway/policy/scheduling/core.py
+++ b/mangoway/policy/scheduling/core.py
@@ -24,7 +24,7 @@
     OrdersAllowed,
     PermitRequest,
     QuotaSpent,
-    Refuse,
+    Reject,
     ReportReceived,
     RequestAdopted,
     RequestEnded,
@@ -97,7 +97,7 @@
     def _settle_charges(self, actions: list[Action], now: float) -> None:
         """Refund the quota charges of refused requests; drop those of granted ones."""
         for action in actions:
-            if isinstance(action, Refuse):
+            if isinstance(action, Reject):
                 self.refund((action.edge, action.request_id), now)
             elif isinstance(action, Grant):
                 self.state.charges.pop((action.edge, action.request_id), None)
@@ -336,7 +336,7 @@
     limits, incarnation = core.state.limits, (event.runner_id, event.started_ms)
     if limits.measure_wait(*incarnation, now) > 0:
         return [
-            Refuse(
+            Reject(
                 edge=event.edge,
                 request_id=event.request_id,
                 retry_after_s=round(limits.reserve_retry_after(*incarnation, now), 3),
@@ -467,8 +467,8 @@
     )
 
 
-def _refuse_over_quota(event: GrantRequest, wait_s: float) -> Refuse:
-    return Refuse(
+def _refuse_over_quota(event: GrantRequest, wait_s: float) -> Reject:
+    return Reject(
         edge=event.edge,
         request_id=event.request_id,
         retry_after_s=round(max(wait_s, MIN_RETRY_AFTER_S), 3),
@@ -477,8 +477,8 @@
     )
 
 
-def _make_refusal(event: GrantRequest, retry_after_s: float, reason: str) -> Refuse:
-    return Refuse(
+def _make_refusal(event: GrantRequest, retry_after_s: float, reason: str) -> Reject:
+    return Reject(
         edge=event.edge,
         request_id=event.request_id,
         retry_after_s=retry_after_s,
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -224,7 +224,7 @@
 
 
 @frozen(kw_only=True)
-class Refuse:
+class Reject:
     """The request can't be served in its time."""
 
     edge: str
@@ -254,4 +254,4 @@
     """Incarnation of the runner that the order is for."""
 
 
-Action = Grant | Refuse | SendOrder
+Action = Grant | Reject | SendOrder
--- a/mangoway/policy/scheduling/forecast.py
+++ b/mangoway/policy/scheduling/forecast.py
@@ -15,7 +15,7 @@
     RETRY_SPREAD,
     USABLE_PATIENCE_SHARE,
 )
-from .events import GrantRequest, Refuse
+from .events import GrantRequest, Reject
 from .loads import ReadyTimes
 from .queue import allows
 from .requests import WaitingRequest
@@ -56,7 +56,7 @@
         }
         self._ready = ReadyTimes(self.state, self.service, now)
 
-    def list_refusals(self) -> list[Refuse]:
+    def list_refusals(self) -> list[Reject]:
         """Return refusals of the requests that would start after their callers left."""
         refusals = []
         for waiting in self.state.get_queue(self.service).list_sorted():
@@ -165,10 +165,10 @@
         entry = self._runners[runner_id].entry
         return self.state.limits.get_limit(runner_id, entry.started_ms) is not None
 
-    def _refuse(self, waiting: WaitingRequest, free_at: float, reason: str) -> Refuse:
+    def _refuse(self, waiting: WaitingRequest, free_at: float, reason: str) -> Reject:
         wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, free_at - self.now))
         spread = 1 + RETRY_SPREAD * self.state.random.random()
-        return Refuse(
+        return Reject(
             edge=waiting.grant_request.edge,
             request_id=waiting.grant_request.request_id,
             retry_after_s=round(wait_s * spread, 3),
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -21,7 +21,7 @@
     GrantRequest,
     PermitRequest,
     QuotaSpent,
-    Refuse,
+    Reject,
     RequestAdopted,
     RequestEnded,
     SpendingReported,
@@ -213,7 +213,7 @@
             return RETRY_AFTER_PERMIT_S
         finally:
             del self._permits[request_id]
-        return response.retry_after_s if isinstance(response, Refuse) else 0.0
+        return response.retry_after_s if isinstance(response, Reject) else 0.0
 
     def report_signal(
         self, report: LimitReport | LeavingReport | CooldownReport
@@ -238,7 +238,7 @@
         for tracked in list(self._requests.values()):
             if tracked.runner_id is None and not tracked.future.done():
                 tracked.future.set_result(
-                    Refuse(
+                    Reject(
                         edge=self.incarnation,
                         request_id=tracked.grant_request.request_id,
                         retry_after_s=retry_after_s,
@@ -263,7 +263,7 @@
             self.on_limit(message)
         elif isinstance(message, LeavingReport):
             self.on_leaving(message)
-        elif isinstance(message, Grant | Refuse):
+        elif isinstance(message, Grant | Reject):
             permit = self._permits.get(message.request_id)
             if permit is not None:
                 permit.set_result(message)
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -28,7 +28,7 @@
     GrantRequest,
     PermitRequest,
     QuotaSpent,
-    Refuse,
+    Reject,
     RequestAdopted,
     RequestEnded,
     SpendingReported,
@@ -418,8 +418,8 @@
     return Grant(edge=edge, request_id=fields[1], runner_id=fields[2])
 
 
-@encodes(Refuse)
-def _encode_refuse(message: Refuse) -> list[Any]:
+@encodes(Reject)
+def _encode_refuse(message: Reject) -> list[Any]:
     return [
         "refuse",
         message.request_id,
@@ -431,7 +431,7 @@
 
 @decodes("refuse")
 def _decode_refuse(fields: list[Any], edge: str) -> Message:
-    return Refuse(
+    return Reject(
         edge=edge,
         request_id=fields[1],
         retry_after_s=fields[2],
--- a/mangoway/scheduling/grant_provider.py
+++ b/mangoway/scheduling/grant_provider.py
@@ -6,9 +6,9 @@
 from attrs import define, field
 
 from ..models.runner import RunnerEntry
-from ..policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
+from ..policy.scheduling.events import EndKind, Grant, GrantRequest, Reject
 
-GrantResponse = Grant | Refuse
+GrantResponse = Grant | Reject
 
 
 class GrantProvider(Protocol):
--- a/mangoway/scheduling/local_grant_provider.py
+++ b/mangoway/scheduling/local_grant_provider.py
@@ -16,7 +16,7 @@
     FleetUpdated,
     Grant,
     GrantRequest,
-    Refuse,
+    Reject,
     RequestAdopted,
     RequestEnded,
     Tick,
@@ -103,7 +103,7 @@
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Grant | Refuse) and not self._pending.resolve(action):
+            if isinstance(action, Grant | Reject) and not self._pending.resolve(action):
                 ended = RequestEnded(
                     edge=self.edge, request_id=action.request_id, kind=EndKind.LEFT
                 )
--- a/mangoway/scheduling/messages.py
+++ b/mangoway/scheduling/messages.py
@@ -12,7 +12,7 @@
     GrantRequest,
     PermitRequest,
     QuotaSpent,
-    Refuse,
+    Reject,
     RequestAdopted,
     RequestEnded,
     SpendingReported,
@@ -116,5 +116,5 @@
     | PermitRequest
     | LeavingReport
     | Grant
-    | Refuse
+    | Reject
 )
--- a/measure/baselines/dispatch.py
+++ b/measure/baselines/dispatch.py
@@ -25,7 +25,7 @@
 from mangoway.policy.dispatch.actions import (
     DispatchAction,
     FinishRequest,
-    Refuse,
+    Reject,
     ReportDemand,
     StartAttempt,
     WakeAt,
@@ -200,7 +200,7 @@
         if isinstance(request.target, Artifact):
             self._demand_counts.setdefault(request.target, _DemandCount()).refused += 1
         failure = Failure(code=code, verdict=verdict, detail="")
-        return [Refuse(request_id=request_id, failure=failure)]
+        return [Reject(request_id=request_id, failure=failure)]
 
     def _apply_report(self, report: EngineReport, now: float) -> list[DispatchAction]:
         ready = frozenset(
--- a/measure/gateways.py
+++ b/measure/gateways.py
@@ -26,7 +26,7 @@
     Explain,
     FinishRequest,
     LogBreakerChange,
-    Refuse,
+    Reject,
     ReportDemand,
     StartAttempt,
     WakeAt,
@@ -126,7 +126,7 @@
         self._executors: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
             CancelAttempt: self._cancel_attempt,
-            Refuse: self._refuse_request,
+            Reject: self._refuse_request,
             FinishRequest: self._finish_request,
             ReportDemand: self._send_demand,
             WakeAt: self._schedule_wakeup,
@@ -299,7 +299,7 @@
             latency = find_latency(self.data_centre, host.data_centre)
             self.clock.call_later(latency, host.cancel, attempt_id, self)
 
-    def _refuse_request(self, action: Refuse) -> None:
+    def _refuse_request(self, action: Reject) -> None:
         request = self._open_requests.pop(action.request_id, None)
         if request is not None:
             request.caller.receive_failure(action.failure)
--- a/measure/scheduling/fleet.py
+++ b/measure/scheduling/fleet.py
@@ -28,7 +28,7 @@
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
-    Refuse,
+    Reject,
     ReportReceived,
     RequestEnded,
     SendOrder,
@@ -179,7 +179,7 @@
                 self._granted += 1
                 self._waiting -= 1
                 self._run_prefill(action)
-            elif isinstance(action, Refuse):
+            elif isinstance(action, Reject):
                 self._waiting -= 1
             else:
                 self._execute_order(action)
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from mangoway.policy.customers.const import OVER_QUOTA
-from mangoway.policy.scheduling.events import GrantRequest, Refuse
+from mangoway.policy.scheduling.events import GrantRequest, Reject
 from mangoway.scheduling.grant_provider import GrantResponse
 
 from ..upstreams.raw_server import RawServer, answer, cut
@@ -32,7 +32,7 @@
             asyncio.get_running_loop().create_future()
         )
         future.set_result(
-            Refuse(
+            Reject(
                 edge=grant_request.edge,
                 request_id=grant_request.request_id,
                 retry_after_s=1.25,
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -27,7 +27,7 @@
 from mangoway.policy.edge.shares import FleetShare
 from mangoway.policy.limits.cooldowns import CooldownTracker
 from mangoway.policy.limits.tracker import LimitTracker
-from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Refuse
+from mangoway.policy.scheduling.events import EndKind, Grant, GrantRequest, Reject
 from mangoway.scheduling.grant_provider import GrantResponse
 from mangoway.util.listener import open_listener
 from mangoway.util.tasks import Tasks
@@ -101,7 +101,7 @@
         ]
         if grant_request.only:
             available = [each for each in available if each in grant_request.only]
-        answer: GrantResponse = Refuse(
+        answer: GrantResponse = Reject(
             edge=grant_request.edge,
             request_id=grant_request.request_id,
             retry_after_s=0.7,
--- a/tests/policy/dispatch/test_core.py
+++ b/tests/policy/dispatch/test_core.py
@@ -12,7 +12,7 @@
     CancelAttempt,
     DispatchAction,
     ForwardToPeer,
-    Refuse,
+    Reject,
     ReportDemand,
     StartAttempt,
     WakeAt,
@@ -46,7 +46,7 @@
 
 
 def find_code(actions: list[DispatchAction]) -> ErrorCode:
-    (refusal,) = select(actions, Refuse)
+    (refusal,) = select(actions, Reject)
     assert refusal.failure.verdict is Verdict.NOT_RUN
     code: ErrorCode = refusal.failure.code
     return code
@@ -75,7 +75,7 @@
         start(core, make_request("a", 1.0), 1.0)
         actions = arrive(core, make_request("b", 1.1), 1.1)
         assert find_code(actions) is ErrorCode.CALLER_LIMIT
-        assert select(actions, Refuse)[0].failure.retry_after == pytest.approx(0.4)
+        assert select(actions, Reject)[0].failure.retry_after == pytest.approx(0.4)
         start(core, make_request("c", 1.6), 1.6)
         stranger = make_request("d", 1.6, caller="stranger")
         assert find_code(arrive(core, stranger, 1.6)) is ErrorCode.UNKNOWN_CALLER
@@ -85,13 +85,13 @@
         attempt = start(core, make_request("warm", 1.0), 1.0).attempt_id
         core.handle(AttemptSucceeded(attempt_id=attempt), 3.0)
         start(core, make_request("runs", 3.0), 3.0)
-        assert not select(arrive(core, make_request("b", 3.0), 3.0), Refuse)
+        assert not select(arrive(core, make_request("b", 3.0), 3.0), Reject)
         for number in range(2):
             arrive(core, make_request(f"w{number}", 3.0), 3.0)
         short = make_request("short", 3.0, within=5.0)
         actions = arrive(core, short, 3.0)
         assert find_code(actions) is ErrorCode.DEADLINE_UNREACHABLE
-        assert select(actions, Refuse)[0].failure.retry_after >= 0.5
+        assert select(actions, Reject)[0].failure.retry_after >= 0.5
 
     def test_urgent_load_does_not_refuse_feasible_patient_requests(
         self,
@@ -103,10 +103,10 @@
         for number in range(16):
             at = 3.0 + number
             patient = make_request(f"patient{number}", at, 60.0, urgent=False)
-            assert not select(arrive(core, patient, at), Refuse)
+            assert not select(arrive(core, patient, at), Reject)
             arrive(core, make_request(f"urgent{number}", at, 5.0, DRAFT), at)
             actions = core.handle(AttemptSucceeded(attempt_id=attempt), at)
-            assert not select(actions, Refuse)
+            assert not select(actions, Reject)
             (started,) = select(actions, StartAttempt)
             assert started.request_id == f"urgent{number}"
             attempt = started.attempt_id
@@ -115,7 +115,7 @@
         core = make_core(engines=1, artifacts=())
         actions = arrive(core, make_request("a", 1.0), 1.0)
         assert find_code(actions) is ErrorCode.MODEL_LOADING
-        assert select(actions, Refuse)[0].failure.retry_after >= 20.0
+        assert select(actions, Reject)[0].failure.retry_after >= 20.0
         arrive(core, make_request("b", 1.0, within=40.0), 1.0)
         core.handle(make_report("engine0", 2.0, state=Residency.LOADING), 2.0)
         (started,) = select(
@@ -126,7 +126,7 @@
     def test_wait_for_a_load_that_never_begins_ends_early(self) -> None:
         core = make_core(engines=1, artifacts=())
         arrive(core, make_request("a", 1.0, within=40.0), 1.0)
-        assert not select(core.handle(Ticked(), 20.0), Refuse)
+        assert not select(core.handle(Ticked(), 20.0), Reject)
         actions = core.handle(Ticked(), 28.0)
         assert find_code(actions) is ErrorCode.MODEL_LOADING
 
@@ -151,8 +151,8 @@
         core = make_core(engines=1, max_running=1)
         start(core, make_request("a", 1.0, 100.0), 1.0)
         arrive(core, make_request("b", 1.0, 4.0), 1.0)
-        assert not select(core.handle(Ticked(), 4.9), Refuse)
-        assert select(core.handle(Ticked(), 5.0), Refuse)[0].request_id == "b"
+        assert not select(core.handle(Ticked(), 4.9), Reject)
+        assert select(core.handle(Ticked(), 5.0), Reject)[0].request_id == "b"
 
     def test_paused_process_starts_no_expired_request(self) -> None:
         core = make_core(engines=1, max_running=1)
@@ -160,7 +160,7 @@
         arrive(core, make_request("b", 1.0, 4.0), 1.0)
         actions = core.handle(AttemptSucceeded(attempt_id=attempt), 50.0)
         assert not select(actions, StartAttempt)
-        assert select(actions, Refuse)[0].request_id == "b"
+        assert select(actions, Reject)[0].request_id == "b"
 
     def test_deadline_is_checked_again_before_a_start(self) -> None:
         core = make_core(engines=1, max_running=1)
@@ -175,7 +175,7 @@
         attempt = start(core, make_request("a", 1.0, 4.0), 1.0).attempt_id
         actions = core.handle(Ticked(), 5.0)
         assert select(actions, CancelAttempt)[0].attempt_id == attempt
-        (refusal,) = select(actions, Refuse)
+        (refusal,) = select(actions, Reject)
         assert refusal.failure.code is ErrorCode.DEADLINE_EXCEEDED
         assert refusal.failure.verdict is Verdict.MAY_HAVE_RUN
 
@@ -184,7 +184,7 @@
         start(core, make_request("a", 1.0, 100.0), 1.0)
         actions = core.handle(RequestCancelled(request_id="a"), 2.0)
         assert select(actions, CancelAttempt)
-        assert select(actions, Refuse)[0].failure.code is ErrorCode.CANCELLED
+        assert select(actions, Reject)[0].failure.code is ErrorCode.CANCELLED
         arrive(core, make_request("b", 2.0, 100.0), 2.0)
         (started,) = select(core.handle(Ticked(), 12.1), StartAttempt)
         assert started.request_id == "b"
--- a/tests/policy/dispatch/test_keys.py
+++ b/tests/policy/dispatch/test_keys.py
@@ -15,7 +15,7 @@
     FinishRequest,
     ForwardToHome,
     JoinRequest,
-    Refuse,
+    Reject,
     ReplayAnswer,
     StartAttempt,
 )
@@ -66,7 +66,7 @@
 
 
 def find_refusal(actions: list[DispatchAction]) -> tuple[ErrorCode, Verdict]:
-    (refusal,) = select(actions, Refuse)
+    (refusal,) = select(actions, Reject)
     return refusal.failure.code, refusal.failure.verdict
 
 
@@ -93,7 +93,7 @@
     def test_running_request_continues_after_a_hang_up(self) -> None:
         core = make_core()
         first = arrive(core, make_keyed("a", 1.0), 1.0)
-        assert not select(core.handle(RequestCancelled(request_id="a"), 2.0), Refuse)
+        assert not select(core.handle(RequestCancelled(request_id="a"), 2.0), Reject)
         finish(core, first, 3.0)
         again = arrive(core, make_keyed("b", 1.0), 4.0)
         assert select(again, ReplayAnswer)
@@ -140,7 +140,7 @@
         finish(core, arrive(core, make_keyed("a", 1.0), 1.0), 2.0)
         new = arrive(core, make_keyed("b", 3.0, own_id="b"), 3.0)
         assert find_refusal(new) == (ErrorCode.OVERLOADED, Verdict.NOT_RUN)
-        assert select(new, Refuse)[0].failure.retry_after > 600.0
+        assert select(new, Reject)[0].failure.retry_after > 600.0
         assert select(arrive(core, make_keyed("c", 1.0), 4.0), ReplayAnswer)
 
 
--- a/tests/policy/dispatch/test_queues.py
+++ b/tests/policy/dispatch/test_queues.py
@@ -7,7 +7,7 @@
 from mangoway.models.errors import ErrorCode
 from mangoway.models.offer import CallerOffer
 from mangoway.policy.dispatch import queues
-from mangoway.policy.dispatch.actions import Refuse, StartAttempt
+from mangoway.policy.dispatch.actions import Reject, StartAttempt
 from mangoway.policy.dispatch.core import DispatchCore
 from mangoway.policy.dispatch.events import AttemptSucceeded
 
@@ -109,7 +109,7 @@
             request = make_request(
                 name, 1.0, float(within), CHAT, caller, work == "urgent"
             )
-            refusals = select(arrive(core, request, 1.0), Refuse)
+            refusals = select(arrive(core, request, 1.0), Reject)
             assert all(item.failure.code is ErrorCode.OVERLOADED for item in refusals)
             refused += [item.request_id for item in refusals]
         return refused
--- a/tests/policy/dispatch/test_retries.py
+++ b/tests/policy/dispatch/test_retries.py
@@ -11,7 +11,7 @@
     DispatchAction,
     Explain,
     FinishRequest,
-    Refuse,
+    Reject,
     StartAttempt,
 )
 from mangoway.policy.dispatch.breakers import BreakerState
@@ -70,7 +70,7 @@
         event = make_failed(
             start(core, request, 1.0).attempt_id, ErrorCode.UPSTREAM_SILENT, verdict
         )
-        (refusal,) = select(core.handle(event, 1.1), Refuse)
+        (refusal,) = select(core.handle(event, 1.1), Reject)
         assert refusal.failure.verdict is verdict
 
     def test_unrequested_cancellation_may_have_run(self) -> None:
@@ -78,7 +78,7 @@
         request = make_request("a", 1.0, target=CALL, idempotent=False)
         event = AttemptCancelled(attempt_id=start(core, request, 1.0).attempt_id)
         actions = core.handle(event, 1.1)
-        assert select(actions, Refuse)[0].failure.verdict is Verdict.MAY_HAVE_RUN
+        assert select(actions, Reject)[0].failure.verdict is Verdict.MAY_HAVE_RUN
         assert not select(core.handle(Ticked(), 2.0), StartAttempt)
 
     def test_attempt_that_did_not_run_is_retried_elsewhere(self) -> None:
@@ -94,7 +94,7 @@
         first = start(core, make_request("a", 1.0), 1.0)
         (again,) = select(fail(core, first, 1.1), StartAttempt)
         code = ErrorCode.MALFORMED_REQUEST
-        (refusal,) = select(fail(core, again, 1.5, code, Verdict.NOT_RUN), Refuse)
+        (refusal,) = select(fail(core, again, 1.5, code, Verdict.NOT_RUN), Reject)
         assert refusal.failure.verdict is Verdict.MAY_HAVE_RUN
 
     def test_no_retry_after_the_deadline(self) -> None:
@@ -102,7 +102,7 @@
         first = start(core, make_request("a", 1.0, within=1.0), 1.0)
         event = make_failed(first.attempt_id, ErrorCode.UPSTREAM_BUSY, Verdict.NOT_RUN)
         actions = core.handle(event, 1.99)
-        assert select(actions, Refuse)
+        assert select(actions, Reject)
         reasons = [item.reason for item in select(actions, Explain)]
         assert "not_retried_deadline" in reasons
 
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -25,7 +25,7 @@
     ForwardToHome,
     ForwardToPeer,
     JoinRequest,
-    Refuse,
+    Reject,
     ReplayAnswer,
     StartAttempt,
 )
@@ -314,7 +314,7 @@
                 assert self.sent_attempts[attempt_id].gateway == identity
             case ClaimKey():
                 self.claiming.append((identity, action))
-            case Refuse(request_id=request_id, failure=failure):
+            case Reject(request_id=request_id, failure=failure):
                 self._end(request_id)
                 self._check_refusal(self.submissions[request_id], failure)
             case FinishRequest(request_id=request_id):
--- a/tests/policy/scheduling/test_limits.py
+++ b/tests/policy/scheduling/test_limits.py
@@ -6,7 +6,7 @@
 from mangoway.policy.limits.const import MIN_LIMITED_S
 from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.core import RATE_LIMITED_REASON
-from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Refuse
+from mangoway.policy.scheduling.events import FleetUpdated, Grant, PermitRequest, Reject
 
 from ...fakes.fleet import make_grant_request
 from .world import World
@@ -105,7 +105,7 @@
 class TestRefusal:
     """Requests that a limited runner can't serve in time."""
 
-    def simulate(self) -> list[Refuse]:
+    def simulate(self) -> list[Reject]:
         world = simulate([["a", "b", "c"]], models="abc")
         for number in range(30):
             world.add_request(make_grant_request(f"q{number}", "a"), at=1.0)
@@ -179,10 +179,10 @@
     def test_refused_permits_have_distinct_retry_times(self) -> None:
         world = simulate([["a"]], models="a")
         refusals = [world.core.handle(self.PERMIT_REQUEST, 1.0)[0] for _ in range(3)]
-        assert all(isinstance(each, Refuse) for each in refusals)
-        times = [each.retry_after_s for each in refusals if isinstance(each, Refuse)]
+        assert all(isinstance(each, Reject) for each in refusals)
+        times = [each.retry_after_s for each in refusals if isinstance(each, Reject)]
         assert times == pytest.approx([0.5, 1.0, 1.5])
-        assert {each.reason for each in refusals if isinstance(each, Refuse)} == {
+        assert {each.reason for each in refusals if isinstance(each, Reject)} == {
             RATE_LIMITED_REASON
         }
 
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -27,7 +27,7 @@
     OrderEnded,
     OrderOutcome,
     OrdersAllowed,
-    Refuse,
+    Reject,
     ReportReceived,
     RequestEnded,
     SendOrder,
@@ -157,7 +157,7 @@
     requested_at: float
     first_at: float | None = None
     refused_at: float | None = None
-    refusal: Refuse | None = None
+    refusal: Reject | None = None
     runner_id: str = ""
 
 
@@ -263,7 +263,7 @@
     def _execute(self, action: Action) -> None:
         if isinstance(action, Grant):
             self._call_at(self.now + NETWORK_DELAY_S, lambda: self._send(action))
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             outcome = self.outcomes[action.request_id]
             outcome.refused_at, outcome.refusal = self.now, action
         else:
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -19,7 +19,7 @@
     EndKind,
     FleetUpdated,
     Grant,
-    Refuse,
+    Reject,
     SendOrder,
 )
 from mangoway.policy.scheduling.state import SchedulingState
@@ -185,7 +185,7 @@
             await receive(edge.client.request_grant(make_grant_request("q1")))
             waiting = edge.client.request_grant(make_grant_request("q2"))
             edge.client.refuse_waiting("this host stops", 0.1)
-            assert isinstance(await receive(waiting), Refuse)
+            assert isinstance(await receive(waiting), Reject)
 
 
 LIMIT_REPORT = LimitReport(
@@ -250,7 +250,7 @@
         limits.update(LIMIT_REPORT, edge.link.clock())
         answer = await receive(edge.client.request_grant(make_grant_request("q1")))
         edge.task.cancel()
-        assert isinstance(answer, Refuse)
+        assert isinstance(answer, Reject)
 
     async def test_permit_comes_from_the_scheduler(self) -> None:
         async with connect() as (_, edge):
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -16,7 +16,7 @@
     Grant,
     PermitRequest,
     QuotaSpent,
-    Refuse,
+    Reject,
     RequestAdopted,
     RequestEnded,
     SpendingReported,
@@ -79,8 +79,8 @@
     RequestEnded(edge="e1", request_id="q1", kind=EndKind.NOT_HELD),
     Grant(edge="e1", request_id="q1", runner_id="r1"),
     RelayedStatement(key="crashes/i-1@0/e1", value=b'{"charges": []}'),
-    Refuse(edge="e1", request_id="q1", retry_after_s=0.5, reason="why"),
-    Refuse(
+    Reject(edge="e1", request_id="q1", retry_after_s=0.5, reason="why"),
+    Reject(
         edge="e1", request_id="q1", retry_after_s=0.5, reason="why", over_quota=True
     ),
     StoreSnapshot(keys=("k", "l"), items=(ITEM,), revision=5, retention_s=0.0),
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -11,7 +11,7 @@
     EndKind,
     Grant,
     GrantRequest,
-    Refuse,
+    Reject,
     SpendingReported,
 )
 
@@ -64,7 +64,7 @@
                 edge.client.request_grant(make_customer_request("q2", RATE))
             )
         assert isinstance(first, Grant)
-        assert isinstance(second, Refuse)
+        assert isinstance(second, Reject)
         assert second.over_quota
         assert 0.5 < second.retry_after_s <= 1.0
 
@@ -208,5 +208,5 @@
                 edge.client.request_grant(make_customer_request("q9", RATE))
             )
             second.stop()
-        assert isinstance(answer, Refuse)
+        assert isinstance(answer, Reject)
         assert answer.over_quota
