--- a/mangoway/policy/dispatch/admission.py
+++ b/mangoway/policy/dispatch/admission.py
@@ -94,7 +94,7 @@
             return self._check_load_wait(entry, now)
         if self.fleet.sample_available(resource, 1, self.rng):
             return None
-        if not self.options.early_refusal:
+        if not self.options.early_rejection:
             return None
         wait = self.estimate_wait_s(entry, now)
         if now + wait <= entry.latest_start:
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -237,7 +237,7 @@
         context.timers.schedule(context.now + DEMAND_PERIOD_S, self._run_periodic)
         context.fleet.expire_reports(context.now)
         self._report_demand()
-        if context.options.early_refusal:
+        if context.options.early_rejection:
             self._recheck.run()
 
     def _report_demand(self) -> None:
--- a/mangoway/policy/dispatch/options.py
+++ b/mangoway/policy/dispatch/options.py
@@ -28,6 +28,6 @@
     patient_headroom: bool = True
     """Keep part of each upstream free of patient requests that have slack."""
 
-    early_refusal: bool = True
+    early_rejection: bool = True
     preemption: bool = False
     """Cancel patient requests, and resume them later, to start urgent ones."""
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -121,7 +121,7 @@
 FLOOD_ABLATIONS = (
     _build_ours("ours, no fair share", DispatchOptions(fair_share=False)),
     _build_ours("ours, no patient reserve", DispatchOptions(patient_reserve=False)),
-    _build_ours("ours, no early refusal", DispatchOptions(early_refusal=False)),
+    _build_ours("ours, no early refusal", DispatchOptions(early_rejection=False)),
     _build_ours("ours, limits on callers", caller_limit_rps=CALLER_LIMIT_RPS),
 )
 """Variants without one of the overload mechanisms, or with caller rate limits."""
