--- a/mangoway/models/order.py
+++ b/mangoway/models/order.py
@@ -22,7 +22,7 @@
     ACCEPTED = "accepted"
     """The memory is allocated, or the unload has started."""
 
-    REFUSED_STALE_FENCE = "refused_stale_fence"
+    REJECTED_STALE_FENCE = "refused_stale_fence"
     REFUSED_NO_MEMORY = "refused_no_memory"
     REFUSED_UNKNOWN = "refused_unknown"
     """The engine does not have or cannot find the artifact."""
--- a/mangoway/policy/placement/order_sender.py
+++ b/mangoway/policy/placement/order_sender.py
@@ -95,7 +95,7 @@
             event.outcome, 1.0
         )
         self._record_failure(runner, pending, now, min_wait_s)
-        if event.outcome is OrderOutcome.REFUSED_STALE_FENCE:
+        if event.outcome is OrderOutcome.REJECTED_STALE_FENCE:
             runner.is_ledger_known = False
         self.outbox.explain(pending.artifact, runner, event.outcome.value)
 
--- a/tests/engines/test_client.py
+++ b/tests/engines/test_client.py
@@ -163,7 +163,7 @@
     async def test_answer_is_decoded(self) -> None:
         body = b'{"order_id": "o-1", "outcome": "refused_stale_fence", "fence": 9}'
         result = await send_order(answer(frame(200, body)))
-        assert result.outcome is OrderOutcome.REFUSED_STALE_FENCE
+        assert result.outcome is OrderOutcome.REJECTED_STALE_FENCE
         assert result.fence == 9
 
     async def test_answer_to_another_order_fails(self) -> None:
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -245,7 +245,7 @@
             return OrderOutcome.REFUSED_INCARNATION
         if self.settings.checks_fences:
             if order.fence < self._fence:
-                return OrderOutcome.REFUSED_STALE_FENCE
+                return OrderOutcome.REJECTED_STALE_FENCE
             self._fence = order.fence
         if order.kind is OrderKind.LOAD:
             return self._load(now, order)
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -96,7 +96,7 @@
         engine = build_engine()
         engine.order(0.0, build_order(5))
         assert engine.order(0.0, build_order(4, LOGS)) is (
-            OrderOutcome.REFUSED_STALE_FENCE
+            OrderOutcome.REJECTED_STALE_FENCE
         )
 
     def test_engine_without_the_check_accepts_an_old_fence(self) -> None:
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -150,7 +150,7 @@
             if self.checks_incarnations and order.incarnation != self.incarnation:
                 return OrderOutcome.REFUSED_INCARNATION
             if order.fence < self.fence:
-                return OrderOutcome.REFUSED_STALE_FENCE
+                return OrderOutcome.REJECTED_STALE_FENCE
             self.fence = order.fence
         if order.kind is OrderKind.UNLOAD:
             self.ready.discard(order.artifact)
