--- a/mangoway/models/order.py
+++ b/mangoway/models/order.py
@@ -23,7 +23,7 @@
     """The memory is allocated, or the unload has started."""
 
     REJECTED_STALE_FENCE = "refused_stale_fence"
-    REFUSED_NO_MEMORY = "refused_no_memory"
+    REJECTED_NO_MEMORY = "refused_no_memory"
     REFUSED_UNKNOWN = "refused_unknown"
     """The engine does not have or cannot find the artifact."""
 
