--- a/mangoway/models/order.py
+++ b/mangoway/models/order.py
@@ -24,7 +24,7 @@
 
     REJECTED_STALE_FENCE = "refused_stale_fence"
     REJECTED_NO_MEMORY = "refused_no_memory"
-    REFUSED_UNKNOWN = "refused_unknown"
+    REJECTED_UNKNOWN = "refused_unknown"
     """The engine does not have or cannot find the artifact."""
 
     REFUSED_INCARNATION = "refused_incarnation"
--- a/mangoway/policy/placement/order_sender.py
+++ b/mangoway/policy/placement/order_sender.py
@@ -91,7 +91,7 @@
                 retry = RetryBackoff(until=now + LOAD_REPORT_TIMEOUT_S)
                 runner.retries[pending.artifact] = retry
             return
-        min_wait_s = {OrderOutcome.REFUSED_UNKNOWN: MAX_ORDER_RETRY_DELAY_S}.get(
+        min_wait_s = {OrderOutcome.REJECTED_UNKNOWN: MAX_ORDER_RETRY_DELAY_S}.get(
             event.outcome, 1.0
         )
         self._record_failure(runner, pending, now, min_wait_s)
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -404,7 +404,7 @@
         if order.artifact.base != order.artifact:
             base = self._residents.get(order.artifact.base)
             if base is None or base.state is Residency.UNLOADING:
-                return OrderOutcome.REFUSED_UNKNOWN
+                return OrderOutcome.REJECTED_UNKNOWN
         if known is not None:
             known.state = Residency.READY
             return OrderOutcome.ACCEPTED
@@ -426,7 +426,7 @@
     def _unload(self, now: float, artifact: Artifact) -> OrderOutcome:
         """Start an unload, which waits for attempts; a base includes its adapters."""
         if artifact not in self._residents:
-            return OrderOutcome.REFUSED_UNKNOWN
+            return OrderOutcome.REJECTED_UNKNOWN
         for resident in self._residents.values():
             if artifact in (resident.artifact, resident.artifact.base):
                 if resident.state is Residency.LOADING:
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -155,7 +155,7 @@
         if order.kind is OrderKind.UNLOAD:
             self.ready.discard(order.artifact)
             if self.memory.pop(order.artifact, None) is None:
-                return OrderOutcome.REFUSED_UNKNOWN
+                return OrderOutcome.REJECTED_UNKNOWN
             return OrderOutcome.ACCEPTED
         self.memory[order.artifact] = order.memory_mb
         if self.used_mb > self.size_mb:
@@ -434,7 +434,7 @@
     def _apply_order(self, order: Order) -> OrderOutcome:
         engine = self.engines[order.upstream]
         if not engine.up:
-            return OrderOutcome.REFUSED_UNKNOWN
+            return OrderOutcome.REJECTED_UNKNOWN
         artifact = order.artifact
         was_ready = artifact in engine.ready
         outcome = engine.handle_order(order)
