--- a/mangoway/models/order.py
+++ b/mangoway/models/order.py
@@ -27,7 +27,7 @@
     REJECTED_UNKNOWN = "refused_unknown"
     """The engine does not have or cannot find the artifact."""
 
-    REFUSED_INCARNATION = "refused_incarnation"
+    REJECTED_INCARNATION = "refused_incarnation"
 
 
 @frozen(kw_only=True)
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -242,7 +242,7 @@
         if self.is_down:
             return None
         if order.incarnation != self.incarnation:
-            return OrderOutcome.REFUSED_INCARNATION
+            return OrderOutcome.REJECTED_INCARNATION
         if self.settings.checks_fences:
             if order.fence < self._fence:
                 return OrderOutcome.REJECTED_STALE_FENCE
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -108,7 +108,7 @@
         engine = build_engine()
         engine.crash(0.0)
         engine.restart(1.0, IncarnationId("second"))
-        assert engine.order(1.0, build_order(1)) is OrderOutcome.REFUSED_INCARNATION
+        assert engine.order(1.0, build_order(1)) is OrderOutcome.REJECTED_INCARNATION
         assert engine.memory_mb == 4096
 
 
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -148,7 +148,7 @@
         self.orders.append(order)
         if self.checks:
             if self.checks_incarnations and order.incarnation != self.incarnation:
-                return OrderOutcome.REFUSED_INCARNATION
+                return OrderOutcome.REJECTED_INCARNATION
             if order.fence < self.fence:
                 return OrderOutcome.REJECTED_STALE_FENCE
             self.fence = order.fence
