--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -316,7 +316,7 @@
                 self.claiming.append((identity, action))
             case Reject(request_id=request_id, failure=failure):
                 self._end(request_id)
-                self._check_refusal(self.submissions[request_id], failure)
+                self._check_rejection(self.submissions[request_id], failure)
             case FinishRequest(request_id=request_id):
                 self._end(request_id)
                 assert self.submissions[request_id].runs > 0
@@ -352,7 +352,7 @@
         submission.endings += 1
         assert submission.endings == 1, "ended twice"
 
-    def _check_refusal(self, submission: Submission, failure: Failure) -> None:
+    def _check_rejection(self, submission: Submission, failure: Failure) -> None:
         if failure.verdict is not Verdict.NOT_RUN:
             return
         submission.not_run = True
--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -40,9 +40,9 @@
                 self.forwarded.append(action.request_id)
         super().perform(identity, action)
 
-    def _check_refusal(self, submission: Submission, failure: Failure) -> None:
+    def _check_rejection(self, submission: Submission, failure: Failure) -> None:
         self.failures[submission.request.id] = failure
-        super()._check_refusal(submission, failure)
+        super()._check_rejection(submission, failure)
 
     def start(self, name: str) -> None:
         self.names[name] = self.start_gateway()
