--- a/mangoway/daemons/order_sender.py
+++ b/mangoway/daemons/order_sender.py
@@ -21,9 +21,9 @@
     OrderAnswer.STARTED: OrderOutcome.STARTED,
     OrderAnswer.ALREADY_HOLDS: OrderOutcome.ALREADY_HOLDS,
     OrderAnswer.BUSY_OR_STALE: OrderOutcome.NOT_NOW,
-    OrderAnswer.FENCED: OrderOutcome.REFUSED,
-    OrderAnswer.REFUSED: OrderOutcome.REFUSED,
-    OrderAnswer.OTHER_RUNNER: OrderOutcome.REFUSED,
+    OrderAnswer.FENCED: OrderOutcome.REJECTED,
+    OrderAnswer.REJECTED: OrderOutcome.REJECTED,
+    OrderAnswer.OTHER_RUNNER: OrderOutcome.REJECTED,
 }
 
 
@@ -41,7 +41,7 @@
         self.process.tasks.async_start(self._async_execute(order))
 
     async def _async_execute(self, order: SendOrder) -> None:
-        outcome = OrderOutcome.REFUSED
+        outcome = OrderOutcome.REJECTED
         try:
             outcome = await self._async_send_order(order)
         finally:
@@ -57,7 +57,7 @@
         entry = self.process.view.find_open_runner(order.runner_id)
         fence = self.leadership.fence
         if entry is None or fence is None or not self.leadership.may_order:
-            return OrderOutcome.REFUSED
+            return OrderOutcome.REJECTED
         log_event(
             log.PlacementOrdered(
                 runner_id=order.runner_id,
--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -264,7 +264,7 @@
 
     def _get_retry_cause(self, result: AttemptResult) -> RetryCause:
         if result.verdict is Verdict.NOT_RUN:
-            return RetryCause.REFUSED
+            return RetryCause.REJECTED
         if self._finder.has_reserved:
             return RetryCause.SILENT
         return RetryCause.RESUMED if self.delivery.events else RetryCause.FAILED
--- a/mangoway/platform/runners.py
+++ b/mangoway/platform/runners.py
@@ -34,7 +34,7 @@
     """Another order is being executed, or the expected order count is wrong."""
 
     FENCED = "fenced"
-    REFUSED = "refused"
+    REJECTED = "refused"
     OTHER_RUNNER = "other_runner"
 
 
@@ -43,7 +43,7 @@
     200: OrderAnswer.ALREADY_HOLDS,
     409: OrderAnswer.BUSY_OR_STALE,
     412: OrderAnswer.FENCED,
-    400: OrderAnswer.REFUSED,
+    400: OrderAnswer.REJECTED,
     421: OrderAnswer.OTHER_RUNNER,
 }
 
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -26,7 +26,7 @@
     FAILED = "failed"
     """The runner failed, or its connection broke before a response began."""
 
-    REFUSED = "refused"
+    REJECTED = "refused"
     """The runner rejected the request and has not run it."""
 
     SILENT = "silent"
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -177,7 +177,7 @@
     IN_DOUBT = "in_doubt"
     """No response; the order may still be executed if its precondition holds."""
 
-    REFUSED = "refused"
+    REJECTED = "refused"
 
 
 @frozen(kw_only=True)
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -132,7 +132,7 @@
     def _change_adapter(self, order: SendOrder) -> OrderOutcome:
         adapters = self.models.get(order.model)
         if adapters is None:
-            return OrderOutcome.REFUSED
+            return OrderOutcome.REJECTED
         self.order_count += 1
         if order.load:
             adapters.add(order.adapter)
