--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -273,7 +273,7 @@
         reason, retry_after_s = result.reason, RETRY_AFTER_OUTAGE_S
         if self._is_budget_spent:
             reason, retry_after_s = RETRY_BUDGET_SPENT_REASON, RETRY_AFTER_BUDGET_S
-        if decision is RetryDecision.REFUSE:
+        if decision is RetryDecision.REJECT:
             self._reject(reason, retry_after_s)
         else:
             self._fail(STATUS_FAILED, reason)
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -13,7 +13,7 @@
     """Decision after a failed attempt."""
 
     RETRY = "retry"
-    REFUSE = "refuse"
+    REJECT = "refuse"
     """Respond that the request has not run."""
 
     FAIL = "fail"
@@ -72,4 +72,4 @@
     in_time = failed.time_left_s > MIN_RETRY_TIME_S
     if allowed and attempts_left and in_time and (budget_left or not failed.was_sent):
         return RetryDecision.RETRY
-    return RetryDecision.FAIL if may_have_run else RetryDecision.REFUSE
+    return RetryDecision.FAIL if may_have_run else RetryDecision.REJECT
--- a/tests/policy/edge/test_retries.py
+++ b/tests/policy/edge/test_retries.py
@@ -60,7 +60,7 @@
         failed = fail(Verdict.NOT_RUN)
         assert (
             decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=False)
-            is RetryDecision.REFUSE
+            is RetryDecision.REJECT
         )
 
     def test_unsent_attempt_needs_no_budget(self) -> None:
@@ -73,5 +73,5 @@
     def test_no_retry_without_time_left(self) -> None:
         failed = fail(Verdict.NOT_RUN, time_left_s=0.01)
         assert (
-            decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.REFUSE
+            decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.REJECT
         )
