--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -209,7 +209,7 @@
             if now >= finish_by or (now >= accept_until and self.callers.busy == 0):
                 return
             if now >= finish_by - REFUSE_BEFORE_END_S:
-                self.client.refuse_waiting("this host stops", RETRY_AFTER_STOP_S)
+                self.client.reject_waiting("this host stops", RETRY_AFTER_STOP_S)
             if now >= accept_until:
                 # No callers are expected any more; requests already being read are
                 # still answered.
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -233,7 +233,7 @@
             return None
         return link
 
-    def refuse_waiting(self, reason: str, retry_after_s: float) -> None:
+    def reject_waiting(self, reason: str, retry_after_s: float) -> None:
         """Reject the requests that still wait for a grant."""
         for tracked in list(self._requests.values()):
             if tracked.runner_id is None and not tracked.future.done():
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -184,7 +184,7 @@
         async with connect() as (_, edge):
             await receive(edge.client.request_grant(make_grant_request("q1")))
             waiting = edge.client.request_grant(make_grant_request("q2"))
-            edge.client.refuse_waiting("this host stops", 0.1)
+            edge.client.reject_waiting("this host stops", 0.1)
             assert isinstance(await receive(waiting), Reject)
 
 
