--- a/mangoway/coordination/leadership.py
+++ b/mangoway/coordination/leadership.py
@@ -104,7 +104,7 @@
         is_delay_over = self.clock() >= self._orders_allowed_from
         return fence is not None and is_delay_over and fence > self._refused_fence
 
-    def handle_fence_refused(self, fence: int) -> None:
+    def handle_fence_rejected(self, fence: int) -> None:
         """Stop using a fence number after a runner has seen a higher one."""
         self._refused_fence = max(self._refused_fence, fence)
         log_event(log.FenceRefused(fence=fence))
--- a/mangoway/daemons/order_sender.py
+++ b/mangoway/daemons/order_sender.py
@@ -79,7 +79,7 @@
             self._log_unanswered(order, str(error))
             return OrderOutcome.IN_DOUBT
         if answer is OrderAnswer.FENCED:
-            self.leadership.handle_fence_refused(fence)
+            self.leadership.handle_fence_rejected(fence)
         self._log_answer(order, answer, sent_at)
         return OUTCOMES[answer]
 
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -264,7 +264,7 @@
         await asyncio.sleep(5)
         fence = one.leadership.fence
         assert fence is not None
-        one.leadership.handle_fence_refused(fence)
+        one.leadership.handle_fence_rejected(fence)
         assert not one.leadership.may_order
         store.down = True
         await asyncio.sleep(LEASE_S + 2)
