--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -138,7 +138,7 @@
         self.callers = ServerOptions(
             handle=self.forwarder.async_handle,
             limits=self._get_limits,
-            refuse=make_error_response,
+            reject=make_error_response,
             on_error=_log_error,
         )
         self.process.view.on_change.append(self._handle_view_change)
--- a/mangoway/http1/server.py
+++ b/mangoway/http1/server.py
@@ -43,7 +43,7 @@
     """Handles a request; it is cancelled when the caller disconnects."""
 
     limits: Callable[[], CallerLimits]
-    refuse: Callable[[int, str], tuple[Headers, bytes]]
+    reject: Callable[[int, str], tuple[Headers, bytes]]
     """Returns the fields and body of the response to a malformed request."""
 
     on_error: Callable[[BaseException], None]
@@ -309,7 +309,7 @@
         self._stop_timer()
         self._head = None
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            headers, body = self._options.refuse(status, reason)
+            headers, body = self._options.reject(status, reason)
             self._close_after = True
             Exchange(self).answer(status, headers, body)
         self._transport.close()
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -25,7 +25,7 @@
         self.options = ServerOptions(
             handle=self._handle,
             limits=lambda: limits,
-            refuse=make_error_response,
+            reject=make_error_response,
             on_error=self.errors.append,
         )
 
