--- a/demo/tally.py
+++ b/demo/tally.py
@@ -116,7 +116,7 @@
     rejected = [
         call_id
         for call_id, result in tally.non_idempotent.items()
-        if result.ending is Ending.REFUSED
+        if result.ending is Ending.REJECTED
     ]
     return [
         f"{key}: {tally.non_idempotent[key].detail}" for key in rejected if runs[key]
--- a/mangoway/edge/request_handler.py
+++ b/mangoway/edge/request_handler.py
@@ -17,7 +17,7 @@
 from ..platform.signals import decode_signals
 from ..policy.edge.const import RETRY_AFTER_BUDGET_S, RETRY_AFTER_OUTAGE_S
 from ..policy.edge.retries import FailedAttempt, RetryCause, RetryDecision, decide_retry
-from ..policy.scheduling.events import EndKind, Refuse
+from ..policy.scheduling.events import EndKind, Reject
 from .admission import Admission, Caller, Rejection
 from .attempt import Attempt, AttemptResult, BufferedResponse, deliver_buffered
 from .const import (
@@ -113,7 +113,7 @@
     async def _async_try_runners(self) -> None:
         while True:
             found = await self._finder.async_find()
-            if isinstance(found, Refuse):
+            if isinstance(found, Reject):
                 status = STATUS_OVER_QUOTA if found.over_quota else STATUS_NOT_RUN
                 self._reject(found.reason, found.retry_after_s, status)
                 return
@@ -264,7 +264,7 @@
 
     def _get_retry_cause(self, result: AttemptResult) -> RetryCause:
         if result.verdict is Verdict.NOT_RUN:
-            return RetryCause.REFUSED
+            return RetryCause.REJECTED
         if self._finder.has_reserved:
             return RetryCause.SILENT
         return RetryCause.RESUMED if self.delivery.events else RetryCause.FAILED
@@ -273,7 +273,7 @@
         reason, retry_after_s = result.reason, RETRY_AFTER_OUTAGE_S
         if self._is_budget_spent:
             reason, retry_after_s = RETRY_BUDGET_SPENT_REASON, RETRY_AFTER_BUDGET_S
-        if decision is RetryDecision.REFUSE:
+        if decision is RetryDecision.REJECT:
             self._reject(reason, retry_after_s)
         else:
             self._fail(STATUS_FAILED, reason)
--- a/mangoway/models/order.py
+++ b/mangoway/models/order.py
@@ -22,12 +22,12 @@
     ACCEPTED = "accepted"
     """The memory is allocated, or the unload has started."""
 
-    REFUSED_STALE_FENCE = "refused_stale_fence"
-    REFUSED_NO_MEMORY = "refused_no_memory"
-    REFUSED_UNKNOWN = "refused_unknown"
+    REJECTED_STALE_FENCE = "refused_stale_fence"
+    REJECTED_NO_MEMORY = "refused_no_memory"
+    REJECTED_UNKNOWN = "refused_unknown"
     """The engine does not have or cannot find the artifact."""
 
-    REFUSED_INCARNATION = "refused_incarnation"
+    REJECTED_INCARNATION = "refused_incarnation"
 
 
 @frozen(kw_only=True)
--- a/mangoway/policy/scheduling/events.py
+++ b/mangoway/policy/scheduling/events.py
@@ -177,7 +177,7 @@
     IN_DOUBT = "in_doubt"
     """No response; the order may still be executed if its precondition holds."""
 
-    REFUSED = "refused"
+    REJECTED = "refused"
 
 
 @frozen(kw_only=True)
@@ -224,7 +224,7 @@
 
 
 @frozen(kw_only=True)
-class Refuse:
+class Reject:
     """The request can't be served in its time."""
 
     edge: str
@@ -254,4 +254,4 @@
     """Incarnation of the runner that the order is for."""
 
 
-Action = Grant | Refuse | SendOrder
+Action = Grant | Reject | SendOrder
