--- a/tests/processes/conftest.py
+++ b/tests/processes/conftest.py
@@ -53,7 +53,7 @@
 
 
 async def async_make_caller(fleet: Fleet, *gateways: Process) -> Caller:
-    """Return a caller that starts with the given gateways."""
+    """Return a caller with an address response of one of the given gateways."""
     book = AddressBook(fleet.session, tuple(each.address for each in gateways))
     await book.async_next()
     return Caller("agents", book)
--- a/tests/processes/test_connections.py
+++ b/tests/processes/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections to an engine that are closed or muted."""
+"""Tests of connections to an engine that are closed, or stay open without data."""
 
 import asyncio
 
--- a/tests/processes/test_controller.py
+++ b/tests/processes/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of controllers that are killed, paused beyond their lease, or stopped."""
+"""Tests without gateways of controllers that are killed, paused or stopped."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -46,7 +46,7 @@
         await self.repository.async_apply(edit, "operator")
 
     async def async_wait_loaded(self, *names: str) -> None:
-        """Wait until every model is ready on some engine, and check the memory."""
+        """Wait until every model is ready; check that no engine exceeded its memory."""
 
         async def check() -> bool:
             truths = await self.fleet.async_get_truths(self.fleet.engines)
@@ -142,6 +142,7 @@
             planner = await site.async_find_planner(*site.fleet.controllers)
 
             async def is_stopping() -> bool:
+                # 102 is the event StopRequested.
                 return '"event":102' in planner.log.read_text()
 
             planner.terminate()
--- a/tests/processes/test_controllers.py
+++ b/tests/processes/test_controllers.py
@@ -1,4 +1,4 @@
-"""Tests of controllers that are paused or killed while they plan."""
+"""Tests with gateways of controllers that are paused or killed while they plan."""
 
 import pytest
 
--- a/tests/processes/test_engines.py
+++ b/tests/processes/test_engines.py
@@ -56,7 +56,7 @@
 
 
 class TestLeavingEngine:
-    """An engine that reports that it leaves gets no new requests."""
+    """An engine that reports that it leaves gets no new requests, though listed."""
 
     async def test_engine_leaves_but_stays_in_the_host_list(self, fleet: Fleet) -> None:
         leaving, _ = fleet.engines
--- a/tests/processes/test_gateways.py
+++ b/tests/processes/test_gateways.py
@@ -134,7 +134,7 @@
         assert await call.async_count_runs() == 1
 
 
-class TestFrozenGateway:
+class TestPausedGateway:
     """A gateway is unused after SIGSTOP, and used again after SIGCONT."""
 
     async def test_runs_nothing_twice_and_is_used_again(self, fleet: Fleet) -> None:
--- a/tests/processes/test_key_value_calls.py
+++ b/tests/processes/test_key_value_calls.py
@@ -1,4 +1,4 @@
-"""Count the calls to the key-value service by cause; pytest -s prints them."""
+"""Tests of the number of calls to the key-value service; pytest -s prints them."""
 
 import asyncio
 from collections import Counter
@@ -24,7 +24,7 @@
 
 WRITES_PER_SECOND = 300.0
 READS_PER_SECOND = 2000.0
-
+"""Rates of the key-value service, of which one site may use a tenth."""
 
 MODELS = 4
 EXTRA_MODELS = "".join(
@@ -50,7 +50,7 @@
 
 @define
 class Meter:
-    """Counts the calls since the last reading."""
+    """Counts the calls to the key-value service since the last reading."""
 
     fleet: Fleet
     _last_calls: Counter[str] = field(factory=Counter)
@@ -102,12 +102,12 @@
         # An unload at an engine that ignores fences needs a third write: its entry
         # blocks a new load until delayed copies of the order can no longer arrive.
         steps = (("loads", extended, MODELS, 2), ("unloads", BASE_FILE, 0, 3))
-        for what, file, count, each in steps:
+        for what, file, count, writes_per_model in steps:
             await fleet.async_apply_base(file)
             await async_wait_extra(fleet, count)
             await asyncio.sleep(IDLE_S)
             moved = await meter.async_read(f"{MODELS} {what}, one change, and 10 s")
-            assert MODELS < moved["txn"] <= each * MODELS + 1
+            assert MODELS < moved["txn"] <= writes_per_model * MODELS + 1
 
         writes = sum(idle[kind] for kind in WRITES) / IDLE_S / 4
         reads = (sum(idle.values()) / IDLE_S / 4) - writes
