--- a/tests/scenarios/at_most_once.feature
+++ b/tests/scenarios/at_most_once.feature
@@ -76,7 +76,7 @@
     Then the caller gets the verdict "may_have_run"
     And the call ran 1 time
 
-  Scenario: A key of a home that left is not in the records that it handed over
+  Scenario: The home leaves, and the key is not in the records that it hands over
     Given a call with a key of A
     When 100 seconds pass
     And A leaves and hands its records to B
--- a/tests/scenarios/configuration.feature
+++ b/tests/scenarios/configuration.feature
@@ -1,6 +1,7 @@
 Feature: Configuration
   An accepted change is applied everywhere within seconds, and no process ever reverts
-  to an older one, despite outages, restarts and concurrent edits.
+  to an older version, despite outages, restarts and concurrent edits. Each host
+  runs one process.
 
   Scenario: A change is applied everywhere within seconds
     Given 12 hosts in 3 data centres that follow the configuration
--- a/tests/scenarios/leaving.feature
+++ b/tests/scenarios/leaving.feature
@@ -1,6 +1,6 @@
 Feature: Leaving hosts
-  A leaving host gets no new requests, whichever source reports it first; requests in
-  progress continue.
+  A host that leaves gets no new requests, whichever source reports it first. Requests
+  in progress continue.
 
   Background:
     Given gateways A and B
@@ -18,7 +18,7 @@
 
   Scenario: A runner reports that it leaves
     When 1 seconds pass
-    And the report of engine1 contains that it leaves
+    And the report of engine1 shows that it leaves
     And 4 completions arrive at A
     Then A has sent nothing to engine1 since
 
--- a/tests/scenarios/reachability.feature
+++ b/tests/scenarios/reachability.feature
@@ -1,6 +1,6 @@
 Feature: Reachability
   Every offered model keeps a ready copy during moves, version changes and planned
-  departures of runners, and a lost last copy is loaded first.
+  departures of runners. A model that lost its last copy is loaded first.
 
   Background:
     Given the models
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -27,7 +27,7 @@
 
 @define
 class Operators:
-    """Operators with concurrent edits, and the results of these."""
+    """Operators whose pending edits are applied concurrently, and the results."""
 
     store: FakeKeyValueStore
     edits: list[Edit] = field(factory=list)
@@ -101,7 +101,7 @@
 
 
 @when("the network recovers")
-def heal_network(fleet: Fleet) -> None:
+def restore_network(fleet: Fleet) -> None:
     fleet.end_faults()
 
 
--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -22,13 +22,14 @@
 
 @define(eq=False)
 class Stage(World):
-    """The world with names of gateways, and the results that callers got."""
+    """The world with names for its gateways, and the results that callers got."""
 
     names: dict[str, IncarnationId] = field(factory=dict)
     failures: dict[RequestId, Failure] = field(factory=dict)
     response_sources: dict[RequestId, RequestId] = field(factory=dict)
     forwarded: list[RequestId] = field(factory=list)
     attempts_before: int = 0
+    """Number of attempts sent before the latest notice that an upstream leaves."""
 
     def perform(self, identity: IncarnationId, action: DispatchAction) -> None:
         match action:
@@ -178,7 +179,7 @@
     stage.attempts_before = len(stage.sent_attempts)
 
 
-@when(parsers.parse("the report of {engine} contains that it leaves"))
+@when(parsers.parse("the report of {engine} shows that it leaves"))
 def report_leaving(stage: Stage, engine: str) -> None:
     report = make_report(engine, stage.now, leaving=True)
     stage.send(stage.names["A"], report)
@@ -208,7 +209,7 @@
 
 @then(parsers.parse('the caller gets the verdict "{verdict}"'))
 def check_verdict(stage: Stage, verdict: str) -> None:
-    # After a forward, the caller gets the response of the home.
+    # The last submission may be a forward to the home, whose result the caller gets.
     failure = stage.failures.get(stage.operation.submissions[-1])
     assert failure is not None, "not rejected"
     assert failure.verdict.value == verdict
--- a/tests/scenarios/test_placement.py
+++ b/tests/scenarios/test_placement.py
@@ -56,7 +56,7 @@
 
 @define
 class AvailabilityMonitor:
-    """Records each time at which a model has no ready copy of any version."""
+    """Records each check at which a model has no ready copy of any version."""
 
     world: World
     unavailable: list[str] = field(factory=list)
@@ -85,7 +85,7 @@
 
 
 @given("the models", target_fixture="world")
-def offer(datatable: list[list[str]]) -> World:
+def make_world(datatable: list[list[str]]) -> World:
     world = World(configuration=offer_models(price=0.1))
     for model, memory_mb, floor in datatable[1:]:
         version = VersionOffer(memory_mb=int(memory_mb), floor=int(floor))
@@ -102,7 +102,7 @@
 
 
 @given("an active controller", target_fixture="monitor")
-def start(world: World) -> AvailabilityMonitor:
+def start_controller(world: World) -> AvailabilityMonitor:
     world.start()
     world.run(SETTLE_S)
     assert world.list_unmet_floors() == []
@@ -127,7 +127,7 @@
 
 
 @when(parsers.parse("the demand for model {model} is high"))
-def demand(world: World, model: str) -> None:
+def raise_demand(world: World, model: str) -> None:
     Demand(world, model).report()
 
 
