--- a/mangoway/http1/__init__.py
+++ b/mangoway/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections based on h11, which keep messages unchanged."""
+"""HTTP/1.1 client and server connections, based on h11, that do not alter messages."""
--- a/mangoway/http1/client.py
+++ b/mangoway/http1/client.py
@@ -63,10 +63,10 @@
         """Idle time before the current request; None for a new connection."""
 
         self.silence_s: float | None = None
-        """Silence after which `on_silence` is called once; None to disable it."""
+        """Time without data after which `on_silence` is called once, or None."""
 
         self.on_silence: SilenceHandler | None = None
-        """Returns whether the exchange is aborted because of a silence."""
+        """Called after a silence; returns whether to abort the exchange."""
 
         self._ended = False
         """Whether the upstream has closed its side of the connection."""
@@ -126,9 +126,10 @@
                 raise ConnectionLostError("connection closed within the body")
 
     async def async_skip_response(self, request: Request) -> None:
-        """Read a response that belongs to another request to its end and drop it.
+        """Read the rest of a response that belongs to another request, and discard it.
 
-        The next response is read as that to `request`, which was sent before.
+        The next response is then read as the response to `request`, which was already
+        sent on this connection.
 
         Raises:
             ExchangeFailedError: If the connection cannot carry another response.
@@ -143,7 +144,8 @@
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEADER_BYTES
         )
-        # Sets the parser to the state after the request, which was sent before.
+        # The new parser can only read a response after it has encoded its request. The
+        # encoded bytes are discarded, since the request was already sent.
         self._http.send(
             h11.Request(
                 method=request.method,
@@ -167,9 +169,9 @@
             self._http.start_next_cycle()
         except h11.LocalProtocolError:
             return False
-        self.usable_until = now + self._idle_s
+        self.usable_until = now + self._keep_alive_s
         self.idle_since = now
-        return self._idle_s > 0
+        return self._keep_alive_s > 0
 
     def is_likely_open(self, now: float) -> bool:
         """Return whether the upstream probably still keeps the connection open."""
@@ -217,10 +219,13 @@
         self._closes_after = "close" in connection
         match = KEEP_ALIVE_TIMEOUT.search(head.find(b"keep-alive") or "")
         announced = float(match.group(1)) if match else DEFAULT_KEEP_ALIVE_S
-        self._idle_s = announced - KEEP_ALIVE_MARGIN_S
+        self._keep_alive_s = announced - KEEP_ALIVE_MARGIN_S
 
     _closes_after = True
-    _idle_s = DEFAULT_KEEP_ALIVE_S
+    """Whether the response ends the connection; assumed until its head is read."""
+
+    _keep_alive_s = DEFAULT_KEEP_ALIVE_S
+    """Idle time for which the connection can be reused after the response."""
 
 
 async def async_connect(
@@ -248,12 +253,12 @@
 
 @define(eq=False)
 class IdleReuseLimit:
-    """Limit on the idle time of connections reused for requests without retry.
+    """Limit on the idle time of connections reused for requests without retries.
 
     A request that must not be retried fails if its reused connection turns out to be
     broken, since nothing proves that it did not run. Such a request therefore reuses
-    a connection only shortly after a response on it, and the limit falls after an idle
-    connection is found broken.
+    a connection only shortly after the last response on it. Each idle connection that
+    is found broken lowers the limit.
     """
 
     _limit_s: float = MAX_REUSE_IDLE_S
@@ -295,7 +300,7 @@
             address: Address of the upstream.
             now: Time in seconds.
             retryable: Whether the request may be sent again if the connection breaks
-                without a response. If not, the idle time is limited.
+                without a response. If not, `idle_limit` applies to the idle time.
         """
         idle = self._idle.get(address)
         while idle:
@@ -311,7 +316,10 @@
         return None
 
     def release(self, address: str, connection: Connection, now: float) -> None:
-        """Return a connection after a complete exchange; close it if not reusable."""
+        """Return a connection to the pool after a complete exchange.
+
+        It is closed if it cannot be reused or if the pool is full.
+        """
         idle = self._idle.setdefault(address, [])
         if len(idle) >= self.max_idle or not connection.prepare_reuse(now):
             connection.close()
@@ -324,7 +332,7 @@
             connection.close()
 
     def sweep(self, now: float) -> None:
-        """Close the idle connections that have reached their keep-alive timeout."""
+        """Close the idle connections that are probably no longer open."""
         for address, idle in list(self._idle.items()):
             open_connections = [each for each in idle if each.is_likely_open(now)]
             for each in idle:
--- a/mangoway/http1/const.py
+++ b/mangoway/http1/const.py
@@ -16,23 +16,24 @@
 """Unsent bytes of a response above which its writer waits for the caller."""
 
 CONNECT_TIMEOUT_S: Final = 0.6
-"""Timeout for a new connection. A reachable host accepts one in about 3 ms, a
-disconnected one never does; callers allow one second for their own connections."""
+"""Timeout for a new connection. A reachable host accepts one in about 3 ms, an
+unreachable one never does; callers allow one second for their own connections."""
 
 KEEP_ALIVE_MARGIN_S: Final = 1.0
 """Margin subtracted from the keep-alive timeout that an upstream announces, since that
 is given in whole seconds and measured by the upstream."""
 
 DEFAULT_KEEP_ALIVE_S: Final = 4.0
-"""Idle time for which a connection is kept if the upstream announces no timeout."""
+"""Keep-alive timeout that is assumed if the upstream announces none; the margin is
+subtracted from it too."""
 
 MAX_REUSE_IDLE_S: Final = 1.0
 """Longest idle time after which a connection is reused for a request that must not be
-retried. Upstreams keep idle connections for whole seconds. Opening a new connection
-for each such request caused three of five new connections, and each has a cost."""
+retried. Upstreams keep idle connections for whole seconds. If each such request opened
+a new connection, these would be three of five new connections, and each has a cost."""
 
 IDLE_SHARE_AFTER_BREAK: Final = 0.5
-"""Share of the idle time of a broken connection that becomes the new limit."""
+"""Share of a broken connection's idle time that becomes the new limit, if lower."""
 
 IDLE_LIMIT_RECOVERY_PER_S: Final = 0.02
 """Seconds by which the idle limit rises for each second without another break."""
--- a/mangoway/http1/json_client.py
+++ b/mangoway/http1/json_client.py
@@ -22,9 +22,9 @@
 
 
 class CallFailedError(Exception):
-    """A call received no response in time, or a malformed one.
+    """A call failed, or received no response in time or a malformed one.
 
-    `sent` is whether the call may have been executed.
+    `sent` is whether the request may have been sent, and so may have been executed.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
@@ -69,7 +69,7 @@
             query: Fields of the query.
             body: Value that is sent as JSON; None for no body.
             headers: Additional fields of the request.
-            fresh: Whether a new connection is used.
+            fresh: Whether to use a new connection even if an idle one could be reused.
 
         Raises:
             CallFailedError: If no valid response is received.
@@ -78,7 +78,7 @@
         connection: Connection | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                connection = await self._async_get(address, fresh)
+                connection = await self._async_acquire_connection(address, fresh)
                 return await self._async_exchange(address, connection, request)
         except ConnectFailedError as error:
             raise CallFailedError(str(error), sent=False) from error
@@ -93,10 +93,10 @@
             _close(connection)
             raise
 
-    async def _async_get(self, address: str, fresh: bool) -> Connection:
+    async def _async_acquire_connection(self, address: str, fresh: bool) -> Connection:
         now = asyncio.get_running_loop().time()
-        kept = None if fresh else self.pool.acquire(address, now)
-        return kept or await async_connect(address, now)
+        idle = None if fresh else self.pool.acquire(address, now)
+        return idle or await async_connect(address, now)
 
     async def _async_exchange(
         self, address: str, connection: Connection, request: Request
--- a/mangoway/http1/messages.py
+++ b/mangoway/http1/messages.py
@@ -6,7 +6,7 @@
 from attrs import frozen
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""Header fields in the order and with the names in which they were received."""
+"""Names and values of header fields, in the order and case of the sender."""
 
 HOP_BY_HOP: Final = frozenset(
     {
@@ -39,7 +39,7 @@
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
     def find(self, name: bytes) -> str | None:
-        """Return the value of a field, given in lower case, or None."""
+        """Return the first value of a field, named in lower case, or None."""
         return find_header(self.headers, name)
 
 
@@ -52,7 +52,7 @@
     headers: Headers
 
     def find(self, name: bytes) -> str | None:
-        """Return the value of a field, given in lower case, or None."""
+        """Return the first value of a field, named in lower case, or None."""
         return find_header(self.headers, name)
 
 
--- a/mangoway/http1/server.py
+++ b/mangoway/http1/server.py
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class RequestProblem:
-    """Status and reason for rejecting a request before reading its body."""
+    """Status and reason with which a request is rejected before its body is read."""
 
     status: int
     reason: str
@@ -43,8 +43,11 @@
     """Handles a request; it is cancelled when the caller disconnects."""
 
     limits: Callable[[], CallerLimits]
+    """Returns the current limits."""
+
     reject: Callable[[int, str], tuple[Headers, bytes]]
-    """Returns the fields and body of the response to a malformed request."""
+    """Returns the fields and body of a response from the status and reason with which a
+    request is rejected."""
 
     on_error: Callable[[BaseException], None]
     """Called with the error of a handler that failed unexpectedly."""
@@ -184,7 +187,7 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection so that a sent response cannot look complete."""
+        """Reset the connection so that a partly sent response cannot look complete."""
         raw = self._transport.get_extra_info("socket")
         if raw is not None and not self._lost:
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -226,7 +229,7 @@
             try:
                 event: Any = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                self._refuse(error.error_status_hint, str(error))
+                self._reject(error.error_status_hint, str(error))
                 return
             if event is h11.NEED_DATA:
                 self._send_continue()
@@ -239,14 +242,14 @@
         if isinstance(event, h11.Request):
             problem = find_problem(event, self._limits.max_header_bytes)
             if problem is not None:
-                self._refuse(problem.status, problem.reason)
+                self._reject(problem.status, problem.reason)
                 return
             self._head = event
             self._body = bytearray()
         elif isinstance(event, h11.Data):
             self._body += event.data
             if len(self._body) > self._limits.max_body_bytes:
-                self._refuse(413, "the body is too large")
+                self._reject(413, "the body is too large")
         elif isinstance(event, h11.EndOfMessage):
             self._start_handler()
 
@@ -291,7 +294,8 @@
         if self._lost:
             return
         if self._http.our_state is not h11.DONE or self._close_after:
-            # An incomplete response must not look complete; abort() was called for it.
+            # After an incomplete response, which must not look complete, the connection
+            # was already reset by abort().
             self._transport.close()
             return
         self._limits = self._options.limits()
@@ -304,8 +308,12 @@
         self._start_timer(self._limits.idle_timeout_s, self._handle_idle_timeout)
         self._read_events()
 
-    def _refuse(self, status: int, reason: str) -> None:
-        """Reject a malformed request and close, since the framing is not reliable."""
+    def _reject(self, status: int, reason: str) -> None:
+        """Reject a request that was not read to its end, and close the connection.
+
+        The connection cannot be reused, since it is unknown where the next request
+        would begin.
+        """
         self._stop_timer()
         self._head = None
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -315,7 +323,7 @@
         self._transport.close()
 
     def _handle_head_timeout(self) -> None:
-        self._refuse(408, "timeout while receiving the request")
+        self._reject(408, "timeout while receiving the request")
 
     def _handle_idle_timeout(self) -> None:
         self._transport.close()
@@ -331,16 +339,16 @@
 
 
 def find_problem(head: h11.Request, max_bytes: int) -> RequestProblem | None:
-    """Return the reason to reject a request by its head, or None.
+    """Return the status and reason if a request is rejected for its head, or None.
 
-    In h11 a chunked body takes precedence over a length. A request with both is
-    rejected, since another parser may read it as two requests.
+    In h11 Transfer-Encoding takes precedence over Content-Length. A request with both
+    is rejected, since another parser may read it as two requests.
     """
     size = len(head.target) + sum(
         len(name) + len(value) + LINE_OVERHEAD_BYTES for name, value in head.headers
     )
     if size > max_bytes:
-        # h11 limits only heads that arrive in several parts.
+        # h11 applies its limit only to heads that arrive in several parts.
         return RequestProblem(status=431, reason="the header fields are too large")
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -14,7 +14,11 @@
 
 
 class Server:
-    """Listener whose handler records requests and responds with `ok`."""
+    """Server options with a handler that records requests and responds with `ok`.
+
+    The handler waits for `release`, fails for the path `/fail`, and aborts its response
+    for `/cut`.
+    """
 
     def __init__(self, limits: CallerLimits = CallerLimits()) -> None:
         self.requests: list[Request] = []
