--- a/mangoway/host_list/const.py
+++ b/mangoway/host_list/const.py
@@ -19,4 +19,4 @@
 READ_TIMEOUT_S: Final = 2.0
 MAX_LISTING_BYTES: Final = 1 << 24
 PERIOD_JITTER: Final = 0.2
-"""Share of the period by which the time between two reads varies."""
+"""Maximum share of the period by which the time between two reads varies."""
--- a/mangoway/host_list/http.py
+++ b/mangoway/host_list/http.py
@@ -15,8 +15,8 @@
 class HttpHostList:
     """Reads the list with a GET on a new connection each time.
 
-    So no connection can become silent between two reads, and a controller doesn't
-    import a full HTTP client.
+    This way no connection can become silent between two reads, and a controller does
+    not import a full HTTP client.
 
     Raises:
         SettingError: If the scheme of the URL is not http.
--- a/mangoway/host_list/listing.py
+++ b/mangoway/host_list/listing.py
@@ -11,7 +11,7 @@
 
 @frozen(kw_only=True)
 class ListedProcess:
-    """A process of the system as listed in the host list."""
+    """Process of this system as listed in the host list."""
 
     host: HostId
     role: ProcessRole
@@ -22,16 +22,16 @@
 
 @frozen(kw_only=True)
 class HostListing:
-    """Contents of the host list at one read; they may be out of date."""
+    """Contents of the host list from one read; they may be out of date."""
 
     upstreams: tuple[UpstreamAddress, ...] = ()
     processes: tuple[ListedProcess, ...] = ()
     skipped: tuple[str, ...] = ()
-    """Reason for each entry that was skipped."""
+    """For each skipped entry, its address and the reason."""
 
     @property
     def is_empty(self) -> bool:
-        """Return whether the list has no usable entries."""
+        """Return whether the list has no usable entry."""
         return not self.upstreams and not self.processes
 
     def count_leaving(self) -> int:
--- a/mangoway/host_list/parser.py
+++ b/mangoway/host_list/parser.py
@@ -47,7 +47,9 @@
         if isinstance(entry, ListedProcess):
             processes[entry.peer_address] = entry
         elif _add_upstream(upstreams, entry):
-            skipped.append(f"{target}: {entry.id} is listed twice")
+            skipped.append(
+                f"{target}: {entry.id} is listed twice, with different addresses"
+            )
     return HostListing(
         upstreams=tuple(upstreams.values()),
         processes=tuple(processes.values()),
@@ -117,9 +119,10 @@
 def _add_upstream(
     upstreams: dict[UpstreamId, UpstreamAddress], entry: UpstreamAddress
 ) -> bool:
-    """Add an upstream; return whether it was skipped as a duplicate name.
+    """Add an upstream; return whether it was skipped as a duplicate.
 
-    An upstream that is listed twice with one address is leaving if either entry is.
+    Of two entries with different addresses, the first is kept. An upstream that is
+    listed twice with one address is leaving if either entry is.
     """
     existing = upstreams.setdefault(entry.id, entry)
     if existing is entry:
--- a/mangoway/host_list/poller.py
+++ b/mangoway/host_list/poller.py
@@ -31,7 +31,7 @@
         period_s: float,
         metrics: Metrics,
         on_change: Callable[[HostListing], None],
-        source: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self.listing = HostListing()
         """Last good listing; empty before the first successful read."""
@@ -40,7 +40,7 @@
         self._period_s = period_s
         self._metrics = metrics
         self._on_change = on_change
-        self._random = source or random.SystemRandom()
+        self._random = random_source or random.SystemRandom()
         self._last_read_at = asyncio.get_running_loop().time()
 
     async def async_run(self) -> None:
--- a/tests/host_list/test_http.py
+++ b/tests/host_list/test_http.py
@@ -18,12 +18,12 @@
     async def test_only_a_changed_list_is_parsed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        entry = (
+        group = (
             b'{"targets": ["10.0.0.%d:1"], "labels": {"role": "runner", '
             b'"host": "r%d", "data_centre": "dc", "state": "live"}}'
         )
-        one = b"[" + entry % (1, 1) + b"]"
-        two = b"[" + entry % (1, 1) + b", " + entry % (2, 2) + b"]"
+        one = b"[" + group % (1, 1) + b"]"
+        two = b"[" + group % (1, 1) + b", " + group % (2, 2) + b"]"
         bodies = [one, one, b"{", one, two, b""]
         parsed: list[bytes] = []
         parse = http.parse_listing
@@ -37,13 +37,13 @@
 
         monkeypatch.setattr(http, "async_exchange", async_respond)
         monkeypatch.setattr(http, "parse_listing", record)
-        reader = HttpHostList("http://10.0.0.1/hosts")
-        counts = [len((await reader.async_read()).upstreams) for _ in range(2)]
+        host_list = HttpHostList("http://10.0.0.1/hosts")
+        counts = [len((await host_list.async_read()).upstreams) for _ in range(2)]
         with pytest.raises(MangowayError) as raised:
-            await reader.async_read()
-        counts += [len((await reader.async_read()).upstreams) for _ in range(2)]
+            await host_list.async_read()
+        counts += [len((await host_list.async_read()).upstreams) for _ in range(2)]
         assert raised.value.code is ErrorCode.PLATFORM_UNAVAILABLE
         assert counts == [1, 1, 1, 2]
         assert parsed == [one, b"{", two]
         with pytest.raises(MangowayError):
-            await reader.async_read()
+            await host_list.async_read()
--- a/tests/host_list/test_poller.py
+++ b/tests/host_list/test_poller.py
@@ -19,7 +19,7 @@
 
 @define
 class Setup:
-    """A simulated host list and its poller."""
+    """Stand-in for the host list, an adapter that reads it, and their poller."""
 
     stand_in: HostListStandIn
     host_list: HttpHostList
@@ -47,7 +47,7 @@
 
 
 class TestHostListPoller:
-    """Listings that are kept and passed to the callback."""
+    """Which listings are kept, and which are passed to the callback."""
 
     async def test_callback_is_called_for_changes_only(self, setup: Setup) -> None:
         setup.stand_in.set_groups([RUNNER])
