--- a/mangoway/services/__init__.py
+++ b/mangoway/services/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of plain services."""
+"""Client of plain services."""
--- a/mangoway/services/client.py
+++ b/mangoway/services/client.py
@@ -27,13 +27,13 @@
     async def async_call(
         self, address: str, attempt: ServiceAttempt
     ) -> ServiceResponse:
-        """Send a call and return the response, unless it rejects the call.
+        """Send a call and return the response; a rejection raises an error.
 
         A call that must not be retried uses a new connection, since on a dead pooled
         connection it would be unknown whether the call ran.
 
         Raises:
-            MangowayError: The verdict is NOT_RUN only if it certainly did not run.
+            MangowayError: With verdict NOT_RUN only if the call certainly did not run.
         """
         call = UpstreamCall(
             method="POST",
@@ -66,6 +66,6 @@
     if echoed is not None and echoed != attempt.id:
         raise MangowayError(
             ErrorCode.UPSTREAM_FAILED,
-            f"response to attempt {echoed} on the connection of {attempt.id}",
+            f"response to attempt {echoed}, on the connection of attempt {attempt.id}",
             Verdict.MAY_HAVE_RUN,
         )
--- a/mangoway/services/messages.py
+++ b/mangoway/services/messages.py
@@ -13,8 +13,13 @@
     call: CallName
     body: bytes
     idempotent: bool
+    """Whether the call may be retried, and thus may use a pooled connection."""
+
     timeout_s: float
+    """Seconds for the whole call."""
+
     silence_s: float
+    """Seconds without a received byte after which the connection is closed."""
 
 
 @frozen(kw_only=True)
--- a/mangoway/upstreams/exchange.py
+++ b/mangoway/upstreams/exchange.py
@@ -50,8 +50,8 @@
 
     Raises:
         MangowayError: UPSTREAM_SILENT, UPSTREAM_FAILED, UPSTREAM_BUSY, or
-            DEADLINE_EXCEEDED if it was too late to send the request; the verdict is
-            NOT_RUN only if nothing was sent or the upstream reports so.
+            DEADLINE_EXCEEDED after `send_before`; the verdict is NOT_RUN only if
+            nothing was sent or the upstream reports so.
     """
     exchange = _Exchange(request)
     try:
@@ -59,7 +59,8 @@
             return await exchange.async_run()
     except TimeoutError as error:
         raise exchange.make_error(
-            ErrorCode.UPSTREAM_SILENT, "no response in time"
+            ErrorCode.UPSTREAM_SILENT,
+            "timeout while connecting or receiving the response",
         ) from error
     except (OSError, h11.RemoteProtocolError) as error:
         raise exchange.make_error(ErrorCode.UPSTREAM_FAILED, str(error)) from error
@@ -71,7 +72,7 @@
 class _Exchange:
     request: ExchangeRequest
     _http: h11.Connection = field(init=False)
-    _sent: bool = field(default=False, init=False)
+    _may_have_run: bool = field(default=False, init=False)
     _writer: asyncio.StreamWriter | None = field(default=None, init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -84,16 +85,17 @@
         data = self._encode()
         if asyncio.get_running_loop().time() > self.request.send_before:
             raise self.make_error(
-                ErrorCode.DEADLINE_EXCEEDED, "too late to send the request"
+                ErrorCode.DEADLINE_EXCEEDED,
+                "the latest time to send the request has passed",
             )
-        self._sent = True
+        self._may_have_run = True
         self._writer.write(data)
         await self._writer.drain()
         return await self._async_read(reader)
 
     def make_error(self, code: ErrorCode, detail: str) -> MangowayError:
-        """Return the error of this exchange."""
-        verdict = Verdict.MAY_HAVE_RUN if self._sent else Verdict.NOT_RUN
+        """Return an error with the current verdict on the request."""
+        verdict = Verdict.MAY_HAVE_RUN if self._may_have_run else Verdict.NOT_RUN
         return MangowayError(code, f"{self.request.address}: {detail}", verdict)
 
     def close(self) -> None:
@@ -128,7 +130,7 @@
                 body.extend(event.data)
                 if len(body) > self.request.limit_bytes:
                     raise self.make_error(
-                        ErrorCode.UPSTREAM_FAILED, "response too large"
+                        ErrorCode.UPSTREAM_FAILED, "the response body exceeds the limit"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
@@ -142,5 +144,5 @@
         if (HEADER_VERDICT.lower().encode(), VERDICT_NOT_RUN.encode()) in [
             (name, value) for name, value in response.headers
         ]:
-            self._sent = False
-        raise self.make_error(code, f"status {status}")
+            self._may_have_run = False
+        raise self.make_error(code, f"responded with status {status}")
--- a/mangoway/upstreams/session.py
+++ b/mangoway/upstreams/session.py
@@ -41,19 +41,19 @@
     """Seconds without a received byte after which the connection is closed."""
 
     streamed: bool = False
-    """Whether the response body arrives in many small parts over a long time."""
+    """Whether the response body is received in many small parts over a long time."""
 
     fresh: bool = False
     """Whether to open a new connection for this call alone.
 
-    A pooled connection may be dead without notice, so that it is unknown whether a
+    A pooled connection may be lost without notice, so that it is unknown whether a
     request that was written to it ran. With a new connection, an unreachable upstream
-    is detected while connecting, when certainly nothing ran.
+    is detected while connecting, when the request certainly did not run.
     """
 
 
 class UpstreamSession:
-    """A pool of connections to upstreams, to be closed on the loop that opened it."""
+    """A pool of connections to upstreams; must be closed on the loop that opened it."""
 
     def __init__(
         self,
@@ -67,6 +67,7 @@
         )
         self._fresh = _open_session(aiohttp.TCPConnector(limit=0, force_close=True))
         self._unpooled_until: dict[str, float] = {}
+        """Time until which an address gets new connections only."""
 
     async def __aenter__(self) -> Self:
         return self
@@ -130,7 +131,7 @@
         """Return the body of a successful response.
 
         Raises:
-            MangowayError: As `async_open`, or the status is not successful.
+            MangowayError: As `async_open`, or if the status is not successful.
         """
         async with self.async_open(call) as response:
             if not response.ok:
@@ -159,8 +160,8 @@
         silence_s = call.silence_s
         if call.streamed and session is self._pooled:
             # An upstream sends the headers of a streamed response long before the
-            # first token. If one doesn't, this fails one attempt: the next one to
-            # the address uses a new connection.
+            # first token. If it doesn't, this limit fails one attempt only, since the
+            # next one to the address uses a new connection.
             silence_s = min(silence_s, self._head_timeout_s)
         return aiohttp.ClientTimeout(
             total=call.timeout_s,
@@ -183,7 +184,7 @@
 
 
 async def async_read_body(response: aiohttp.ClientResponse) -> bytes:
-    """Return the whole body of a response of limited size.
+    """Return the whole body of a response.
 
     Raises:
         MangowayError: UPSTREAM_FAILED if it is larger than `MAX_RESPONSE_BYTES`.
@@ -201,7 +202,7 @@
 
 
 def read_refusal(response: aiohttp.ClientResponse) -> MangowayError:
-    """Return the error for an unsuccessful response."""
+    """Return the error for an unsuccessful status, with the verdict in its headers."""
     not_run = response.headers.get(HEADER_VERDICT) == VERDICT_NOT_RUN
     busy = response.status in BUSY_STATUSES
     return MangowayError(
--- a/mangoway/upstreams/silence.py
+++ b/mangoway/upstreams/silence.py
@@ -1,15 +1,15 @@
-"""Detection of silent streams without a cost for each read."""
+"""Detection of silent streams at no cost per read."""
 
 import asyncio
 
 import aiohttp
 
 CHECKS_PER_LIMIT = 4
-"""Checks per limit; silence is detected within a quarter of the limit after it."""
+"""Checks per limit; silence is detected at most a quarter of the limit too late."""
 
 
 class SilenceWatch:
-    """Closes a response that receives no byte for a time.
+    """Closes a response on which no byte is received for `limit_s`.
 
     Each check compares the number of received bytes with that of the last check. The
     read timeout of aiohttp would set a new timer at each read, which takes a tenth of
@@ -50,6 +50,6 @@
 
 def _disable_read_timeout(response: aiohttp.ClientResponse) -> None:
     connection = response.connection
-    # None once the whole body is received.
+    # It is None once the whole body has been received.
     if connection is not None and connection.protocol is not None:
         connection.protocol.read_timeout = None
--- a/tests/upstreams/raw_server.py
+++ b/tests/upstreams/raw_server.py
@@ -8,7 +8,7 @@
 
 
 def frame(status: int, body: bytes = b"", headers: str = "") -> bytes:
-    """Return a whole HTTP response."""
+    """Return the bytes of a complete HTTP response."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
 
@@ -24,6 +24,8 @@
         self.requests: list[bytes] = []
         self.connections = 0
         self.lost = asyncio.Event()
+        """Set once a connection is closed."""
+
         self._tasks: set[asyncio.Task[None]] = set()
         self._silent: set[asyncio.Task[None]] = set()
 
