--- a/mangoway/engines/client.py
+++ b/mangoway/engines/client.py
@@ -7,7 +7,7 @@
 from ..models.identifiers import AttemptId
 from ..models.order import Order
 from ..models.upstream import EngineDescription, EngineReport
-from ..upstreams.session import UpstreamCall, UpstreamSession, read_refusal
+from ..upstreams.session import UpstreamCall, UpstreamSession, make_status_error
 from .codec import (
     decode_description,
     decode_order_answer,
@@ -94,7 +94,7 @@
         decoder = StreamDecoder(attempt.id, attempt.resume_from)
         async with self._session.async_open(call) as response:
             if not response.ok:
-                raise read_refusal(response)
+                raise make_status_error(response)
             async for data in response.content.iter_any():
                 chunks = decoder.feed(data)
                 if chunks:
--- a/mangoway/services/client.py
+++ b/mangoway/services/client.py
@@ -12,7 +12,7 @@
     UpstreamCall,
     UpstreamSession,
     async_read_body,
-    read_refusal,
+    make_status_error,
 )
 from .const import CONTENT_TYPE_JSON, HEADER_CONTENT_TYPE
 from .messages import ServiceAttempt, ServiceResponse
@@ -51,7 +51,7 @@
         async with self._session.async_open(call) as response:
             not_run = response.headers.get(HEADER_VERDICT) == VERDICT_NOT_RUN
             if not_run or response.status in BUSY_STATUSES:
-                raise read_refusal(response)
+                raise make_status_error(response)
             _check_request_id(response.headers.get(HEADER_REQUEST_ID), attempt)
             return ServiceResponse(
                 status=response.status,
--- a/mangoway/upstreams/session.py
+++ b/mangoway/upstreams/session.py
@@ -135,7 +135,7 @@
         """
         async with self.async_open(call) as response:
             if not response.ok:
-                raise read_refusal(response)
+                raise make_status_error(response)
             return await async_read_body(response)
 
     def _choose_session(self, call: UpstreamCall) -> aiohttp.ClientSession:
@@ -201,7 +201,7 @@
     return bytes(body)
 
 
-def read_refusal(response: aiohttp.ClientResponse) -> MangowayError:
+def make_status_error(response: aiohttp.ClientResponse) -> MangowayError:
     """Return the error for an unsuccessful status, with the verdict in its headers."""
     not_run = response.headers.get(HEADER_VERDICT) == VERDICT_NOT_RUN
     busy = response.status in BUSY_STATUSES
