--- a/mangoway/callers/answer.py
+++ b/mangoway/callers/answer.py
@@ -21,7 +21,7 @@
 
 
 @frozen(kw_only=True)
-class RelayedAnswer:
+class RelayedResponse:
     """Response of another gateway: its head, and the parts of its body."""
 
     status: int
@@ -44,7 +44,7 @@
 
     finish_reason: str = FINISH_REASON_DEFAULT
     plain: PlainBody | None = None
-    relayed: RelayedAnswer | None = None
+    relayed: RelayedResponse | None = None
     failure: Failure | None = None
     ended: bool = False
     _leader: "Answer | None" = None
@@ -90,7 +90,7 @@
         """Set the response to a service call."""
         self.plain = plain
 
-    def relay(self, relayed: RelayedAnswer) -> None:
+    def relay(self, relayed: RelayedResponse) -> None:
         """Replace this answer by the response of another gateway."""
         self.relayed = relayed
         self._notify_readers()
--- a/mangoway/daemons/peer_router.py
+++ b/mangoway/daemons/peer_router.py
@@ -7,7 +7,7 @@
 
 from attrs import define, evolve
 
-from ..callers.answer import RelayedAnswer
+from ..callers.answer import RelayedResponse
 from ..callers.const import FORWARDED_HEADERS
 from ..callers.gate import Gate
 from ..callers.messages import IncomingRequest
@@ -165,7 +165,7 @@
             await frames.aclose()
             return
         record.answer.relay(
-            RelayedAnswer(
+            RelayedResponse(
                 status=head.status, headers=headers, parts=_async_read_parts(frames)
             )
         )
