--- a/tests/edge/test_cooldowns.py
+++ b/tests/edge/test_cooldowns.py
@@ -7,7 +7,7 @@
 from mangoway.policy.limits.cooldowns import CooldownReport
 from mangoway.policy.scheduling.const import RETRY_SPREAD
 
-from ..upstreams.raw_server import RawServer, Script, answer, frame
+from ..upstreams.raw_server import RawServer, Script, answer, make_response
 from .second_attempts import (
     SECOND_ATTEMPTS,
     add_load,
@@ -20,7 +20,7 @@
 
 
 def reject(rest_s: str = "3") -> Script:
-    return answer(frame(503, b"", FIELDS.format(rest_s)))
+    return answer(make_response(503, b"", FIELDS.format(rest_s)))
 
 
 def start_cooldown(edge: EdgeWorld, runner_id: str, rest_s: float = 30.0) -> None:
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -7,7 +7,7 @@
 from mangoway.http1.const import MAX_REUSE_IDLE_S
 from mangoway.policy.scheduling.events import EndKind
 
-from ..upstreams.raw_server import RawServer, answer, cut, frame
+from ..upstreams.raw_server import RawServer, answer, cut, make_response
 from .world import (
     SIGNED,
     make_call,
@@ -39,7 +39,7 @@
         assert b"X-Expect-Instance: r1\r\n" in request
 
     async def test_failure_of_a_runner_keeps_status_and_signature(self) -> None:
-        failure = frame(500, b"no", f"X-Request-Id: q1\r\n{SIGNED}")
+        failure = make_response(500, b"no", f"X-Request-Id: q1\r\n{SIGNED}")
         async with RawServer(answer(failure)) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
             reply = await edge.async_call("/once/x")
@@ -47,14 +47,14 @@
         assert len(runner.requests) == 1
 
     async def test_success_without_signature_is_a_failure(self) -> None:
-        unsigned = frame(200, b"x", "X-Request-Id: q1\r\n")
+        unsigned = make_response(200, b"x", "X-Request-Id: q1\r\n")
         async with RawServer(answer(unsigned)) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
             reply = await edge.async_call("/once/x")
         assert reply.status == 502
 
     async def test_response_to_another_request_is_skipped(self) -> None:
-        other = frame(200, b"other", f"X-Request-Id: q0\r\n{SIGNED}")
+        other = make_response(200, b"other", f"X-Request-Id: q0\r\n{SIGNED}")
         async with (
             RawServer(answer(other, make_ok(b"mine"))) as runner,
             start_edge() as edge,
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -8,7 +8,7 @@
 from mangoway.models.signals import LeavingReport
 
 from ..fakes.fleet import make_runner
-from ..upstreams.raw_server import RawServer, Script, answer, frame
+from ..upstreams.raw_server import RawServer, Script, answer, make_response
 from .second_attempts import (
     SECOND_ATTEMPTS,
     add_load,
@@ -35,7 +35,7 @@
     async def test_next_request_goes_to_another_runner(self, status: int) -> None:
         reports: list[object] = []
         async with (
-            RawServer(answer(frame(status, b"", LEAVING_HEADERS))) as leaving,
+            RawServer(answer(make_response(status, b"", LEAVING_HEADERS))) as leaving,
             RawServer(answer(make_ok())) as other,
             start_edge() as edge,
         ):
@@ -60,7 +60,7 @@
 
     async def test_running_request_continues(self) -> None:
         headers = LEAVING_HEADERS + "X-Extra: 1\r\n"
-        async with RawServer(answer(frame(200, b"whole", headers))) as server:
+        async with RawServer(answer(make_response(200, b"whole", headers))) as server:
             async with start_edge() as edge:
                 edge.add("r1", server, "plain")
                 reply = await edge.async_call("/once/x")
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -8,7 +8,7 @@
 from mangoway.policy.limits.tracker import LimitReport
 from mangoway.policy.scheduling.const import RETRY_SPREAD
 
-from ..upstreams.raw_server import RawServer, Script, answer, frame
+from ..upstreams.raw_server import RawServer, Script, answer, make_response
 from .second_attempts import (
     FAILS,
     REJECTS,
@@ -154,7 +154,7 @@
         reports: list[LimitReport] = []
         fields = "X-Request-Id: q1\r\nServer-Limit: {}\r\n"
         scripts = [
-            answer(frame(status, b"", fields.format(number)))
+            answer(make_response(status, b"", fields.format(number)))
             for number, status in enumerate((421, 500, 503))
         ]
         async with RawServer(*scripts) as server, start_edge() as edge:
--- a/tests/edge/test_signal_tracker.py
+++ b/tests/edge/test_signal_tracker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ..upstreams.raw_server import RawServer, answer, frame
+from ..upstreams.raw_server import RawServer, answer, make_response
 from .world import EdgeWorld, make_event, make_ok, make_stream, start_edge
 
 LIMIT = "Server-Limit: 2.5\r\n"
@@ -20,7 +20,7 @@
     @pytest.mark.parametrize("status", [200, 421, 500, 503])
     async def test_limit_in_a_complete_response_is_counted(self, status: int) -> None:
         headers = "X-Request-Id: q1\r\nX-Response-Signature: s1\r\n" + LIMIT
-        async with RawServer(answer(frame(status, b"", headers))) as server:
+        async with RawServer(answer(make_response(status, b"", headers))) as server:
             async with start_edge() as edge:
                 edge.add("r1", server, "plain")
                 await edge.async_call("/once/x")
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -33,7 +33,7 @@
 from mangoway.util.tasks import Tasks
 
 from ..fakes.fleet import make_route, make_runner, make_table
-from ..upstreams.raw_server import RawServer, frame
+from ..upstreams.raw_server import RawServer, make_response
 
 SIGNED = "X-Response-Signature: s1\r\n"
 
@@ -257,12 +257,12 @@
 
 def make_ok(body: bytes = b"whole", headers: str = SIGNED) -> bytes:
     """Return a complete response with a signature."""
-    return frame(200, body, f"X-Request-Id: q1\r\n{headers}")
+    return make_response(200, body, f"X-Request-Id: q1\r\n{headers}")
 
 
 def make_not_run(status: int = 503) -> bytes:
     """Return a rejection with the header for requests that have not run."""
-    return frame(status, b"", "X-Request-Id: q1\r\nX-Not-Executed: 1\r\n")
+    return make_response(status, b"", "X-Request-Id: q1\r\nX-Not-Executed: 1\r\n")
 
 
 @asynccontextmanager
--- a/tests/engines/test_client.py
+++ b/tests/engines/test_client.py
@@ -20,7 +20,7 @@
 from mangoway.models.verdict import Verdict
 from mangoway.upstreams.session import UpstreamSession
 
-from ..upstreams.raw_server import RawServer, Script, answer, cut, frame
+from ..upstreams.raw_server import RawServer, Script, answer, cut, make_response
 from .test_stream import DONE, make_event
 
 ARTIFACT = Artifact(ModelName("m"), VersionName("1"))
@@ -114,7 +114,7 @@
     async def test_missing_checks_fences_means_false(self) -> None:
         body = b'{"upstream": "r1", "incarnation": "i1", "memory_mb": 80}'
         async with (
-            RawServer(answer(frame(200, body))) as server,
+            RawServer(answer(make_response(200, body))) as server,
             UpstreamSession() as session,
         ):
             client = EngineClient(session, lambda: NOW)
@@ -137,7 +137,7 @@
             }
         )
         async with (
-            RawServer(answer(frame(200, body))) as server,
+            RawServer(answer(make_response(200, body))) as server,
             UpstreamSession() as session,
         ):
             client = EngineClient(session, lambda: NOW)
@@ -149,7 +149,7 @@
     @pytest.mark.parametrize("body", [b"[]", b"{", b"{}", b'{"running": "x"}'])
     async def test_malformed_report_fails(self, body: bytes) -> None:
         async with (
-            RawServer(answer(frame(200, body))) as server,
+            RawServer(answer(make_response(200, body))) as server,
             UpstreamSession() as session,
         ):
             client = EngineClient(session, lambda: NOW)
@@ -162,14 +162,14 @@
 
     async def test_answer_is_decoded(self) -> None:
         body = b'{"order_id": "o-1", "outcome": "refused_stale_fence", "fence": 9}'
-        result = await send_order(answer(frame(200, body)))
+        result = await send_order(answer(make_response(200, body)))
         assert result.outcome is OrderOutcome.REFUSED_STALE_FENCE
         assert result.fence == 9
 
     async def test_answer_to_another_order_fails(self) -> None:
         body = b'{"order_id": "o-0", "outcome": "accepted", "fence": 9}'
         with pytest.raises(MangowayError) as caught:
-            await send_order(answer(frame(200, body)))
+            await send_order(answer(make_response(200, body)))
         assert caught.value.failure.verdict is Verdict.MAY_HAVE_RUN
 
     async def test_lost_answer_may_have_run(self) -> None:
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -17,7 +17,7 @@
 from mangoway.http1.const import MAX_REUSE_IDLE_S
 from mangoway.http1.messages import Request
 
-from ..upstreams.raw_server import RawServer, Script, frame
+from ..upstreams.raw_server import RawServer, Script, make_response
 
 REQUEST = Request(method=b"GET", target=b"/", headers=((b"Host", b"u"),), body=b"")
 
@@ -62,7 +62,7 @@
     """Tests of responses with all framings."""
 
     async def test_length(self) -> None:
-        async with RawServer(script(frame(200, b"body"))) as server:
+        async with RawServer(script(make_response(200, b"body"))) as server:
             assert await read_whole(await connect(server)) == (200, b"body")
 
     async def test_chunks(self) -> None:
@@ -99,12 +99,12 @@
                 await read_whole(await connect(server))
 
     async def test_interim_response_is_skipped(self) -> None:
-        data = b"HTTP/1.1 100 Continue\r\n\r\n" + frame(200, b"x")
+        data = b"HTTP/1.1 100 Continue\r\n\r\n" + make_response(200, b"x")
         async with RawServer(script(data)) as server:
             assert await read_whole(await connect(server)) == (200, b"x")
 
     async def test_response_of_another_request_is_skipped(self) -> None:
-        data = frame(200, b"other") + frame(200, b"mine")
+        data = make_response(200, b"other") + make_response(200, b"mine")
         async with RawServer(script(data)) as server:
             connection = await connect(server)
             await connection.async_send(REQUEST)
@@ -119,7 +119,9 @@
     """Tests of the reuse of connections."""
 
     async def test_clean_connection_is_kept(self) -> None:
-        async with RawServer(script(frame(200)), script(frame(200))) as server:
+        async with RawServer(
+            script(make_response(200)), script(make_response(200))
+        ) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
@@ -127,7 +129,7 @@
             assert pool.acquire(server.address, now()) is connection
 
     async def test_connection_with_extra_bytes_is_not_reused(self) -> None:
-        async with RawServer(script(frame(200) + b"more")) as server:
+        async with RawServer(script(make_response(200) + b"more")) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
@@ -135,7 +137,7 @@
             assert pool.acquire(server.address, now()) is None
 
     async def test_connection_with_late_bytes_is_not_reused(self) -> None:
-        async with RawServer(script(frame(200), b"late")) as server:
+        async with RawServer(script(make_response(200), b"late")) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
@@ -144,14 +146,14 @@
             assert pool.acquire(server.address, now()) is None
 
     async def test_connection_with_announced_close_is_not_reused(self) -> None:
-        answer = frame(200, headers="Connection: close\r\n")
+        answer = make_response(200, headers="Connection: close\r\n")
         async with RawServer(script(answer)) as server:
             connection = await connect(server)
             await read_whole(connection)
             assert not connection.prepare_reuse(now())
 
     async def test_idle_time_is_limited_below_the_announced_timeout(self) -> None:
-        answer = frame(200, headers="Keep-Alive: timeout=3\r\n")
+        answer = make_response(200, headers="Keep-Alive: timeout=3\r\n")
         async with RawServer(script(answer)) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
@@ -160,7 +162,7 @@
             assert pool.acquire(server.address, now() + 2.5) is None
 
     async def test_request_without_retry_reuses_recent_connections_only(self) -> None:
-        async with RawServer(script(frame(200))) as server:
+        async with RawServer(script(make_response(200))) as server:
             pool = ConnectionPool(max_idle=2)
             connection = await connect(server)
             await read_whole(connection)
@@ -170,7 +172,7 @@
             assert pool.acquire(server.address, now(), retryable=False) is connection
 
     async def test_number_of_idle_connections_is_limited(self) -> None:
-        async with RawServer(*[script(frame(200))] * 3) as server:
+        async with RawServer(*[script(make_response(200))] * 3) as server:
             pool = ConnectionPool(max_idle=1)
             kept = [await connect(server) for _ in range(3)]
             for each in kept:
--- a/tests/services/test_client.py
+++ b/tests/services/test_client.py
@@ -9,7 +9,7 @@
 from mangoway.services.messages import ServiceAttempt, ServiceResponse
 from mangoway.upstreams.session import UpstreamSession
 
-from ..upstreams.raw_server import RawServer, Script, answer, cut, frame
+from ..upstreams.raw_server import RawServer, Script, answer, cut, make_response
 
 
 def make_attempt(idempotent: bool = False) -> ServiceAttempt:
@@ -34,7 +34,7 @@
 
     @pytest.mark.parametrize("status", [200, 404, 422, 500])
     async def test_status_and_body_pass_through(self, status: int) -> None:
-        response = frame(status, b"[1]", "Content-Type: text/x\r\n")
+        response = make_response(status, b"[1]", "Content-Type: text/x\r\n")
         result = await call(answer(response))
         assert result == ServiceResponse(
             status=status, content_type="text/x", body=b"[1]"
@@ -42,7 +42,7 @@
 
     async def test_request_contains_the_call_and_the_attempt(self) -> None:
         async with (
-            RawServer(answer(frame(200))) as server,
+            RawServer(answer(make_response(200))) as server,
             UpstreamSession() as session,
         ):
             await ServiceClient(session).async_call(server.address, make_attempt())
@@ -61,12 +61,12 @@
         self, status: int, headers: str, verdict: Verdict
     ) -> None:
         with pytest.raises(MangowayError) as caught:
-            await call(answer(frame(status, headers=headers)))
+            await call(answer(make_response(status, headers=headers)))
         assert caught.value.failure.verdict is verdict
 
     async def test_response_to_another_attempt_is_rejected(self) -> None:
         with pytest.raises(MangowayError) as caught:
-            await call(answer(frame(200, headers="X-Request-Id: a-0\r\n")))
+            await call(answer(make_response(200, headers="X-Request-Id: a-0\r\n")))
         assert caught.value.failure.verdict is Verdict.MAY_HAVE_RUN
 
     async def test_closed_connection_may_have_run_and_is_not_retried(self) -> None:
@@ -81,7 +81,7 @@
         self, idempotent: bool, connections: int
     ) -> None:
         async with (
-            RawServer(answer(frame(200))) as server,
+            RawServer(answer(make_response(200))) as server,
             UpstreamSession() as session,
         ):
             client = ServiceClient(session)
--- a/tests/upstreams/raw_server.py
+++ b/tests/upstreams/raw_server.py
@@ -7,7 +7,7 @@
 Script = Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
-def frame(status: int, body: bytes = b"", headers: str = "") -> bytes:
+def make_response(status: int, body: bytes = b"", headers: str = "") -> bytes:
     """Return the bytes of a complete HTTP response."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
--- a/tests/upstreams/test_exchange.py
+++ b/tests/upstreams/test_exchange.py
@@ -8,7 +8,7 @@
 from mangoway.models.verdict import Verdict
 from mangoway.upstreams.exchange import ExchangeRequest, async_exchange
 
-from .raw_server import RawServer, Script, answer, cut, frame
+from .raw_server import RawServer, Script, answer, cut, make_response
 
 
 async def async_send(
@@ -38,13 +38,13 @@
     """Sent requests, and verdicts of failures."""
 
     async def test_request_and_body_are_received(self) -> None:
-        async with RawServer(answer(frame(200, b"whole"))) as server:
+        async with RawServer(answer(make_response(200, b"whole"))) as server:
             assert await async_send(server.address) == b"whole"
             assert b"POST /v1/orders HTTP/1.1" in server.requests[0]
             assert server.requests[0].endswith(b'{"a":1}')
 
     async def test_each_exchange_has_its_own_connection(self) -> None:
-        async with RawServer(answer(frame(200))) as server:
+        async with RawServer(answer(make_response(200))) as server:
             await async_send(server.address)
             await async_send(server.address)
             assert server.connections == 2
@@ -75,12 +75,12 @@
     async def test_verdict_of_a_rejection_follows_its_header(
         self, headers: str, verdict: Verdict
     ) -> None:
-        error = await async_expect_error(answer(frame(503, b"", headers)))
+        error = await async_expect_error(answer(make_response(503, b"", headers)))
         assert error.code is ErrorCode.UPSTREAM_BUSY
         assert error.failure.verdict is verdict
 
     async def test_response_over_the_limit_is_rejected(self) -> None:
-        async with RawServer(answer(frame(200, b"four"))) as server:
+        async with RawServer(answer(make_response(200, b"four"))) as server:
             request = ExchangeRequest(
                 method="GET",
                 address=server.address,
@@ -93,7 +93,7 @@
         assert raised.value.code is ErrorCode.UPSTREAM_FAILED
 
     async def test_late_request_is_not_sent(self) -> None:
-        async with RawServer(answer(frame(200))) as server:
+        async with RawServer(answer(make_response(200))) as server:
             now = asyncio.get_running_loop().time()
             with pytest.raises(MangowayError) as raised:
                 await async_send(server.address, send_before=now - 0.001)
--- a/tests/upstreams/test_session.py
+++ b/tests/upstreams/test_session.py
@@ -9,9 +9,9 @@
 from mangoway.models.verdict import Verdict
 from mangoway.upstreams.session import UpstreamCall, UpstreamSession
 
-from .raw_server import RawServer, answer, cut, frame
+from .raw_server import RawServer, answer, cut, make_response
 
-OK = frame(200, b"{}")
+OK = make_response(200, b"{}")
 
 
 def make_call(address: str, silence_s: float = 5.0, **more: object) -> UpstreamCall:
@@ -63,7 +63,7 @@
     async def test_rejection_is_not_run_only_with_that_verdict(
         self, headers: str, verdict: Verdict
     ) -> None:
-        busy = frame(503, headers=headers + "Retry-After: 1.5\r\n")
+        busy = make_response(503, headers=headers + "Retry-After: 1.5\r\n")
         async with RawServer(answer(busy)) as server:
             error = await async_expect_error(server.address)
         assert error.code is ErrorCode.UPSTREAM_BUSY
