--- a/mangoway/key_value/store.py
+++ b/mangoway/key_value/store.py
@@ -57,7 +57,7 @@
     """Interface with compare-and-swap, leases and watches.
 
     Every `async_` method raises `MangowayError` with code PLATFORM_UNAVAILABLE or
-    PLATFORM_BUDGET. If a response to `async_commit` is lost, the method reads the keys
+    PLATFORM_BUDGET. If the response to a write is lost, `async_commit` reads the keys
     to determine whether the write took effect. The verdict of its error is MAY_HAVE_RUN
     only if that fails too.
     """
