--- a/mangoway/coordination/leadership.py
+++ b/mangoway/coordination/leadership.py
@@ -63,7 +63,7 @@
     """Fence number with which the key was last held under a valid lease."""
 
     _orders_allowed_from: float = field(default=0.0, init=False)
-    _refused_fence: int = field(default=0, init=False)
+    _rejected_fence: int = field(default=0, init=False)
     _stopped: bool = field(default=False, init=False)
     _was_held: bool = field(default=False, init=False)
     """Whether any process has held the key since this process started."""
@@ -102,11 +102,11 @@
         """Return whether orders may be sent now."""
         fence = self.fence
         is_delay_over = self.clock() >= self._orders_allowed_from
-        return fence is not None and is_delay_over and fence > self._refused_fence
+        return fence is not None and is_delay_over and fence > self._rejected_fence
 
     def handle_fence_rejected(self, fence: int) -> None:
         """Stop using a fence number after a runner has seen a higher one."""
-        self._refused_fence = max(self._refused_fence, fence)
+        self._rejected_fence = max(self._rejected_fence, fence)
         log_event(log.FenceRefused(fence=fence))
         self.presence.discard_lease("a higher fence number is in use")
 
