--- a/mangoway/edge/plain_grant_provider.py
+++ b/mangoway/edge/plain_grant_provider.py
@@ -42,7 +42,7 @@
         service: str,
         excluded: list[str],
         only: tuple[str, ...],
-        refused: Container[str] = (),
+        rejecting: Container[str] = (),
         waits: Mapping[str, float] = NO_WAITS,
     ) -> RunnerEntry | Reject:
         """Return a runner of a service, or why there is none.
@@ -51,21 +51,21 @@
             service: Name of the service.
             excluded: Runners that failed this request; chosen only if no others exist.
             only: The only runners that may receive it; empty if any runner may.
-            refused: Runners that rejected it. A full runner would reject it again at
+            rejecting: Runners that rejected it. A full runner would reject it again at
                 once, and each attempt counts as a retry.
             waits: Runners that accept no requests now, and for how many seconds.
         """
         now = self.clock()
         known = self.view.list_runners(service)
         allowed = [each for each in known if not only or each.runner_id in only]
-        runners = [each for each in allowed if each.runner_id not in refused]
+        runners = [each for each in allowed if each.runner_id not in rejecting]
         if allowed and not runners:
-            return _make_refusal(ALL_REJECTED_REASON)
+            return _make_rejection(ALL_REJECTED_REASON)
         accepting = [each for each in runners if each.runner_id not in waits]
         if runners and not accepting:
             wait_s = min(waits[each.runner_id] for each in runners)
             spread = 1 + RETRY_SPREAD * self.random.random()
-            return _make_refusal(
+            return _make_rejection(
                 RATE_LIMITED_REASON, min(MAX_RETRY_AFTER_S, wait_s) * spread
             )
         runners = accepting
@@ -80,7 +80,7 @@
             candidates, self.in_flight, self.data_centre, self.random
         )
         if runner is None:
-            return _make_refusal(NO_RUNNER_REASON)
+            return _make_rejection(NO_RUNNER_REASON)
         self.health.record_attempt(runner.runner_id, now)
         return runner
 
@@ -103,5 +103,5 @@
                 )
 
 
-def _make_refusal(reason: str, retry_after_s: float = RETRY_AFTER_OUTAGE_S) -> Reject:
+def _make_rejection(reason: str, retry_after_s: float = RETRY_AFTER_OUTAGE_S) -> Reject:
     return Reject(edge="", request_id="", retry_after_s=retry_after_s, reason=reason)
--- a/mangoway/edge/retry_budgets.py
+++ b/mangoway/edge/retry_budgets.py
@@ -21,7 +21,7 @@
     _started_at: float = field(init=False)
     _budgets: dict[str, RetryBudget] = field(factory=dict, init=False)
     _logged: dict[str, int] = field(factory=dict, init=False)
-    """Retries and refusals of each service at the last log event."""
+    """Retries of each service, granted or rejected, up to the last log event."""
 
     def __attrs_post_init__(self) -> None:
         self._started_at = self.clock()
--- a/mangoway/edge/runner_finder.py
+++ b/mangoway/edge/runner_finder.py
@@ -207,7 +207,7 @@
             return None
         wait_s = self.context.grant_provider.consume_quota(self.caller.name, cost)
         if wait_s > 0:
-            return self._make_refusal(OVER_QUOTA, wait_s, over_quota=True)
+            return self._make_rejection(OVER_QUOTA, wait_s, over_quota=True)
         self._quota_consumed = cost
         return None
 
@@ -215,7 +215,7 @@
         return self.context.crash_filter.is_blocked(self.log.identity)
 
     def _reject_blocked(self) -> Reject:
-        return self._make_refusal(CRASHING_REQUEST_REASON, RETRY_AFTER_BLOCK_S)
+        return self._make_rejection(CRASHING_REQUEST_REASON, RETRY_AFTER_BLOCK_S)
 
     async def _async_find_runner(self) -> RunnerEntry | Reject:
         """Return the runner to send the request to, or why there is none."""
@@ -240,7 +240,7 @@
             self.release_grant(EndKind.LEFT)
             if entry is None:
                 self._failed.append(response.runner_id)
-        return self._make_refusal("the runner takes no more", RETRY_AFTER_OUTAGE_S)
+        return self._make_rejection("the runner takes no more", RETRY_AFTER_OUTAGE_S)
 
     async def _async_request_next_grant(self) -> GrantResponse:
         """Request a grant and store its request id."""
@@ -352,7 +352,7 @@
             return ()
         return tuple(self.tried_runner_ids)
 
-    def _make_refusal(
+    def _make_rejection(
         self, reason: str, retry_after_s: float, *, over_quota: bool = False
     ) -> Reject:
         return Reject(
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -174,10 +174,10 @@
             ).status == 200
             edge.ages[0] = 3.6
             assert not edge.forwarder.admission.is_current()
-            refused = await edge.async_call("/safe/x", headers=AUTHORIZATION)
+            rejected = await edge.async_call("/safe/x", headers=AUTHORIZATION)
             public = await edge.async_call("/open/x")
-        assert refused.status == 503
-        assert float(refused.headers["retry-after"]) > 0
+        assert rejected.status == 503
+        assert float(rejected.headers["retry-after"]) > 0
         assert public.status == 200
         assert len(runner.requests) == 2
 
--- a/tests/edge/test_retry_budget.py
+++ b/tests/edge/test_retry_budget.py
@@ -124,7 +124,7 @@
             await edge.async_call("/once/x")
         assert edge.forwarder.retry_budgets.get("plain").repeats == 0
 
-    async def test_refused_grant_takes_no_credit(self) -> None:
+    async def test_rejected_grant_takes_no_credit(self) -> None:
         async with RawServer(cut(b"")) as bad, start_edge() as edge:
             edge.add("r1", bad, "llm")
             await edge.async_call("/stream/x")
