--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -419,7 +419,7 @@
 
 
 @encodes(Reject)
-def _encode_refuse(message: Reject) -> list[Any]:
+def _encode_reject(message: Reject) -> list[Any]:
     return [
         "refuse",
         message.request_id,
@@ -430,7 +430,7 @@
 
 
 @decodes("refuse")
-def _decode_refuse(fields: list[Any], edge: str) -> Message:
+def _decode_reject(fields: list[Any], edge: str) -> Message:
     return Reject(
         edge=edge,
         request_id=fields[1],
--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -180,7 +180,7 @@
             edge.client.report_first_event("q1")
             assert isinstance(await receive(waiting), Grant)
 
-    async def test_waiting_request_is_refused_at_a_stop(self) -> None:
+    async def test_waiting_request_is_rejected_at_a_stop(self) -> None:
         async with connect() as (_, edge):
             await receive(edge.client.request_grant(make_grant_request("q1")))
             waiting = edge.client.request_grant(make_grant_request("q2"))
