--- a/mangoway/daemons/dispatcher.py
+++ b/mangoway/daemons/dispatcher.py
@@ -180,7 +180,7 @@
         self.runner.async_cancel(action.attempt_id)
 
     @_handles(Reject)
-    def _refuse(self, action: Reject) -> None:
+    def _reject(self, action: Reject) -> None:
         record = self.records.pop(action.request_id)
         if record is not None:
             record.attempt = None
--- a/mangoway/daemons/edge.py
+++ b/mangoway/daemons/edge.py
@@ -61,7 +61,7 @@
 MS_PER_S: Final = 1000.0
 STOP_CHECK_PERIOD_S: Final = 0.05
 
-REFUSE_BEFORE_END_S: Final = 2.5
+REJECT_BEFORE_END_S: Final = 2.5
 """Time before the end of a stop at which requests that still wait for a runner are
 rejected: an answer takes about two seconds, and callers must be able to retry at
 another edge before their deadline."""
@@ -208,7 +208,7 @@
             now = self.process.clock()
             if now >= finish_by or (now >= accept_until and self.callers.busy == 0):
                 return
-            if now >= finish_by - REFUSE_BEFORE_END_S:
+            if now >= finish_by - REJECT_BEFORE_END_S:
                 self.client.reject_waiting("this host stops", RETRY_AFTER_STOP_S)
             if now >= accept_until:
                 # No callers are expected any more; requests already being read are
--- a/tests/daemons/test_gateway_faults.py
+++ b/tests/daemons/test_gateway_faults.py
@@ -30,7 +30,7 @@
     return body
 
 
-class TestRefusals:
+class TestRejections:
     """Requests that are rejected before they run."""
 
     @pytest.mark.parametrize(
@@ -198,7 +198,7 @@
         world.node.set_upstreams([])
         assert report_tracker.get(upstream) is None
 
-    async def test_refusal_has_a_retry_delay(self, world: GatewayWorld) -> None:
+    async def test_rejection_has_a_retry_delay(self, world: GatewayWorld) -> None:
         world.node.set_upstreams([])
         response = await world.call("confirm", {"id": 1}, X_Deadline_Seconds="0.2")
         body = await assert_problem(response, 503, "no_upstream", "not_run")
--- a/tests/daemons/test_gateway_node.py
+++ b/tests/daemons/test_gateway_node.py
@@ -143,14 +143,14 @@
         dispatched = answer["decisions"][0]
         assert (dispatched["reason"], dispatched["upstream"]) == ("dispatched", "e1")
 
-    async def test_refusal_before_any_decision_is_explained(
+    async def test_rejection_before_any_decision_is_explained(
         self, world: GatewayWorld
     ) -> None:
         body = await (await world.complete(model="x")).json()
         _, answer = await world.get(f"/v1/explain/{body['request_id']}")
-        (refused,) = answer["decisions"]
-        assert refused["reason"] == "answered_unknown_model"
-        assert refused["detail"].startswith("not_run: ")
+        (rejected,) = answer["decisions"]
+        assert rejected["reason"] == "answered_unknown_model"
+        assert rejected["detail"].startswith("not_run: ")
 
     async def test_trace_continues_from_the_caller(self, world: GatewayWorld) -> None:
         trace_id = "0af7651916cd43dd8448eb211c80319c"
--- a/tests/daemons/test_ledger_codec.py
+++ b/tests/daemons/test_ledger_codec.py
@@ -74,31 +74,31 @@
         "value", [b"", b"{", b"[]", b"7", b"null", b"\xff", b'{"format": 1}']
     )
     def test_other_content_is_rejected_with_a_code(self, value: bytes) -> None:
-        _expect_refusal(value)
+        _expect_rejection(value)
 
     def test_other_format_is_rejected(self) -> None:
         document = _make_document()
         document["format"] = 2
-        _expect_refusal(orjson.dumps(document))
+        _expect_rejection(orjson.dumps(document))
 
     def test_unknown_field_is_rejected(self) -> None:
         document = _make_document()
         document["ledger"]["pinned"] = [{"artifact": "chat@4", "memory_mb": 900}]
-        _expect_refusal(orjson.dumps(document))
+        _expect_rejection(orjson.dumps(document))
 
     def test_malformed_artifact_name_is_rejected(self) -> None:
         document = _make_document()
         document["ledger"]["resident"][0]["artifact"] = "chat"
-        _expect_refusal(orjson.dumps(document))
+        _expect_rejection(orjson.dumps(document))
 
     @pytest.mark.parametrize("memory_mb", [901, -1])
     def test_impossible_commitments_are_rejected(self, memory_mb: int) -> None:
         document = _make_document()
         document["ledger"]["resident"][0]["memory_mb"] = memory_mb
-        _expect_refusal(orjson.dumps(document))
+        _expect_rejection(orjson.dumps(document))
 
 
-def _expect_refusal(value: bytes) -> None:
+def _expect_rejection(value: bytes) -> None:
     with pytest.raises(MangowayError) as raised:
         decode_ledger(value)
     assert raised.value.code is ErrorCode.LEDGER_UNREADABLE
