--- a/mangoway/platform/runners.py
+++ b/mangoway/platform/runners.py
@@ -18,7 +18,7 @@
 """A report needs no slot and normally arrives within a few milliseconds."""
 
 ORDER_TIMEOUT_S: Final = 0.8
-"""Runners accept or refuse an order within a few milliseconds, or never respond."""
+"""Runners accept or reject an order within a few milliseconds, or never respond."""
 
 
 class RunnerUnreachableError(Exception):
@@ -58,7 +58,7 @@
     """Empty for the model itself."""
 
     expected_order_count: int
-    """The runner refuses the order if it has accepted another number of orders."""
+    """The runner rejects the order if it has accepted another number of orders."""
 
     holder: str
     fence: int
@@ -93,7 +93,7 @@
     async def async_send_order(
         self, address: str, runner_id: str, order: RunnerOrder
     ) -> OrderAnswer:
-        """Send an order to a runner; a runner with another ID refuses it.
+        """Send an order to a runner; a runner with another ID rejects it.
 
         Raises:
             RunnerUnreachableError: If there is no valid response; the order may still
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -148,7 +148,7 @@
         assert entry.models[0].adapters == frozenset({"a1", "a2"})
 
     def test_heartbeat_number_is_ignored(self) -> None:
-        """Using it as the count of accepted orders makes runners refuse all orders."""
+        """Using it as the count of accepted orders makes runners reject all orders."""
         one = decode_runner("servers/i-1", orjson.dumps(ENTRY))
         other = decode_runner("servers/i-1", orjson.dumps({**ENTRY, "seq": 5}))
         assert one == other
