--- a/mangoway/models/identifiers.py
+++ b/mangoway/models/identifiers.py
@@ -41,7 +41,7 @@
 """Version of the configuration; grows by one with each accepted edit."""
 
 FenceNumber = NewType("FenceNumber", int)
-"""Fence of an order; an engine that checks fences refuses lower ones."""
+"""Fence of an order; an engine that checks fences rejects lower ones."""
 
 Revision = NewType("Revision", int)
 """Revision of a key in the key-value service; 0 means the key is absent."""
--- a/mangoway/models/upstream.py
+++ b/mangoway/models/upstream.py
@@ -63,7 +63,7 @@
     memory_mb: int
     accelerators: int = 1
     checks_fences: bool = False
-    """Whether the engine refuses orders with an old fence; False if unknown."""
+    """Whether the engine rejects orders with an old fence; False if unknown."""
 
     max_running: int = 1
     """Maximum number of requests in a batch."""
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -82,8 +82,8 @@
         now = load_chat(engine)
         engine.submit(now, AttemptId("x"), CHAT, prompt_tokens=8, max_tokens=60)
         engine.order(now, build_order(2, kind=OrderKind.UNLOAD))
-        refused = engine.submit(now, AttemptId("y"), CHAT, 8, 60)
-        assert refused is SubmitOutcome.NOT_READY
+        rejected = engine.submit(now, AttemptId("y"), CHAT, 8, 60)
+        assert rejected is SubmitOutcome.NOT_READY
         assert engine.memory_mb == 4096 + WEIGHTS_MB
         engine.advance(now + 10.0)
         assert engine.memory_mb == 4096
