--- a/mangoway/models/offer.py
+++ b/mangoway/models/offer.py
@@ -84,7 +84,7 @@
     """Share relative to other callers when there is not enough for all."""
 
     requests_per_second: float | None = None
-    """Rate at one gateway above which requests are refused; None for no limit."""
+    """Rate at one gateway above which requests are rejected; None for no limit."""
 
     burst: int | None = None
     """Requests that may come at once above the rate; None means one second's."""
