--- a/mangoway/policy/dispatch/arrivals.py
+++ b/mangoway/policy/dispatch/arrivals.py
@@ -87,7 +87,7 @@
         return None
 
     def _redirect(self, request: Request) -> bool:
-        """Forward or reject a new request if this gateway is stopping."""
+        """Return whether a stopping gateway forwarded or rejected a new request."""
         configuration = self.context.configuration
         homed = not request.idempotent and request.key_home is not None
         if self.stopped_at is None or configuration is None:
@@ -126,6 +126,7 @@
         self.scheduler.submit(entry)
 
     def _open_key(self, entry: Entry, run: RunKey) -> bool:
+        """Open the record of a request's key; return whether the request may go on."""
         request = entry.request
         if request.idempotent or request.key is None:
             return True
--- a/mangoway/policy/dispatch/const.py
+++ b/mangoway/policy/dispatch/const.py
@@ -108,11 +108,11 @@
 
 # Retries.
 RETRY_RATIO: Final = 0.1
-"""Retries that the budget gains per first attempt."""
-RETRY_TOKENS_PER_SECOND: Final = 5.0
-"""Retries that the budget gains per second."""
-RETRY_MAX_TOKENS: Final = 200.0
-"""Maximum number of retries in the budget."""
+"""Retry credits that the budget gains per first attempt."""
+RETRY_CREDITS_PER_SECOND: Final = 5.0
+"""Retry credits that the budget gains per second."""
+RETRY_MAX_CREDITS: Final = 200.0
+"""Maximum number of retry credits in the budget."""
 RETRY_MAX_ATTEMPTS: Final = 5
 RETRY_BACKOFF_S: Final = 0.05
 RETRY_BACKOFF_MAX_S: Final = 2.0
--- a/mangoway/policy/dispatch/core.py
+++ b/mangoway/policy/dispatch/core.py
@@ -247,7 +247,7 @@
             for target, length in context.queues.list_lengths().items()
             if isinstance(target, Artifact)
         }
-        demands = context.demand.take_digest(queued)
+        demands = context.demand.pop_demands(queued)
         context.emit(ReportDemand(period_s=DEMAND_PERIOD_S, demands=demands))
 
     def _schedule_wakeup(self) -> None:
--- a/mangoway/policy/dispatch/demand.py
+++ b/mangoway/policy/dispatch/demand.py
@@ -9,7 +9,7 @@
 
 @define(eq=False)
 class DemandCount:
-    """Counts of one artifact since the last digest."""
+    """Counts of one artifact since the last report."""
 
     arrived: int = 0
     tokens: int = 0
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class DemandMeter:
-    """Counts demand; a digest costs time in proportion to the requested artifacts."""
+    """Counts demand; a report costs time in proportion to the requested artifacts."""
 
     _counts: dict[Artifact, DemandCount] = field(factory=dict)
 
@@ -34,7 +34,7 @@
         if isinstance(request.target, Artifact):
             self._counts.setdefault(request.target, DemandCount()).refused += 1
 
-    def take_digest(self, queued: dict[Artifact, int]) -> tuple[ArtifactDemand, ...]:
+    def pop_demands(self, queued: dict[Artifact, int]) -> tuple[ArtifactDemand, ...]:
         """Return the counts with the current queue lengths, and reset them."""
         counts = self._counts
         self._counts = {}
--- a/mangoway/policy/dispatch/entries.py
+++ b/mangoway/policy/dispatch/entries.py
@@ -45,7 +45,11 @@
     timer: Timer | None = None
     queued_at: float = 0.0
     latest_start: float = 0.0
+    """Latest time at which an attempt can start and still meet the deadlines."""
+
     critical_at: float = 0.0
+    """Time from which the request is critical, if it is patient."""
+
     sequence: int = 0
     """Order of insertion into the queue; unique there."""
 
--- a/mangoway/policy/dispatch/events.py
+++ b/mangoway/policy/dispatch/events.py
@@ -191,8 +191,13 @@
     artifact: Artifact
     arrived: int
     queued: int
+    """Requests that wait at the time of the report."""
+
     tokens: int
+    """Maximum number of tokens that the arrived requests may generate."""
+
     refused: int
+    """Requests that were rejected for lack of capacity."""
 
 
 DispatchEvent = (
--- a/mangoway/policy/dispatch/options.py
+++ b/mangoway/policy/dispatch/options.py
@@ -29,5 +29,7 @@
     """Keep part of each upstream free of patient requests that have slack."""
 
     early_rejection: bool = True
+    """Reject requests whose estimated wait is too long, before they expire."""
+
     preemption: bool = False
     """Cancel patient requests, and resume them later, to start urgent ones."""
--- a/mangoway/policy/dispatch/queues.py
+++ b/mangoway/policy/dispatch/queues.py
@@ -47,6 +47,8 @@
     """Waiting requests of one target and class, with weighted fair sharing."""
 
     fair: bool
+    """Whether callers share the queue by weight; otherwise all count as one."""
+
     length: int = 0
     _flows: dict[CallerId, Flow] = field(factory=dict)
     _heap: list[tuple[float, int, Flow]] = field(factory=list)
@@ -230,8 +232,14 @@
     """The queues of all targets."""
 
     fair: bool
+    """Whether callers and targets are served fairly, not by latest start alone."""
+
     reserve: bool
+    """Whether critical patient requests are served from a reserve."""
+
     headroom: bool = False
+    """Whether patient requests with slack leave room for urgent ones."""
+
     total: int = 0
     reserved_starts_per_urgent: float = 0.0
     _targets: dict[Target, TargetQueue] = field(factory=dict)
--- a/mangoway/policy/dispatch/retries.py
+++ b/mangoway/policy/dispatch/retries.py
@@ -7,10 +7,10 @@
 from .const import (
     RETRY_BACKOFF_MAX_S,
     RETRY_BACKOFF_S,
+    RETRY_CREDITS_PER_SECOND,
     RETRY_MAX_ATTEMPTS,
-    RETRY_MAX_TOKENS,
+    RETRY_MAX_CREDITS,
     RETRY_RATIO,
-    RETRY_TOKENS_PER_SECOND,
 )
 from .entries import Entry
 
@@ -30,20 +30,20 @@
     """Limit of retries relative to first attempts, to avoid retry storms."""
 
     updated_at: float = 0.0
-    tokens: float = RETRY_MAX_TOKENS
+    credits: float = RETRY_MAX_CREDITS
 
     def deposit(self) -> None:
-        """Add the retry share of a first attempt."""
-        self.tokens = min(RETRY_MAX_TOKENS, self.tokens + RETRY_RATIO)
+        """Add the share of a credit that a first attempt earns."""
+        self.credits = min(RETRY_MAX_CREDITS, self.credits + RETRY_RATIO)
 
     def try_acquire(self, now: float) -> bool:
-        """Withdraw one retry; return False if the budget is exhausted."""
-        earned = (now - self.updated_at) * RETRY_TOKENS_PER_SECOND
-        self.tokens = min(RETRY_MAX_TOKENS, self.tokens + max(0.0, earned))
+        """Spend the credit of one retry; return False if the budget is exhausted."""
+        earned = (now - self.updated_at) * RETRY_CREDITS_PER_SECOND
+        self.credits = min(RETRY_MAX_CREDITS, self.credits + max(0.0, earned))
         self.updated_at = max(now, self.updated_at)
-        if self.tokens < 1.0:
+        if self.credits < 1.0:
             return False
-        self.tokens -= 1.0
+        self.credits -= 1.0
         return True
 
 
--- a/mangoway/policy/dispatch/scheduler.py
+++ b/mangoway/policy/dispatch/scheduler.py
@@ -37,6 +37,7 @@
     chooser: Chooser
     budget: RetryBudget
     _delayed: int = 0
+    """Number of requests that wait for a retry."""
 
     def update_times(self, entry: Entry) -> None:
         """Update the latest start and the critical time of an entry."""
@@ -170,6 +171,7 @@
         self.submit(entry)
 
     def _wait_for_budget(self, entry: Entry) -> None:
+        # The backoff has its maximum after so many attempts.
         delay = compute_backoff(16, self.context.rng.random())
         if self.context.now + delay > entry.latest_start:
             self._reject_late(entry)
--- a/mangoway/policy/dispatch/status.py
+++ b/mangoway/policy/dispatch/status.py
@@ -41,7 +41,7 @@
 
     attempts: int
     key_records: int
-    retry_tokens: float
+    retry_credits: float
 
 
 def describe_dispatch(core: DispatchCore) -> DispatchStatus:
@@ -74,5 +74,5 @@
         requests=len(core.requests.entries),
         attempts=len(core.attempts),
         key_records=len(core.keys),
-        retry_tokens=core.scheduler.budget.tokens,
+        retry_credits=core.scheduler.budget.credits,
     )
