--- a/mangoway/policy/placement/const.py
+++ b/mangoway/policy/placement/const.py
@@ -71,7 +71,7 @@
 """Additional increase that a surge requires, so that chance does not count."""
 
 IDLE_DEMAND_UPDATE_PERIOD_S: Final = 4.0
-"""Time between two updates of an estimate that no digest contributes to.
+"""Time between two updates of an estimate that no demand report contributes to.
 
 It applies if there are more than `MAX_ARTIFACTS_PER_EVALUATION` estimates.
 """
@@ -88,8 +88,11 @@
 DEMAND_DECAY_TIME_CONSTANT_S: Final = 60.0
 """Time constant with which the demand estimate decays after a peak."""
 
-DIGEST_EXPIRY_PERIODS: Final = 3.0
-"""Number of its periods after which a gateway's digest expires."""
+DEMAND_REPORT_EXPIRY_PERIODS: Final = 3.0
+"""Number of its periods after which a gateway's demand report expires.
+
+It is kept for at least 3 s.
+"""
 
 BACKLOG_DRAIN_S: Final = 10.0
 """Time in which added copies should drain the queued requests."""
--- a/mangoway/policy/placement/core.py
+++ b/mangoway/policy/placement/core.py
@@ -201,7 +201,7 @@
         self.reservations.outbox.explain(None, runner, "engine_silent")
 
     def _handle_demand(self, event: events.DemandReported, now: float) -> None:
-        self.state.demand.apply_digest(event, now)
+        self.state.demand.apply_report(event, now)
 
     def _handle_configuration(
         self, event: events.ConfigurationChanged, now: float
--- a/mangoway/policy/placement/demand.py
+++ b/mangoway/policy/placement/demand.py
@@ -1,4 +1,4 @@
-"""Estimation of the demand for each artifact from the gateways' digests."""
+"""Estimation of the demand for each artifact from the gateways' reports."""
 
 from math import exp, sqrt
 
@@ -11,8 +11,8 @@
     DEFAULT_TOKENS_PER_REQUEST,
     DEMAND_DECAY_TIME_CONSTANT_S,
     DEMAND_MEAN_TIME_CONSTANT_S,
+    DEMAND_REPORT_EXPIRY_PERIODS,
     DEMAND_RISE_TIME_CONSTANT_S,
-    DIGEST_EXPIRY_PERIODS,
     IDLE_DEMAND_UPDATE_PERIOD_S,
     MAX_ARTIFACTS_PER_EVALUATION,
     MIN_DEMAND_DEVIATIONS,
@@ -33,7 +33,7 @@
 
 
 @define
-class _Digest:
+class _Report:
     expires_at: float
     rates: dict[Artifact, Demand]
 
@@ -66,7 +66,7 @@
     updated_at: float = 0.0
 
     def update(self, requests: float, tokens: float, weights: _Weights) -> None:
-        """Update the averages with the total of all digests."""
+        """Update the averages with the total of all reports."""
         self.recent += weights.rise * (requests - self.recent)
         self.mean += weights.mean * (requests - self.mean)
         self.peak *= 1.0 - weights.decay
@@ -98,18 +98,18 @@
 
 @define
 class DemandEstimator:
-    """Estimates demand from the gateways' digests.
+    """Estimates demand from the gateways' reports.
 
     An estimate rises fast on a significant increase and decays slowly.
     """
 
-    _digests: dict[HostId, _Digest] = field(factory=dict)
+    _reports: dict[HostId, _Report] = field(factory=dict)
     _averages: dict[Artifact, _Averages] = field(factory=dict)
     _estimates: dict[Artifact, Demand] = field(factory=dict)
     _updated_at: float = 0.0
 
-    def apply_digest(self, event: DemandReported, now: float) -> None:
-        """Replace a gateway's previous digest."""
+    def apply_report(self, event: DemandReported, now: float) -> None:
+        """Replace a gateway's previous report."""
         period_s = max(event.period_s, 1e-3)
         rates: dict[Artifact, Demand] = {}
         for rate in event.rates:
@@ -122,8 +122,8 @@
                 requests_per_second=requests,
                 tokens_per_second=requests * tokens_per_request,
             )
-        expires_at = now + max(period_s * DIGEST_EXPIRY_PERIODS, 3.0)
-        self._digests[event.gateway] = _Digest(expires_at, rates)
+        expires_at = now + max(period_s * DEMAND_REPORT_EXPIRY_PERIODS, 3.0)
+        self._reports[event.gateway] = _Report(expires_at, rates)
 
     def _find_tokens_per_request(self, artifact: Artifact) -> float:
         estimate = self._estimates.get(artifact)
@@ -132,13 +132,13 @@
         return estimate.tokens_per_second / estimate.requests_per_second
 
     def update(self, now: float) -> list[Artifact]:
-        """Update the estimates from the digests that have not expired.
+        """Update the estimates from the reports that have not expired.
 
         Returns:
-            Artifacts in the digests, whose estimates may have risen.
+            Artifacts in the reports, whose estimates may have risen.
         """
         self._drop_expired(now)
-        totals = self._sum_digests()
+        totals = self._sum_reports()
         weights: dict[float, _Weights] = {}
         for artifact, (requests, tokens) in totals.items():
             averages = self._averages.get(artifact)
@@ -174,15 +174,15 @@
         self._publish(artifact, averages)
 
     def _drop_expired(self, now: float) -> None:
-        digests = self._digests
-        for gateway in [each for each in digests if digests[each].expires_at < now]:
-            del digests[gateway]
+        reports = self._reports
+        for gateway in [each for each in reports if reports[each].expires_at < now]:
+            del reports[gateway]
 
-    def _sum_digests(self) -> dict[Artifact, tuple[float, float]]:
+    def _sum_reports(self) -> dict[Artifact, tuple[float, float]]:
         """Return the total requests and tokens per second of each artifact."""
         totals: dict[Artifact, tuple[float, float]] = {}
-        for digest in self._digests.values():
-            for artifact, rate in digest.rates.items():
+        for report in self._reports.values():
+            for artifact, rate in report.rates.items():
                 requests, tokens = totals.get(artifact, (0.0, 0.0))
                 requests += rate.requests_per_second
                 totals[artifact] = (requests, tokens + rate.tokens_per_second)
--- a/mangoway/policy/placement/events.py
+++ b/mangoway/policy/placement/events.py
@@ -121,13 +121,18 @@
     artifact: Artifact
     arrived: int
     queued: int
+    """Requests that waited when the report was sent."""
+
     tokens: int
+    """Maximum number of tokens that the arrived requests may generate."""
+
     refused: int
+    """Requests that were rejected for lack of capacity."""
 
 
 @frozen(kw_only=True)
 class DemandReported:
-    """A gateway's demand digest arrived."""
+    """A gateway's demand report arrived."""
 
     gateway: HostId
     incarnation: IncarnationId
--- a/mangoway/policy/placement/ledger_access.py
+++ b/mangoway/policy/placement/ledger_access.py
@@ -87,7 +87,10 @@
             )
 
     def find_lateness_bound_s(self) -> float:
-        """Return for how long an order may arrive after its connection closed."""
+        """Return for how long after its connection closed an order may be unreported.
+
+        The order may arrive late, and the data of a report may be older than its time.
+        """
         if self.state.configuration is None:
             return inf
         return self.state.configuration.site.order_lateness_bound_s + REPORT_LAG_S
--- a/tests/policy/placement/test_demand.py
+++ b/tests/policy/placement/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of the demand estimate from the gateways' digests."""
+"""Tests of the demand estimate from the gateways' reports."""
 
 from random import Random
 
@@ -26,7 +26,7 @@
         period_s=1.0,
         rates=(rate,) if arrived else (),
     )
-    estimator.apply_digest(event, at)
+    estimator.apply_report(event, at)
     estimator.update(at)
 
 
--- a/tests/policy/placement/test_demand_rotation.py
+++ b/tests/policy/placement/test_demand_rotation.py
@@ -44,7 +44,7 @@
             period_s=1.0,
             rates=rates,
         )
-        self.state.demand.apply_digest(event, self.now)
+        self.state.demand.apply_report(event, self.now)
         return self.rotation.select_due(self.state.demand.update(self.now))
 
 
