--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -58,7 +58,7 @@
     crashing: int | None = None,
     edges: int = EDGES,
 ) -> list[Result]:
-    """Run soaks, at most `at_once` at a time."""
+    """Run one soak for each seed, at most `at_once` at a time."""
     slots = asyncio.Semaphore(at_once)
 
     async def async_one(seed: int) -> Result:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -49,10 +49,10 @@
     _avoided_edges: set[str] = field(factory=set, init=False)
 
     async def async_run(self) -> None:
-        """Send requests until cancelled."""
+        """Send one request after the other until cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
-                edge = await self._async_choose(session)
+                edge = await self._async_choose_edge(session)
                 if edge is None:
                     await asyncio.sleep(0.1)
                     continue
@@ -68,7 +68,7 @@
             if call.whole or call.given_up or not may_resend:
                 return
             await asyncio.sleep(self.random.uniform(0.02, 0.1))
-            other_edge = await self._async_choose(session)
+            other_edge = await self._async_choose_edge(session)
             if other_edge is None:
                 return
             call = await self.async_call(session, other_edge, kind, original=call)
@@ -88,7 +88,8 @@
             session: HTTP session with the reused connections.
             edge: Address of the edge.
             kind: Whether the request may be retried or resumed.
-            version: Configuration that added its route; None: the first one.
+            version: Version of the configuration that added its route; None for the
+                first routes.
             crashing: Name of the request if it crashes its runners.
             original: Earlier call with the same content; None for a new request.
         """
@@ -114,6 +115,7 @@
         except TimeoutError:
             call.given_up = True
         except CONNECT_ERRORS:
+            # Nothing was sent, so that there is nothing to check.
             del self.records.calls[request_id]
             self._avoided_edges.add(edge)
         except (aiohttp.ClientError, ConnectionError):
@@ -132,6 +134,7 @@
             "Host": HOST,
             "X-Request-Id": call.request_id,
             "Authorization": f"Bearer {call.key}",
+            # The edge must replace it by the customer that the key belongs to.
             "X-Tenant": "somebody else",
             "X-Deadline-Ms": str(int(DEADLINE_S * 1000)),
             "X-Model": call.model,
@@ -180,15 +183,17 @@
         customers = self.records.customers
         if call.crashing:
             return customers.get_first_key()
-        return customers.choose(self.random, good=call.version is not None)
+        return customers.choose(self.random, valid=call.version is not None)
 
-    async def _async_choose(self, session: aiohttp.ClientSession) -> str | None:
+    async def _async_choose_edge(self, session: aiohttp.ClientSession) -> str | None:
+        """Choose an edge, if possible not one that failed; None if none is known."""
         if time.monotonic() > self._addresses_valid_until or not self._addresses:
             await self._async_resolve(session)
         usable = [each for each in self._addresses if each not in self._avoided_edges]
         return self.random.choice(usable or self._addresses or [""]) or None
 
     async def _async_resolve(self, session: aiohttp.ClientSession) -> None:
+        """Ask the directories for the addresses of edges until one returns some."""
         for directory in self.random.sample(self.directories, len(self.directories)):
             url = f"http://{directory}/v1/resolve"
             query = {"name": HOST, "region": "r", "zone": "dc-1"}
@@ -219,7 +224,7 @@
         """Send the request to any edge until cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
-                edge = await self._async_choose(session)
+                edge = await self._async_choose_edge(session)
                 if edge is not None:
                     await self.async_call(session, edge, self.kind, crashing=self.name)
                 await asyncio.sleep(self.random.uniform(0.1, 0.4))
@@ -229,9 +234,9 @@
     """Return the fault of a successful response; empty if there is none."""
     if call.kind in (Kind.SAFE, Kind.ONCE):
         expected_body = f"{call.request_id} 50"
-        return "" if text == expected_body else f"body {text!r}"
+        return "" if text == expected_body else f"unexpected body {text!r}"
     expected = "".join(
         f"id: {number}\ndata: {call.request_id} {number}\n\n"
         for number in range(1, EVENT_COUNT + 1)
     )
-    return "" if text == expected else f"events {text!r}"
+    return "" if text == expected else f"unexpected events {text!r}"
--- a/tests/soak/customers.py
+++ b/tests/soak/customers.py
@@ -23,7 +23,10 @@
 
 @define(eq=False)
 class Key:
-    """API key of a customer, with the times of its acceptance and its removal."""
+    """API key of a customer.
+
+    The times are those at which the store accepted it, and at which it was removed.
+    """
 
     text: str
     customer: str
@@ -78,15 +81,15 @@
             if each.customer == customer and each.removed_at is None
         ]
 
-    def choose(self, random: Random, *, good: bool) -> str:
+    def choose(self, random: Random, *, valid: bool) -> str:
         """Return a key for a request.
 
         Args:
             random: Source of the choice.
-            good: Whether the key must be accepted; else some are invalid.
+            valid: Whether it must be a valid key; otherwise a few are invalid.
         """
         now = time.monotonic()
-        if not good and random.random() < INVALID_KEY_SHARE:
+        if not valid and random.random() < INVALID_KEY_SHARE:
             old = [each.text for each in self.keys if each.removed_at is not None]
             return random.choice([UNKNOWN_KEY, *old])
         known = [
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,7 +1,7 @@
 """Faults of a soak; each lasts for some time, and several may overlap.
 
-The names of the functions that `fault` and `plan` register are printed, and sorted
-for the random choice.
+The names of the functions that `fault` and `plan` register are printed. They are also
+sorted for the random choice, so that with another name a seed draws other faults.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from .world import MODELS, Node, World
 
 REJECTING_SHARE = 0.6
-"""Share of the periods in which runners reject requests; else they fail them."""
+"""Share of the periods in which runners reject requests rather than fail them."""
 
 START_S = 3.0
 """Time in which a process starts on a busy host."""
@@ -25,8 +25,8 @@
 Fault = Callable[[World], Awaitable[None]]
 FAULTS: dict[str, Fault] = {}
 PLANNED: set[str] = set()
-"""Names of the faults that are planned work or no fault of the system; time bounds
-hold during them."""
+"""Names of the faults that are planned work or part of normal operation, so that all
+time bounds hold during them."""
 
 
 def fault(call: Fault) -> Fault:
@@ -44,7 +44,7 @@
 @fault
 async def async_kill_process(world: World) -> None:
     """Kill a process, which is restarted."""
-    node = _choose(world)
+    node = _choose_node(world)
     if node is not None and node.process is not None:
         span = world.records.begin(f"kill {node.name}")
         node.stopping = True
@@ -69,7 +69,7 @@
 @fault
 async def async_freeze_process(world: World) -> None:
     """Pause a process, and resume it."""
-    node = _choose(world)
+    node = _choose_node(world)
     if node is None or node.process is None:
         return
     span = world.records.begin(f"freeze {node.name}")
@@ -84,7 +84,7 @@
 @plan
 async def async_restart_process(world: World) -> None:
     """Stop a process by SIGTERM, which must not interrupt requests; it is restarted."""
-    node = _choose(world)
+    node = _choose_node(world)
     if node is None or node.process is None or len(world.list_nodes("edge")) < 2:
         return
     span = world.records.begin(f"stop {node.name}", planned=True)
@@ -94,12 +94,14 @@
     # A process that another fault paused meanwhile ends once it is resumed.
     with _disturb(world, node):
         code = await process.async_wait(20.0)
-    world.records.signals.remove_edge(node.callers)
+    world.records.signals.remove_edge(node.caller_address)
     # A process that is still starting handles no signals yet, and has no requests.
     starting = span.began - node.started_at < START_S
     is_undisturbed = world.records.has_no_fault(span.began, time.monotonic())
     if code != 0 and is_undisturbed and not starting:
-        world.records.violations.append(f"exit: {node.name} stopped with {code}")
+        world.records.violations.append(
+            f"exit: {node.name} stopped with exit code {code}, not 0"
+        )
     await asyncio.sleep(1.0)
     _end(span)
 
@@ -124,8 +126,8 @@
 
 @fault
 async def async_cut_from_store(world: World) -> None:
-    """Cut one process from the store, one way or both, or reset its connections."""
-    node = _choose(world)
+    """Reset a process's connections to the store, drop their data, or delay it."""
+    node = _choose_node(world)
     if node is None:
         return
     span = world.records.begin(f"cut {node.name} from the store")
@@ -147,7 +149,10 @@
 
 @fault
 async def async_mute_open_connections(world: World) -> None:
-    """Drop all data on open connections to a runner or the store; new ones work."""
+    """Drop all data on the open connections of one relay; new connections work.
+
+    The relay leads to a runner, or from one process to the store.
+    """
     relays = [each.store_relay for each in world.nodes]
     relays += [each.relay for each in world.runners if each.relay is not None]
     span = world.records.begin("mute connections")
@@ -158,7 +163,7 @@
 
 @fault
 async def async_cut_runner(world: World) -> None:
-    """Reset all connections to a runner, or drop what it sends."""
+    """Reset all connections to a runner and refuse new ones, or drop what it sends."""
     runner = world.random.choice(world.runners)
     if runner.relay is None:
         return
@@ -175,9 +180,12 @@
 
 @fault
 async def async_crash_runner(world: World) -> None:
-    """Crash a runner, and start another one without models."""
+    """Crash a runner, and start another one without models.
+
+    The only runner of a service isn't crashed.
+    """
     runner = world.random.choice(world.runners)
-    if len(_list_peers(world, runner.service)) < 2:
+    if len(_list_runner_ids(world, runner.service)) < 2:
         return
     world.runners.remove(runner)
     span = world.records.begin(f"crash {runner.runner_id}")
@@ -202,7 +210,7 @@
 async def async_break_answers(world: World) -> None:
     """Let a runner lose a share of its responses after it ran the requests."""
     runner = world.random.choice(world.runners)
-    span = world.records.begin(f"answers of {runner.runner_id}")
+    span = world.records.begin(f"lost responses of {runner.runner_id}")
     runner.fail_share = 0.3
     await asyncio.sleep(world.random.uniform(0.5, 3.0))
     runner.fail_share = 0.0
@@ -214,12 +222,12 @@
 ) -> None:
     """Let runners reject or fail most requests for some periods.
 
-    This causes many retries during the other faults of the seed. Returns after the
-    last period once it is stopping.
+    This causes many retries during the other faults of the seed. Once `stopping` is
+    set, returns after the current period, or after the one that follows a pause.
     """
     while not stopping.is_set():
         await asyncio.sleep(random.uniform(0.5, 3.0))
-        span = world.records.begin("runners refuse")
+        span = world.records.begin("runners reject")
         is_rejecting = random.random() < REJECTING_SHARE
         for runner in world.runners:
             runner.reject_share = 0.9 if is_rejecting else 0.0
@@ -235,9 +243,9 @@
 ) -> None:
     """Let runners send limits, cooldowns and leaving signals.
 
-    Returns after the end of the last signal once it is stopping.
+    Once `stopping` is set, at most one more signal starts; returns when all have ended.
     """
-    signal_kinds = (_async_limit, _async_limit, _async_rest, _async_leave)
+    signal_kinds = (_async_limit, _async_limit, _async_cool_down, _async_leave)
     running: set[asyncio.Task[None]] = set()
     while not stopping.is_set():
         await asyncio.sleep(random.uniform(0.2, 1.2))
@@ -259,9 +267,9 @@
     runner.end_limit()
 
 
-async def _async_rest(world: World, runner: RunnerStandIn, random: Random) -> None:
-    """Let a runner reject most requests with a cooldown."""
-    span = world.records.begin("runners refuse")
+async def _async_cool_down(world: World, runner: RunnerStandIn, random: Random) -> None:
+    """Let a runner reject most requests, and send a cooldown with each rejection."""
+    span = world.records.begin("runners reject")
     runner.reject_share, runner.cooldown_s = 0.9, random.uniform(0.6, 3.0)
     await asyncio.sleep(random.uniform(1.0, 5.0))
     runner.reject_share = runner.cooldown_s = 0.0
@@ -269,7 +277,10 @@
 
 
 async def _async_leave(world: World, runner: RunnerStandIn, random: Random) -> None:
-    """Let a runner signal that it leaves before its entry in the store does."""
+    """Let a runner signal in its responses that it leaves, and only later in the store.
+
+    Another runner without models replaces it.
+    """
     if runner not in world.runners or runner.leaving is not None:
         return
     models: dict[str, set[str]] | None = None if runner.models is None else {}
@@ -284,7 +295,7 @@
 
 @plan
 async def async_change_configuration(world: World) -> None:
-    """Write several versions of the configuration in succession."""
+    """Write one to three versions of the configuration in succession."""
     for _ in range(world.random.randrange(1, 4)):
         world.write_configuration()
         await asyncio.sleep(world.random.uniform(0.05, 0.5))
@@ -300,7 +311,7 @@
 
 @fault
 async def async_cut_off_and_take_key_away(world: World) -> None:
-    """Cut several processes from the store, and replace a key meanwhile."""
+    """Cut half of the processes from the store, and replace a key meanwhile."""
     nodes = world.random.sample(world.nodes, max(1, len(world.nodes) // 2))
     span = world.records.begin(f"cut {len(nodes)} from the store")
     for node in nodes:
@@ -322,12 +333,13 @@
     world.popular_models[:] = world.random.sample(MODELS, len(world.popular_models))
 
 
-def _choose(world: World) -> Node | None:
+def _choose_node(world: World) -> Node | None:
+    """Choose a running edge or scheduler; None if there is none."""
     nodes = world.list_nodes("edge") + world.list_nodes("scheduler")
     return world.random.choice(nodes) if nodes else None
 
 
-def _list_peers(world: World, service: str) -> list[str]:
+def _list_runner_ids(world: World, service: str) -> list[str]:
     return [each.runner_id for each in world.runners if each.service == service]
 
 
@@ -335,15 +347,24 @@
 def _disturb(
     world: World, node: Node, *, ended: bool = False, cut: bool = False
 ) -> Iterator[None]:
-    """Record that a node is disturbed while the context lasts."""
+    """Record that a node is disturbed while the context lasts.
+
+    If it is an edge, the checks of signals excuse it for that time.
+
+    Args:
+        world: The world of the soak.
+        node: The node.
+        ended: Whether its process has ended, so that it has lost the signals.
+        cut: Whether it is only cut off from the store, and keeps the signals.
+    """
     signals = world.records.signals
-    disturbance = signals.disturb(node.callers, cut=cut)
+    disturbance = signals.disturb(node.caller_address, cut=cut)
     try:
         yield
     finally:
         disturbance.ended = time.monotonic()
         if ended:
-            signals.remove_edge(node.callers)
+            signals.remove_edge(node.caller_address)
 
 
 def _end(span: Span) -> None:
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -92,7 +92,7 @@
     edge: str
     sent_at: float
     version: int | None = None
-    """Configuration that added its route; None: the first one."""
+    """Version of the configuration that added its route; None for the first routes."""
 
     crashing: str = ""
     """Name of the request if it makes its runners crash; empty for all others."""
@@ -108,7 +108,11 @@
     """Part of the prompt that identifies the request; kept when it is resent."""
 
     status: int | None = None
+    """Status of the response; None if there was none."""
+
     signature: str = ""
+    """Signature of the run that the response belongs to."""
+
     whole: bool = False
     """Whether it succeeded with a complete response."""
 
@@ -122,6 +126,7 @@
     """Whether the caller disconnected before the response."""
 
     ended_at: float = 0.0
+    """0 while the request is in progress."""
 
 
 @define
@@ -143,9 +148,13 @@
     """All observations from outside the system."""
 
     calls: dict[str, Call] = field(factory=dict, init=False)
+    """Requests by id."""
+
     runs: dict[str, list[Run]] = field(factory=dict, init=False)
+    """Runs by id of the request."""
+
     arrivals: dict[str, list[tuple[float, str]]] = field(factory=dict, init=False)
-    """Time and id of each request that reached a runner of a service."""
+    """Time and id of each request that reached a runner, by service."""
 
     spans: list[Span] = field(factory=list, init=False)
     leaving: dict[str, float] = field(factory=dict, init=False)
@@ -158,7 +167,7 @@
     """Times of the crashes, by the request that caused them."""
 
     violations: list[str] = field(factory=list, init=False)
-    """Violated guarantees, as sentences."""
+    """Guarantees whose violation was seen at once; `check` finds the others."""
 
     customers: Customers = field(factory=lambda: Customers(Random(0)))
     signals: SignalRecords = field(factory=SignalRecords, init=False)
@@ -188,15 +197,18 @@
         left_at = self.leaving.get(run.runner_id)
         if left_at is not None and run.at - left_at > DRAIN_S:
             if self.has_no_fault(left_at - FAULT_FREE_S, run.at):
-                late_s = run.at - left_at
+                leaving_s = run.at - left_at
                 self.violations.append(
-                    f"drain: {request_id} reached {run.runner_id} {late_s:.1f} s late"
+                    f"drain: {request_id} reached {run.runner_id} {leaving_s:.1f} s "
+                    "after it had announced its leaving"
                 )
 
     def has_no_fault(
         self, began: float, ended: float, *, ignore_caused: bool = False
     ) -> bool:
-        """Return whether no unplanned fault overlaps a period.
+        """Return whether no unplanned fault affects a period.
+
+        A fault does so until `FAULT_FREE_S` after its end.
 
         Args:
             began: Start of the period.
@@ -227,7 +239,10 @@
         return min([*crashes, *rejected_at], default=None)
 
     def count_late_runs(self, crashing: str) -> int:
-        """Return the runs of a request after all processes had to block it."""
+        """Return the number of runs of a request after all processes had to block it.
+
+        Runs during and shortly after faults don't count, unless requests caused these.
+        """
         identified_at = self.find_identified_at(crashing)
         if identified_at is None:
             return 0
@@ -242,7 +257,10 @@
         )
 
     def count_wrongly_blocked(self) -> int:
-        """Return the harmless requests that were rejected as crashing runners."""
+        """Return the number of harmless requests that were rejected as crashing.
+
+        Requests with the same content count once, such as resent ones.
+        """
         blocked = {
             (call.kind, call.model, call.subject)
             for call in self.calls.values()
@@ -271,7 +289,10 @@
         return violations
 
     def list_retries(self, service: str) -> list[float]:
-        """Return the times of arrivals after the first one of each request."""
+        """Return the times of the arrivals after the first one of each request.
+
+        Only retries by edges count: a caller resends a request under another id.
+        """
         seen = set()
         retries = []
         for at, request_id in self.arrivals.get(service, ()):
@@ -317,7 +338,7 @@
             violations.append(f"twice: {name} ran {len(runs)} times")
         if call.status in RETRY_STATUSES and runs and call.kind.runs_once:
             violations.append(
-                f"refused: {name} ran though status {call.status} was returned"
+                f"rejected: {name} ran though status {call.status} was returned"
             )
         wrong = self.customers.check(
             call.key, call.sent_at, call.status, ran=bool(runs)
@@ -335,7 +356,7 @@
         is_undisturbed = self.has_no_fault(call.sent_at - FAULT_FREE_S, call.ended_at)
         in_time = call.ended_at - call.sent_at < ROUTE_TIMEOUT_S
         if call.was_disconnected and in_time and not call.given_up and is_undisturbed:
-            violations.append(f"lost: {name} at {call.edge} ended without a response")
+            violations.append(f"lost: {name} at {call.edge} got no complete response")
         return violations
 
     def _check_versions(self) -> list[str]:
--- a/tests/soak/runners.py
+++ b/tests/soak/runners.py
@@ -34,7 +34,7 @@
 DRAIN_SERVING_S = 4.0
 """Time for which a draining runner still serves."""
 
-_run_numbers = count(1)
+_unique_numbers = count(1)
 
 
 @define(eq=False)
@@ -52,7 +52,7 @@
     on_crash: "Callable[[RunnerStandIn], None]" = lambda runner: None
     """Called when a request crashes the runner."""
 
-    runner_id: str = field(factory=lambda: f"i-{next(_run_numbers):04d}", init=False)
+    runner_id: str = field(factory=lambda: f"i-{next(_unique_numbers):04d}", init=False)
     relay: Relay | None = field(default=None, init=False)
     draining: bool = field(default=False, init=False)
     fail_share: float = field(default=0.0, init=False)
@@ -72,8 +72,14 @@
 
     _site: web.AppRunner | None = field(default=None, init=False)
     _order_count: int = field(default=0, init=False)
+    """Number of accepted orders; an order may name the one that it expects."""
+
     _busy_until: float = field(default=0.0, init=False)
+    """Time at which the load of a model ends."""
+
     _fence: tuple[int, str] = field(default=(0, ""), init=False)
+    """Highest fence number of an order, and the scheduler that holds it."""
+
     _heartbeat_count: int = field(default=0, init=False)
     _active: int = field(default=0, init=False)
     _crashed: bool = field(default=False, init=False)
@@ -92,7 +98,11 @@
         self.announce()
 
     async def async_crash(self, *, removed: bool = True) -> None:
-        """Stop at once, and abort all requests."""
+        """Stop at once, and abort all requests.
+
+        Args:
+            removed: Whether to remove the runner's entry from the store as well.
+        """
         if removed:
             self.store.remove(f"servers/{self.runner_id}")
             self.records.leaving.setdefault(self.runner_id, time.monotonic())
@@ -163,7 +173,9 @@
         if fence < self._fence[0]:
             return 412
         if fence == self._fence[0] and holder != self._fence[1]:
-            self.records.violations.append(f"one: two schedulers use the fence {fence}")
+            self.records.violations.append(
+                f"one: two schedulers use the fence number {fence}"
+            )
         self._fence = (fence, holder)
         if time.monotonic() < self._busy_until:
             return 409
@@ -171,6 +183,7 @@
         return 409 if expected_count not in (None, self._order_count) else None
 
     def _execute_order(self, order: Any) -> int:
+        """Execute an accepted order, and return the status of the response."""
         models = self.models if self.models is not None else {}
         name, adapter = order["model"], order.get("adapter")
         is_load = order["operation"] == "model_load"
@@ -189,7 +202,9 @@
             models.pop(name, None)
         adapter_count = sum(len(each) for each in models.values())
         if len(models) > MODEL_CAPACITY or adapter_count > ADAPTER_SLOTS:
-            self.records.violations.append(f"limit: {self.runner_id} holds {models}")
+            self.records.violations.append(
+                f"limit: {self.runner_id} holds more than fits: {models}"
+            )
         return 202 if is_load or not adapter else 200
 
     def start_limit(self, limit: float) -> None:
@@ -233,7 +248,7 @@
                 or (adapter and adapter not in loaded_adapters)
             ):
                 return self._reject(request_id)
-        signature = f"{self.runner_id}.{request_id}.{next(_run_numbers)}"
+        signature = f"{self.runner_id}.{request_id}.{next(_unique_numbers)}"
         run = Run(
             runner_id=self.runner_id,
             at=time.monotonic(),
@@ -267,10 +282,12 @@
         if not self._crashed:
             self._crashed = True
             self.on_crash(self)
+        # The crash aborts the connection meanwhile, so that no response is sent.
         await asyncio.sleep(DRAIN_SERVING_S)
         return web.Response()
 
     def _reject(self, request_id: str, status: int = 421) -> web.Response:
+        """Return the response to a request that is rejected as not run."""
         headers = {"X-Request-Id": request_id, "X-Not-Executed": "1"}
         headers |= self._make_signal_headers()
         if status == 503 and self.cooldown_s:
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -7,7 +7,8 @@
 from attrs import define, field
 
 LIMIT_SETTLE_S = 3.0
-"""Time from the first response with a limit until the limit must be kept."""
+"""Time from the start of a limit until it must be kept, and from the end of an edge's
+disturbance until the edge must act on signals again."""
 
 LIMIT_WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
@@ -19,7 +20,7 @@
 runner."""
 
 RECENT_S = 1.2
-"""Time before the start of a limit whose requests count in its first window."""
+"""Time before the start of a limit that may lie in its first checked window."""
 
 COOLDOWN_ARRIVALS = 2
 """Requests of an edge that may reach a runner during its cooldown."""
@@ -56,7 +57,7 @@
 
 @define(eq=False)
 class Cooldown:
-    """Period in which a runner that rejected a request must get none of that edge."""
+    """Period for which a runner asked an edge to send it no requests."""
 
     runner_id: str
     edge: str
@@ -78,7 +79,10 @@
     """Whether the edge kept running, but was cut off from the store."""
 
     def overlaps(self, edge: str, began: float, ended: float) -> bool:
-        """Return whether it overlaps a period of an edge."""
+        """Return whether it affects an edge in a period.
+
+        It does so until `LIMIT_SETTLE_S` after its end.
+        """
         is_over = self.ended is not None and self.ended + LIMIT_SETTLE_S < began
         return edge == self.edge and self.began <= ended and not is_over
 
@@ -93,7 +97,7 @@
     disturbances: list[Disturbance] = field(factory=list, init=False)
     violations: list[str] = field(factory=list, init=False)
     _arrivals: dict[str, list[tuple[float, str]]] = field(factory=dict, init=False)
-    """Time and edge of each request that reached a runner."""
+    """Time and edge of each request that reached a runner, by runner."""
 
     def record_arrival(self, runner_id: str, edge: str, sent_at: float = 0.0) -> None:
         """Record that a request reached a runner.
@@ -136,8 +140,8 @@
                 if not self._is_disturbed(edge, cooldown.began, now):
                     self.violations.append(
                         f"budget: {runner_id} got more than {COOLDOWN_ARRIVALS} "
-                        f"requests of {edge} in a cooldown of "
-                        f"{cooldown.ended - cooldown.began:.1f} s"
+                        f"requests of {edge} in the last "
+                        f"{cooldown.ended - cooldown.began:.1f} s of a cooldown"
                     )
 
     def _check_leaving(self, leaving: Leaving, edge: str, sent_at: float) -> None:
@@ -158,19 +162,19 @@
         return period
 
     def record_response(self, signal: LimitPeriod | Leaving | None, edge: str) -> None:
-        """Record that an edge received a response, with a signal if it had one."""
+        """Record that an edge received a response; `signal` is the one it carried."""
         if signal is not None:
             signal.received_at.setdefault(edge, time.monotonic())
 
     def record_forwarded(
-        self, statements: Sequence[LimitPeriod | Leaving], runner_id: str, edge: str
+        self, sent_signals: Sequence[LimitPeriod | Leaving], runner_id: str, edge: str
     ) -> None:
         """Record that a caller received a response with a signal of a runner.
 
         A response that a runner sent may be lost before the edge has read it; one that
         reached the caller was read by its edge.
         """
-        signals = [each for each in statements if each.runner_id == runner_id]
+        signals = [each for each in sent_signals if each.runner_id == runner_id]
         self.record_response(signals[-1] if signals else None, edge)
 
     def disturb(self, edge: str, *, cut: bool = False) -> Disturbance:
@@ -185,7 +189,7 @@
         return disturbance
 
     def remove_edge(self, edge: str) -> None:
-        """Remove an edge that has ended, with the signals that it received."""
+        """Remove the signals that an edge received; its process has ended."""
         for signal in (*self.limits, *self.leaving):
             signal.received_at.pop(edge, None)
         self.cooldowns = [each for each in self.cooldowns if each.edge != edge]
@@ -197,7 +201,7 @@
         return bisect_right(rows, ended, key=lambda row: row[0]) - first
 
     def count_recent(self, runner_id: str) -> int:
-        """Return the number of requests that reached a runner recently."""
+        """Return the number of requests that reached a runner within `RECENT_S`."""
         now = time.monotonic()
         return self.count_arrivals(runner_id, now - RECENT_S, now)
 
@@ -214,34 +218,45 @@
             ends_at = period.ended or ended
             if not period.began + LIMIT_SETTLE_S <= ended <= ends_at:
                 continue
-            count = self._count_bound(period, ended)
+            count = self._count_from_bound_edges(period, ended)
             if count > period.allowed:
                 return [
                     f"limit: {period.runner_id} sent a limit of {period.limit} a "
                     f"second and got {count} requests in {LIMIT_WINDOW_S} s; "
                     f"{period.allowed:.0f} allowed; {ended - period.began:.1f} s "
-                    f"after its start"
+                    f"after the start of the limit"
                 ]
         return []
 
-    def _count_bound(self, period: LimitPeriod, ended: float) -> int:
-        """Return the number of requests in a window by edges that had the limit."""
+    def _count_from_bound_edges(self, period: LimitPeriod, ended: float) -> int:
+        """Return the number of requests of a window from edges bound by the limit.
+
+        These had received it at least `REACTION_S` before the end of the window, and
+        weren't disturbed.
+        """
         began = ended - LIMIT_WINDOW_S
         rows = self._arrivals[period.runner_id]
         first = bisect_right(rows, began, key=lambda row: row[0])
         last = bisect_right(rows, ended, key=lambda row: row[0])
-        bound = {
+        bound_edges = {
             edge
             for edge, signalled_at in period.received_at.items()
             if signalled_at <= ended - REACTION_S
             and not self._is_disturbed(edge, began, ended)
         }
-        return sum(1 for _, edge in rows[first:last] if edge in bound)
+        return sum(1 for _, edge in rows[first:last] if edge in bound_edges)
 
     def _is_disturbed(
         self, edge: str, began: float, ended: float, *, cut_off: bool = True
     ) -> bool:
-        """Return whether an edge was disturbed, with or without being cut off."""
+        """Return whether an edge was disturbed in a period.
+
+        Args:
+            edge: Its address for callers.
+            began: Start of the period.
+            ended: End of the period.
+            cut_off: Whether being cut off from the store counts as well.
+        """
         return any(
             each.overlaps(edge, began, ended)
             for each in self.disturbances
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -23,12 +23,17 @@
 """Time in which faults start."""
 
 RECOVERY_S: Final = 12.0
-"""Time after the last fault within which the system must have recovered."""
+"""Time after the last fault within which the system must have recovered.
 
-LAST_CALLS_S: Final = 2.0
-"""Time at the end in which at least half of the requests must succeed."""
+It applies once more after the end of the periods; see `_async_recover`.
+"""
+
+RECOVERY_WINDOW_S: Final = 2.0
+"""Length of the windows in which the recovery is checked."""
 
 MIN_SERVED_SHARE: Final = 0.5
+"""Share of the ended requests of one such window that must have succeeded."""
+
 MAX_CONCURRENT_FAULTS: Final = 3
 PLANNED_DIVISOR: Final = 3
 """Seeds divisible by this have planned work only, during which all time bounds hold."""
@@ -36,17 +41,17 @@
 
 CRASHING_DIVISOR: Final = 4
 CRASHING_REMAINDER: Final = 2
-"""Seeds with this remainder by this divisor have requests that crash runners."""
+"""Remainder, by `CRASHING_DIVISOR`, of the seeds with requests that crash runners."""
 
 
 REJECTING_DIVISOR: Final = 3
 REJECTING_REMAINDER: Final = 1
-"""Seeds with this remainder by this divisor have runners that reject or fail."""
+"""Remainder, by `REJECTING_DIVISOR`, of the seeds with runners that reject or fail."""
 
 
 SIGNALLING_DIVISOR: Final = 2
 SIGNALLING_REMAINDER: Final = 0
-"""Seeds with this remainder by this divisor have runners that send signals."""
+"""Remainder, by `SIGNALLING_DIVISOR`, of the seeds with runners that send signals."""
 
 
 @define(eq=False)
@@ -68,13 +73,16 @@
 
 @define(eq=False)
 class Periods:
-    """Periods in which runners reject, fail or send signals, beside the faults."""
+    """Periods in which runners reject, fail or send signals, apart from the faults.
+
+    Unlike faults they go on during the recovery.
+    """
 
     _stopping: asyncio.Event = field(factory=asyncio.Event, init=False)
     _tasks: list[asyncio.Task[None]] = field(factory=list, init=False)
 
     def __bool__(self) -> bool:
-        """Return whether the seed has such periods."""
+        """Return whether any kind of periods was started."""
         return bool(self._tasks)
 
     def start(
@@ -82,13 +90,13 @@
         world: World,
         run: Callable[[World, Random, asyncio.Event], Coroutine[Any, Any, None]],
     ) -> None:
-        """Start one kind of periods."""
+        """Start the periods of one kind, which `run` causes until it is stopped."""
         self._tasks.append(
             world.start_task(run(world, Random(world.seed), self._stopping))
         )
 
     async def async_end(self) -> None:
-        """Begin no more periods, and wait for the end of the last one."""
+        """End the periods; at most one more of each kind begins before that."""
         self._stopping.set()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
@@ -156,24 +164,29 @@
 async def _async_recover(records: Records, result: Result, periods: Periods) -> None:
     """Wait until the system has recovered, or add a violation at the time bound.
 
-    While runners reject or fail nine of ten requests, limit them and rest, less than
-    half of the requests may succeed for longer than the time bound, whatever the
-    system does. If they do, the periods end, and the time starts anew.
+    While runners reject or fail nine of ten requests, or send limits and cooldowns,
+    less than half of the requests may succeed for longer than the time bound, whatever
+    the system does. Where that happens, these periods are ended, and the system must
+    recover within the same bound from then on.
     """
-    recent = await _async_wait_until_serving(records)
-    if recent is not None and periods:
+    shortfall = await _async_wait_until_serving(records)
+    if shortfall is not None and periods:
         await periods.async_end()
-        recent = await _async_wait_until_serving(records)
-    if recent is not None:
-        result.violations.append(f"recover: {recent} requests succeeded")
+        shortfall = await _async_wait_until_serving(records)
+    if shortfall is not None:
+        result.violations.append(f"recover: {shortfall} requests succeeded, too few")
 
 
 async def _async_wait_until_serving(records: Records) -> str | None:
-    """Return None once enough requests succeed, or at the time bound how many did."""
+    """Wait until enough requests of one window succeed.
+
+    Returns:
+        None, or at the time bound the counts of the last window, as in "12 of 31".
+    """
     end = time.monotonic() + RECOVERY_S
     while True:
         began = time.monotonic()
-        await asyncio.sleep(LAST_CALLS_S)
+        await asyncio.sleep(RECOVERY_WINDOW_S)
         recent_calls = [each for each in records.calls.values() if each.sent_at > began]
         served = sum(1 for each in recent_calls if each.whole)
         ended = sum(1 for each in recent_calls if each.ended_at)
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -13,18 +13,21 @@
 from attrs import define, field
 
 MAX_WAIT_S = 30.0
+"""Longest wait of a watch for a change, and delay of each call to a silent store."""
+
 SLOW_S = 0.2
+"""Delay of each call to a slow store."""
 
 
 class StoreFault(Enum):
     """Fault of the store."""
 
     NONE = "none"
-    REFUSING = "refusing"
+    REJECTING = "refusing"
     """Responds with 503, without any effect."""
 
     SILENT = "silent"
-    """Accepts calls and never responds, without any effect."""
+    """Handles calls only after `MAX_WAIT_S`, when their clients have given up."""
 
     SLOW = "slow"
     LOSING = "losing"
@@ -61,6 +64,8 @@
     fault: StoreFault = field(default=StoreFault.NONE, init=False)
     items: dict[str, StoredItem] = field(factory=dict, init=False)
     history: list[tuple[int, dict[str, Any]]] = field(factory=list, init=False)
+    """Changes with their revisions."""
+
     revision: int = field(default=1, init=False)
     address: str = field(default="", init=False)
     _leases: dict[int, tuple[float, float]] = field(factory=dict, init=False)
@@ -68,6 +73,8 @@
 
     _lease_ids: Any = field(factory=lambda: count(1), init=False)
     _discarded_revision: int = field(default=0, init=False)
+    """Revision of the last change that was discarded."""
+
     _changed: asyncio.Event = field(factory=asyncio.Event, init=False)
     _site: web.AppRunner | None = field(default=None, init=False)
 
@@ -131,7 +138,7 @@
     @web.middleware
     async def _async_apply_fault(self, request: web.Request, handler: Any) -> Any:
         self.expire()
-        if self.fault is StoreFault.REFUSING:
+        if self.fault is StoreFault.REJECTING:
             return web.json_response({}, status=503)
         if self.fault is StoreFault.SILENT:
             await asyncio.sleep(MAX_WAIT_S)
--- a/tests/soak/test_crashing_requests.py
+++ b/tests/soak/test_crashing_requests.py
@@ -32,17 +32,18 @@
 
 SEED = 27
 ALREADY_SENT = 1
-"""Runs that may have been sent when the third crash is reported."""
+"""Runs of a request that may be under way when its third crash is reported."""
 
 LEADER_KEY = "mangoway/scheduler"
 FOLLOW_S = 2.0
 """Time in which all edges find a new leader and connect to it, on a busy host."""
 
 CRASH_TIMEOUT_S = 15.0
-"""Time within which each of the requests can be identified."""
+"""Time within which the requests must have crashed runners often enough to be
+identified."""
 
 WATCHED_S = 4.0
-"""Time for which they are still sent once they must be blocked."""
+"""Time for which the requests are still sent once they must be blocked."""
 
 
 async def async_do_nothing(world: World) -> None:
@@ -91,7 +92,7 @@
             schedulers=schedulers,
             edges=4,
             engines=5,
-            plain=5,
+            plain_runners=5,
             callers=8,
         )
         await world.async_start()
@@ -147,7 +148,7 @@
     async def test_edges_without_the_store_exchange_crash_statements(
         self, tmp_path: Path
     ) -> None:
-        """Statements are relayed by the leader as well.
+        """Crash statements also reach the other edges by way of the leader.
 
         Without them each edge would identify a request from three crashes of its own,
         within the time bound, but with twelve crashes in all.
--- a/tests/soak/test_customers.py
+++ b/tests/soak/test_customers.py
@@ -64,7 +64,7 @@
         customers.change_key(time.monotonic())
         customers.record_accepted(time.monotonic())
         for _ in range(20):
-            assert customers.choose(Random(2), good=True) in known
+            assert customers.choose(Random(2), valid=True) in known
 
     def test_key_in_a_log_is_reported(self, tmp_path: Path) -> None:
         customers, key = make_customers()
--- a/tests/soak/test_leaving_runners.py
+++ b/tests/soak/test_leaving_runners.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.process
 class TestLeavingRunners:
-    """Edges that received the signal stop sending, whatever the store contains."""
+    """Edges that received the signal stop sending, also while the store is silent."""
 
     @pytest.mark.parametrize("service", ["llm", "plain"])
     async def test_no_request_is_sent_to_a_leaving_runner_in_a_store_outage(
--- a/tests/soak/test_records.py
+++ b/tests/soak/test_records.py
@@ -47,7 +47,7 @@
         make_call(records, status=503)
         add_run(records)
         assert records.check() == [
-            "refused: non_idempotent q ran though status 503 was returned"
+            "rejected: non_idempotent q ran though status 503 was returned"
         ]
 
     def test_response_of_another_request(self) -> None:
@@ -60,7 +60,7 @@
         records = Records()
         make_call(records, was_disconnected=True)
         assert records.check() == [
-            "lost: non_idempotent q at e ended without a response"
+            "lost: non_idempotent q at e got no complete response"
         ]
 
     def test_connection_that_closes_during_a_fault_is_no_violation(self) -> None:
@@ -124,7 +124,9 @@
         make_call(records)
         records.leaving["i-1"] = time.monotonic() - 5.0
         add_run(records)
-        assert records.check() == ["drain: q reached i-1 5.0 s late"]
+        assert records.check() == [
+            "drain: q reached i-1 5.0 s after it had announced its leaving"
+        ]
 
 
 class TestVersions:
--- a/tests/soak/test_retry_budget.py
+++ b/tests/soak/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries of the whole fleet while the processes that count them restart."""
+"""Retries of all edges together, while the processes that count them restart."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,7 +29,10 @@
 
 
 async def async_kill_leaders(world: World) -> None:
-    """Kill schedulers, so that several of them and single edges grant requests."""
+    """Kill schedulers while runners reject most requests.
+
+    Several schedulers, and edges by themselves, then grant requests.
+    """
     for runner in world.runners:
         runner.reject_share = 0.95
     await async_kill_in_turn(world, "scheduler")
--- a/tests/soak/test_runner_limits.py
+++ b/tests/soak/test_runner_limits.py
@@ -11,7 +11,7 @@
 
 SEED = 39
 LIMIT = 4.0
-"""Limit of a runner in requests a second; without it, it gets some 15 a second."""
+"""Limit of a runner in requests a second; a runner without one gets some 15."""
 
 BUSY_S = 3.0
 """Time in which runners are found and get their usual load."""
--- a/tests/soak/test_signals.py
+++ b/tests/soak/test_signals.py
@@ -80,7 +80,7 @@
     def test_third_request(self, clock: FakeTime) -> None:
         assert self.run(clock, [0.6, 1.5, 2.9]) == 1
 
-    def test_requests_sent_before_or_after_the_cooldown_are_ignored(
+    def test_requests_outside_the_checked_part_of_the_cooldown_are_ignored(
         self, clock: FakeTime
     ) -> None:
         assert self.run(clock, [0.1, 0.2, 0.4, 3.1, 3.2, 3.3]) == 0
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -11,11 +11,11 @@
 """One seed with planned work only, and one with all faults."""
 
 FAILED_ONCE = {
-    126094347: "checks: a starting scheduler ended by SIGTERM; streams that lasted for "
-    "their route's timeout on a busy host counted as lost",
-    116518305: "checks: the same timeout",
+    126094347: "the checks reported a scheduler that SIGTERM ended during its start, "
+    "and streams that lasted for their route's timeout on a busy host",
+    116518305: "the checks reported streams that lasted for their route's timeout",
 }
-"""Seeds that failed once, with the causes."""
+"""Seeds that failed once, with the causes, which were errors in the checks."""
 
 
 @pytest.mark.process
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -34,6 +34,8 @@
 """One more than the engines have room for."""
 
 GRACE_S: Final = 6.0
+"""Time from SIGTERM within which a process must have ended."""
+
 RESTART_S: Final = 0.3
 """Delay between the end of a process and its restart, as of a service manager."""
 
@@ -41,7 +43,7 @@
 """Time from a crash that a request caused to the restart of the runner."""
 
 ENTRY_REMOVAL_S: Final = 1.5
-"""Time from the restart until the entry of the earlier incarnation is removed."""
+"""Time from the restart until the store drops the entry of the crashed incarnation."""
 
 HEARTBEAT_S: Final = 0.5
 START_TIMEOUT_S: Final = 15.0
@@ -56,9 +58,15 @@
     program: str
     flags: tuple[str, ...]
     store_relay: Relay
-    ready: str = ""
-    callers: str = ""
-    directory: str = ""
+    ready_address: str = ""
+    """Address for readiness checks; empty for a scheduler."""
+
+    caller_address: str = ""
+    """Address for callers; empty for a scheduler."""
+
+    directory_address: str = ""
+    """Address that returns the edges' addresses; empty for a scheduler."""
+
     process: Process | None = None
     restarts: bool = True
     """Whether it is restarted when it ends."""
@@ -76,9 +84,11 @@
     seed: int
     launcher: Launcher
     edges: int = EDGES
+    """Number of edges; the next four fields are numbers as well."""
+
     schedulers: int = SCHEDULERS
     engines: int = ENGINES
-    plain: int = PLAIN_RUNNERS
+    plain_runners: int = PLAIN_RUNNERS
     callers: int = CALLERS
     random: Random = field(init=False)
     records: Records = field(factory=Records, init=False)
@@ -87,8 +97,12 @@
     runners: list[RunnerStandIn] = field(factory=list, init=False)
     popular_models: list[str] = field(factory=lambda: MODELS[:2], init=False)
     version: int = field(default=0, init=False)
-    _added: list[int] = field(factory=list, init=False)
-    _crashing: int = field(default=0, init=False)
+    """Newest version of the configuration."""
+
+    _added_versions: list[int] = field(factory=list, init=False)
+    """Versions that added a route: all but the first one."""
+
+    _crashing_count: int = field(default=0, init=False)
     """Number of requests that crash runners, so far."""
 
     _tasks: set[asyncio.Task[Any]] = field(factory=set, init=False)
@@ -104,7 +118,7 @@
         for number in range(self.engines):
             names = [MODELS[(number * 3 + each) % len(MODELS)] for each in range(3)]
             await self.async_add_runner("llm", {name: set() for name in names})
-        for _ in range(self.plain):
+        for _ in range(self.plain_runners):
             await self.async_add_runner("plain", None)
         self.write_configuration()
         for number in range(self.schedulers):
@@ -133,7 +147,7 @@
         await self.store.async_stop()
 
     def start_task(self, run: Any) -> "asyncio.Task[Any]":
-        """Run a coroutine in the background until the end of the soak."""
+        """Run a coroutine in the background, at most until the end of the soak."""
         task = asyncio.get_running_loop().create_task(run)
         self._tasks.add(task)
         task.add_done_callback(self._end_task)
@@ -158,15 +172,15 @@
         Returns:
             The name of the request.
         """
-        self._crashing += 1
-        name = f"{kind.value}-{self._crashing}"
-        plain = self._make_caller(2000 + self._crashing)
+        self._crashing_count += 1
+        name = f"{kind.value}-{self._crashing_count}"
+        template = self._make_caller(2000 + self._crashing_count)
         caller = CrashingCaller(
-            random=plain.random,
-            records=plain.records,
-            directories=plain.directories,
-            models=plain.models,
-            popular_models=plain.popular_models,
+            random=template.random,
+            records=template.records,
+            directories=template.directories,
+            models=template.models,
+            popular_models=template.popular_models,
             kind=kind,
             name=name,
         )
@@ -174,14 +188,14 @@
         return name
 
     def write_configuration(self) -> None:
-        """Write a new version of the configuration, with one more route."""
+        """Write a new version of the configuration; all but the first add a route."""
         self.version += self.random.randrange(1, 4)
         if self.records.accepted:
-            self._added.append(self.version)
+            self._added_versions.append(self.version)
         document = {
             "version": self.version,
             "routes": [_make_route(kind) for kind in Kind]
-            + [_make_added_route(version) for version in self._added],
+            + [_make_added_route(version) for version in self._added_versions],
             "services": [_make_engine_service(), _make_plain_service()],
             "limits": {},
             "tenants": self.records.customers.make_document(),
@@ -191,15 +205,17 @@
         self.records.customers.record_accepted(time.monotonic())
 
     async def async_probe_configuration(self) -> None:
-        """Send a request for the newest route to each edge, once it must be applied."""
-        if not self._added:
+        """Send each edge a request for the newest route, once it must have it."""
+        if not self._added_versions:
             return
-        version = self._added[-1]
+        version = self._added_versions[-1]
         await asyncio.sleep(APPLY_S + 0.3)
         caller = self._make_caller(1000 + version)
         async with aiohttp.ClientSession() as session:
             for node in self.list_nodes("edge"):
-                await caller.async_call(session, node.callers, Kind.SAFE, version)
+                await caller.async_call(
+                    session, node.caller_address, Kind.SAFE, version
+                )
 
     def _handle_crash(self, runner: RunnerStandIn) -> None:
         """Restart a runner that a request crashed, under another id."""
@@ -241,14 +257,18 @@
             node.process, node.started_at = process, time.monotonic()
             code = await process.child.wait()
             if not node.stopping:
-                self.records.violations.append(f"exit: {node.name} ended with {code}")
+                self.records.violations.append(
+                    f"exit: {node.name} ended unexpectedly with {code}"
+                )
             await asyncio.sleep(RESTART_S)
 
     def _make_caller(self, number: int) -> Caller:
         return Caller(
             random=Random(self.seed * 10_007 + number),
             records=self.records,
-            directories=[each.directory for each in self.nodes if each.directory],
+            directories=[
+                each.directory_address for each in self.nodes if each.directory_address
+            ],
             models=MODELS,
             popular_models=self.popular_models,
         )
@@ -262,10 +282,18 @@
         ]
         node = Node(name, program, (), relay)
         if program == "edge":
-            node.callers, node.directory = find_free_address(), find_free_address()
-            node.ready = find_free_address()
-            flags += ["--caller-listen", node.callers, "--ready-listen", node.ready]
-            flags += ["--directory-listen", node.directory]
+            node.caller_address, node.directory_address = (
+                find_free_address(),
+                find_free_address(),
+            )
+            node.ready_address = find_free_address()
+            flags += [
+                "--caller-listen",
+                node.caller_address,
+                "--ready-listen",
+                node.ready_address,
+            ]
+            flags += ["--directory-listen", node.directory_address]
             flags += [
                 "--retry-ratio",
                 str(RETRY_RATIO),
@@ -284,13 +312,16 @@
         end = time.monotonic() + START_TIMEOUT_S
         async with aiohttp.ClientSession() as session:
             for node in self.nodes:
-                while node.ready and not await _async_is_ready(session, node):
+                while node.ready_address and not await _async_is_ready(session, node):
                     if time.monotonic() > end:
-                        raise TimeoutError(f"{node.name} is not ready")
+                        raise TimeoutError(f"{node.name} did not get ready in time")
                     await asyncio.sleep(READY_CHECK_S)
 
     async def _async_send_heartbeats(self) -> None:
-        """Write the runners' heartbeats to the store."""
+        """Write the runners' heartbeats to the store, and let its leases expire.
+
+        A runner whose entry was removed gets no new one.
+        """
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             self.store.expire()
@@ -306,7 +337,7 @@
 
 async def _async_is_ready(session: aiohttp.ClientSession, node: Node) -> bool:
     try:
-        async with session.get(f"http://{node.ready}/v1/ready") as response:
+        async with session.get(f"http://{node.ready_address}/v1/ready") as response:
             return response.status == 200
     except aiohttp.ClientError:
         return False
