--- a/tests/stand_ins/caller.py
+++ b/tests/stand_ins/caller.py
@@ -25,7 +25,10 @@
 """Time after the deadline until a request counts as hung."""
 
 MAX_PAUSE_S = 2.0
+"""Longest pause before another attempt, also if the response asks for a longer one."""
+
 DEFAULT_PAUSE_S = 0.2
+"""Pause before another attempt if no response asks for one."""
 
 
 class Ending(Enum):
@@ -82,6 +85,8 @@
 
     session: aiohttp.ClientSession
     seeds: tuple[str, ...]
+    """Addresses to ask when no known gateway responds."""
+
     gateways: list[Gateway] = field(factory=list)
     valid_until: float = 0.0
     turn: int = 0
@@ -140,7 +145,17 @@
         stream: bool = True,
         artifact: str = "",
     ) -> Result:
-        """Request a completion, which may be retried."""
+        """Request a completion, which may be retried.
+
+        Args:
+            model: Name of the model, as the caller gives it.
+            prompt: Prompt.
+            tokens: Number of tokens of the answer.
+            deadline_s: Time within which the request must end.
+            work_class: Work class of the request.
+            stream: Whether to request a stream.
+            artifact: Artifact whose answer is expected; empty if it is `model`.
+        """
         body = {
             "model": model,
             "prompt": prompt,
@@ -180,7 +195,7 @@
 
         async def async_send(gateway: Gateway) -> Attempt:
             nonlocal key, none_has_run
-            # The key may get another home only while no earlier attempt may have run.
+            # A key may change its home gateway only while no attempt may have run.
             if not idempotent and none_has_run:
                 key = make_key(gateway, body_id)
             if key:
@@ -253,7 +268,7 @@
 
 
 async def _async_catch_failure(sending: Awaitable[Attempt]) -> Attempt:
-    """Return an attempt without an answer if the connection fails."""
+    """Return the attempt that is sent, or a lost one if the connection fails."""
     try:
         return await sending
     except aiohttp.ClientConnectorError as error:
@@ -278,7 +293,7 @@
 async def _async_read_stream(
     response: aiohttp.ClientResponse, expected: str
 ) -> Attempt:
-    """Read server-sent events up to the end or a coded failure."""
+    """Read server-sent events up to the end of the stream or a coded failure."""
     text = ""
     first_token_at = None
     async for line in response.content:
--- a/tests/stand_ins/engine.py
+++ b/tests/stand_ins/engine.py
@@ -66,18 +66,24 @@
 
     late_s: float = 2.0
     die_after_tokens: int = 0
-    """Number of tokens after which the process exits; 0 for never."""
+    """Number of outputs, mostly of one token each, with the last of which the process
+    exits; 0 for never."""
 
     cut_streams: int = 0
     """Number of streams that are cut after `cut_after` tokens."""
 
     cut_after: int = 3
     refuse: int = 0
+    """Number of requests that are rejected as not run."""
+
     report_lag_s: float = 0.0
+    """Least age of the report that is returned, once there is one that old."""
+
     gap_cache_changes: bool = False
     """Whether every second cache change is left out of the reports."""
 
     leaving: bool = False
+    """Whether requests are rejected as not run, and reports contain that it leaves."""
 
 
 class EngineStandIn(StandIn):
@@ -93,8 +99,11 @@
         incarnation = IncarnationId(uuid.uuid4().hex)
         self.model = EngineModel(settings, WeightStoreModel(store), incarnation)
         self.orders: list[dict[str, Any]] = []
+        # Requests that arrived while the engine was leaving.
         self.after_leaving = 0
+        # Requests whose connections ended before their responses did.
         self.hung_up = 0
+        # Outputs by attempt; None for a cancelled one.
         self._outputs: dict[str, asyncio.Queue[EngineOutput | None]] = {}
         self._reports: deque[EngineReport] = deque(maxlen=REPORTS_KEPT)
         self._stepping: asyncio.Task[None] | None = None
@@ -106,7 +115,7 @@
         router.add_post("/v1/orders", self._async_order)
 
     def truth(self) -> dict[str, Any]:
-        """Return the actual memory, the runs by attempt, and the orders."""
+        """Return the actual memory, the runs by attempt, the orders and counters."""
         model = self.model
         residents = self._report().residents
         return {
@@ -130,7 +139,7 @@
             "hung_up": self.hung_up,
         }
 
-    # Time of the engine model.
+    # Advancing the engine model.
 
     def _advance(self) -> float:
         """Advance the model to now, and pass its outputs to their requests."""
@@ -239,7 +248,7 @@
         return float(body.get("resume_from", 0) + self.switches.cut_after)
 
     async def _async_apply_failures(self, request: web.Request) -> None:
-        """Hang on a silent connection, or exit the process if a switch is due."""
+        """Hang if the connection is silent; exit after the last output allowed."""
         await self.async_block_if_silent(request)
         if self.switches.die_after_tokens:
             self.switches.die_after_tokens -= 1
--- a/tests/stand_ins/etcd_storage.py
+++ b/tests/stand_ins/etcd_storage.py
@@ -19,7 +19,7 @@
 
 @define
 class EtcdStorage:
-    """Keys with all their versions, as in the published interface."""
+    """Keys with all their versions, and leases, as in the published interface."""
 
     clock: Callable[[], float] = time.monotonic
     revision: int = 1
@@ -28,7 +28,13 @@
     _versions: dict[bytes, list[KeyValue]] = field(factory=lambda: defaultdict(list))
 
     def range(self, key: bytes, end: bytes, revision: int = 0) -> list[KeyValue]:
-        """Return the keys of a range at a revision; 0 is the current one."""
+        """Return the keys of a range at a revision; 0 stands for the current one.
+
+        Args:
+            key: First key of the range, or the only key.
+            end: First key after the range; empty for a single key.
+            revision: The revision.
+        """
         self._expire_leases()
         names = [key]
         if end:
@@ -37,6 +43,7 @@
         return [kv for kv in found if kv is not None and kv.version]
 
     def _find(self, key: bytes, revision: int) -> KeyValue | None:
+        """Return a key at a revision; one that was deleted by then has version 0."""
         versions = self._versions.get(key, ())
         return next(
             (kv for kv in reversed(versions) if kv.mod_revision <= revision), None
--- a/tests/stand_ins/fleet.py
+++ b/tests/stand_ins/fleet.py
@@ -24,13 +24,19 @@
 PROGRAM = "mangoway"
 LEASE_S = 2
 SWITCHES = ('{"checks_fences": true}', '{"checks_fences": false}')
+"""Switches of the engines with even numbers, and of those with odd ones."""
+
 HOST_LIST_PERIOD_S = 0.5
 
 
 async def async_wait_for(
     what: str, check: Callable[[], Awaitable[bool]], timeout_s: float = READY_TIMEOUT_S
 ) -> None:
-    """Wait until a check returns True; a failed connection counts as False."""
+    """Wait until a check returns True; a failed connection counts as False.
+
+    Raises:
+        TimeoutError: If it doesn't in time; `what` says what was waited for.
+    """
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         try:
@@ -133,7 +139,7 @@
         return list(await asyncio.gather(*gets))
 
     async def async_list_hosts(self) -> None:
-        """Publish a host list with all started processes."""
+        """Put all started processes into the host list, and publish it."""
         for number, engine in enumerate(self.engines):
             self.set_host(engine.name, engine.address, "runner", number)
         for number, service in enumerate(self.services):
@@ -146,7 +152,7 @@
         await self.async_publish_hosts()
 
     def set_host(self, name: str, address: str, role: str, number: int) -> None:
-        """Add one host to the list, or change its entry."""
+        """Add one host to the list, or change its entry, without publishing it."""
         labels = {
             "host": name,
             "role": role,
@@ -288,7 +294,7 @@
             process.child.communicate(), COMMAND_TIMEOUT_S
         )
         if process.child.returncode:
-            raise RuntimeError(f"{arguments}: {process.log.read_text()}")
+            raise RuntimeError(f"command {arguments} failed: {process.log.read_text()}")
         return output.decode()
 
     # HTTP.
--- a/tests/stand_ins/host_list.py
+++ b/tests/stand_ins/host_list.py
@@ -15,8 +15,14 @@
     """Failures of the host list."""
 
     down: bool = False
+    """Whether connections are closed without a response."""
+
     garbled: bool = False
+    """Whether the response is invalid JSON."""
+
     empty: bool = False
+    """Whether the list has no hosts."""
+
     lag_s: float = 0.0
     """Time from a change until it is visible."""
 
@@ -42,7 +48,7 @@
         self.app.router.add_post("/admin/hosts", self._async_set)
 
     def truth(self) -> dict[str, Any]:
-        """Return the newest list, visible or not."""
+        """Return the number of reads, and the newest list, visible or not."""
         return {"reads": self.reads, "groups": self._changes[-1].groups}
 
     def set_groups(self, groups: list[Any]) -> None:
--- a/tests/stand_ins/key_value.py
+++ b/tests/stand_ins/key_value.py
@@ -38,7 +38,10 @@
     """Whether watches stay open without events and progress."""
 
     blind_watches: int = 0
-    """Number of first watches that get progress at their position, but no events."""
+    """Number of watches, from the first one on, that get progress but no events.
+
+    Their progress is the position at which they started.
+    """
 
 
 class CuttingServer(Server):
@@ -78,7 +81,7 @@
         self.app.router.add_post("/admin/lapse", self._async_lapse)
 
     def truth(self) -> dict[str, Any]:
-        """Return the calls by kind, and the keys with their revisions."""
+        """Return the calls by kind, the revision, and the keys with theirs."""
         kvs = self.storage.range(b"\0", b"\xff")
         return {
             "calls": dict(self.calls),
@@ -127,7 +130,7 @@
             raise GRPCError(Status.UNAVAILABLE, "down")
 
     async def async_hang_if_silent(self, stream: Stream[Any, Any]) -> None:
-        """Hang if the connection of a call is silent."""
+        """Hang for good if the connection of a call is silent."""
         if stream.peer.addr() in self._silent_peers:
             await asyncio.Event().wait()
 
@@ -262,6 +265,7 @@
         raise GRPCError(Status.UNAVAILABLE, "down")
 
     def _find_revision(self, position: int) -> int:
+        """Return the revision up to which the events before a position are complete."""
         storage = self._owner.storage
         if position == len(storage.events):
             return storage.revision
@@ -273,6 +277,7 @@
         create: rpc_pb2.WatchCreateRequest,
         position: int,
     ) -> int:
+        """Send the events of the watch from a position on; return the new position."""
         events = self._owner.storage.events
         end = len(events)
         matching = [
--- a/tests/stand_ins/launcher.py
+++ b/tests/stand_ins/launcher.py
@@ -18,13 +18,16 @@
 STOP_TIMEOUT_S = 10.0
 ROOT = Path(__file__).resolve().parents[2]
 PORTS = range(10_000, 32_000)
-"""Ports below the range from which the kernel assigns free ones."""
+"""Ports below the range from which the kernel assigns free ones to other sockets."""
 
 _given_ports: set[int] = set()
 
 
 def find_free_address() -> str:
-    """Return a loopback address with a port that is free now and not given before."""
+    """Return a loopback address with a port that is free now.
+
+    It is a new one for each call of this process; another process may get the same one.
+    """
     while True:
         port = PORTS[SystemRandom().randrange(len(PORTS))]
         if port in _given_ports:
@@ -45,7 +48,7 @@
     flags: tuple[str, ...] = ()
     address: str = ""
     admin: str = ""
-    """Address of its switches; equal to its address unless they are separate."""
+    """Address of a stand-in's switches; its `address` unless they are separate."""
 
     peer_address: str = ""
     """Address for other processes of the system; empty for a stand-in."""
@@ -88,7 +91,7 @@
     """Starts processes, and kills them all at the end of its context."""
 
     folder: Path
-    """Folder for the standard errors of the processes."""
+    """Folder for the processes' logs: their standard error, and often their output."""
 
     processes: list[Process] = field(factory=list)
 
@@ -108,8 +111,12 @@
     ) -> Process:
         """Start a Python module as a process.
 
-        Its log, on standard output, goes to the same file as its errors, unless the
-        caller reads the output.
+        Args:
+            name: Name of the process and of its log file.
+            module: Name of the module.
+            flags: Arguments of the command line.
+            reads_output: Whether the caller reads the standard output; otherwise it is
+                the program's log, and goes to the same file as the standard error.
         """
         log = self.folder / f"{name}.log"
         with log.open("ab") as errors:
@@ -130,14 +137,21 @@
     async def async_start_stand_in(
         self, name: str, module: str, *flags: str
     ) -> Process:
-        """Start a stand-in, and read its addresses from the line that it prints."""
+        """Start a stand-in, and read its addresses from the line that it prints.
+
+        Raises:
+            RuntimeError: If it ends without printing them.
+        """
         process = await self.async_start(
             name, f"tests.stand_ins.{module}", *flags, reads_output=True
         )
         assert process.child.stdout is not None
         line = await asyncio.wait_for(process.child.stdout.readline(), START_TIMEOUT_S)
         if not line:
-            raise RuntimeError(f"{name} did not start: {process.log.read_text()}")
+            raise RuntimeError(
+                f"{name} ended before it printed its addresses: "
+                f"{process.log.read_text()}"
+            )
         addresses = json.loads(line)
         process.address = addresses["address"]
         process.admin = addresses.get("admin", process.address)
--- a/tests/stand_ins/relay.py
+++ b/tests/stand_ins/relay.py
@@ -20,10 +20,13 @@
     """Whether new connections are closed at once."""
 
     delay_s: float = 0.0
+    """Delay of each chunk of data, in both directions."""
+
     drop_to_target: bool = False
     """Whether data to the target is dropped: a failure of one direction."""
 
     drop_from_target: bool = False
+    """Whether data from the target is dropped."""
 
 
 class Relay(StandIn):
@@ -47,7 +50,10 @@
         return {"address": self.relay_address, "admin": self.address}
 
     def truth(self) -> dict[str, Any]:
-        """Return the number of accepted connections, and of open and muted ends."""
+        """Return the number of accepted connections, and of open and muted ends.
+
+        A connection that is relayed has two ends: the client's and the target's.
+        """
         return {
             "accepted": self._accepted,
             "open": len(self._open),
@@ -74,7 +80,10 @@
             writer.transport.abort()
 
     def heal(self) -> None:
-        """End all failures, and close connections that lost data."""
+        """End all failures, and close all connections if some may have lost data.
+
+        A TCP connection doesn't continue behind a gap.
+        """
         has_lost_data = self.switches.drop_to_target or self.switches.drop_from_target
         self.switches = RelaySwitches()
         if has_lost_data:
@@ -126,7 +135,7 @@
         *,
         to_target: bool,
     ) -> None:
-        """Copy one direction until either end closes."""
+        """Copy the data of one direction until either end closes."""
         try:
             while data := await reader.read(CHUNK_BYTES):
                 await asyncio.sleep(self.switches.delay_s)
--- a/tests/stand_ins/service.py
+++ b/tests/stand_ins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for one host of a plain service, which counts runs by body id."""
+"""Stand-in for one host of a plain service; it counts the runs of each body id."""
 
 import argparse
 import asyncio
@@ -17,19 +17,28 @@
     """Failures of a plain service; counters refer to future requests."""
 
     slow_s: float = 0.0
+    """Time from a run to its response."""
+
     die_before_run: int = 0
     """If above 0, the process exits at the next request, before it runs."""
 
     die_after_run: int = 0
+    """If above 0, the process exits at the next request, after it ran."""
+
     drop_before_run: int = 0
     """Number of requests whose connection is closed before they run."""
 
     drop_after_run: int = 0
+    """Number of requests whose connection is closed after they ran."""
+
     silent_after_run: int = 0
+    """Number of requests that run and get no response."""
+
     refuse: int = 0
     """Number of requests that are rejected as not run."""
 
     leaving: bool = False
+    """Whether all requests are rejected as not run."""
 
 
 class ServiceStandIn(StandIn):
@@ -46,7 +55,10 @@
         self.app.router.add_post("/{call}", self._async_call)
 
     def truth(self) -> dict[str, Any]:
-        """Return the runs by call and body id, and the runs by attempt."""
+        """Return the runs by call and body id, those by attempt, and late requests.
+
+        Late requests are those that arrived while the service was leaving.
+        """
         return {
             "upstream": self.name,
             "runs": dict(self.runs),
--- a/tests/stand_ins/serving.py
+++ b/tests/stand_ins/serving.py
@@ -1,4 +1,4 @@
-"""Common parts of the stand-ins: switches, silent connections and start."""
+"""Common parts of the stand-ins: switches, silent connections and command line."""
 
 import argparse
 import asyncio
@@ -29,7 +29,10 @@
 
 
 class StandIn:
-    """HTTP server with switches, its ground truth, and connections that can hang."""
+    """HTTP server with switches for failures, and connections that can hang.
+
+    It also serves its ground truth: what actually happened at it.
+    """
 
     def __init__(self, switches: Any) -> None:
         self.switches = switches
@@ -43,7 +46,7 @@
         self.app.router.add_get("/admin/truth", self._async_truth)
 
     def truth(self) -> dict[str, Any]:
-        """Return the ground truth: what actually happened at this stand-in."""
+        """Return the ground truth."""
         raise NotImplementedError
 
     def addresses(self) -> dict[str, str]:
@@ -65,7 +68,7 @@
             await self._runner.cleanup()
 
     async def async_block_if_silent(self, request: web.Request) -> None:
-        """Hang if the connection of a request is silent."""
+        """Hang for good if the connection of a request is silent."""
         if request.transport in self._silent_connections:
             await asyncio.Event().wait()
 
@@ -95,7 +98,7 @@
 
 
 async def async_drop(request: web.Request) -> web.Response:
-    """Close the connection of a request without a response."""
+    """Close the connection of a request without a response; never returns."""
     assert request.transport is not None
     request.transport.abort()
     raise asyncio.CancelledError
--- a/tests/stand_ins/test_engine.py
+++ b/tests/stand_ins/test_engine.py
@@ -17,7 +17,7 @@
 
 
 class Client:
-    """Client of one stand-in."""
+    """Client of one engine stand-in."""
 
     def __init__(self, engine: EngineStandIn, session: aiohttp.ClientSession) -> None:
         self.engine = engine
@@ -90,7 +90,7 @@
 
 
 class TestMemory:
-    """Memory is counted, and exceeding it is recorded."""
+    """Memory is counted, exceeding it is recorded, and orders can get lost."""
 
     async def test_records_over_size(self, client: Client) -> None:
         await client.async_order("load", 1)
