--- a/demo/tally.py
+++ b/demo/tally.py
@@ -113,7 +113,7 @@
     refused = [
         call_id
         for call_id, result in tally.non_idempotent.items()
-        if result.ending is Ending.REFUSED
+        if result.ending is Ending.REJECTED
     ]
     return [
         f"{key}: {tally.non_idempotent[key].detail}" for key in refused if runs[key]
--- a/tests/stand_ins/caller.py
+++ b/tests/stand_ins/caller.py
@@ -35,7 +35,7 @@
     """How a request ended for its caller."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"
+    REJECTED = "refused"
     """A coded failure with the verdict that it did not run."""
 
     UNSURE = "unsure"
@@ -203,7 +203,7 @@
             url = f"http://{gateway.address}/v1/services/{service}/{call}"
             sent = await _async_catch_failure(self._async_post(url, body, headers))
             none_has_run = none_has_run and (
-                sent.ending is Ending.REFUSED or not sent.reached
+                sent.ending is Ending.REJECTED or not sent.reached
             )
             return sent
 
@@ -238,7 +238,7 @@
             gateway, attempt = await self._async_send_once(send, avoid, deadline_s)
             if attempt.ending is Ending.LOST:
                 avoid = gateway
-            elif attempt.ending is not Ending.REFUSED or attempt.retry_after is None:
+            elif attempt.ending is not Ending.REJECTED or attempt.retry_after is None:
                 break
             await asyncio.sleep(
                 min(attempt.retry_after or DEFAULT_PAUSE_S, MAX_PAUSE_S)
@@ -286,7 +286,7 @@
     code, verdict = problem.get("code"), problem.get("verdict")
     if not code or verdict not in ("not_run", "may_have_run", "ran"):
         return Attempt(Ending.LOST, f"not a coded failure: {problem}")
-    ending = Ending.REFUSED if verdict == "not_run" else Ending.UNSURE
+    ending = Ending.REJECTED if verdict == "not_run" else Ending.UNSURE
     return Attempt(ending, f"{code} ({verdict})", problem.get("retry_after_s"))
 
 
