--- a/tests/policy/limits/test_cooldowns.py
+++ b/tests/policy/limits/test_cooldowns.py
@@ -4,7 +4,7 @@
 
 
 def make_report(rest_s: float, edge: str = "e1", started_ms: int = 0) -> CooldownReport:
-    """Return a cooldown of the runner r1 for an edge."""
+    """Return a report that the runner r1 requested a cooldown from an edge."""
     return CooldownReport(
         edge=edge, runner_id="r1", started_ms=started_ms, rest_s=rest_s
     )
--- a/tests/policy/limits/test_fleet_limits.py
+++ b/tests/policy/limits/test_fleet_limits.py
@@ -1,4 +1,9 @@
-"""Tests of a runner's limit over a fleet whose edges and schedulers start and stop."""
+"""Tests of a runner's limit over a fleet whose edges and schedulers start and stop.
+
+Each scheduler and each disconnected edge sends its own share of the limit, without
+knowing what the others send. Together they must not exceed the limit while edges are
+disconnected, divided among two schedulers, or moved to a new scheduler without state.
+"""
 
 from typing import Any, Final
 
@@ -26,18 +31,18 @@
 """Time for which a newly limited runner is not checked."""
 
 REPORT_DELAY_S: Final = 0.5
-"""Time after its first response with the limit from which an edge's requests count."""
+"""An edge's requests count once its first response with the limit is this old."""
 
 FACTOR: Final = 1.5
 SLACK: Final = 5
-"""Factor and number of requests by which a window may exceed the limit."""
+"""A window may contain this factor times the limit, plus this number of requests."""
 
 STEP_S: Final = 0.02
 RESPONSE_TIME_S: Final = 0.005
 """Time from sending a request to its response."""
 
 UNLIMITED_INTERVAL: Final = 5
-"""One in so many requests is sent to the runner while it reports no limit."""
+"""While the runner reports no limit, one in this many requests is sent to it."""
 
 RUNNER: Final = ("r1", 0)
 
@@ -88,7 +93,8 @@
         edge.tracker.get_share = disconnected_share.measure
         self.edges[key] = edge
         self.first_reported_at.pop(key, None)
-        # Requests of an edge before its restart don't count for the next incarnation.
+        # The check ignores requests that the edge sent before its restart: they get an
+        # empty key.
         self.arrivals = [(at, "" if by == key else by) for at, by in self.arrivals]
 
     @rule()
@@ -162,7 +168,7 @@
 
     @rule(limit=st.floats(0.0, 8.0))
     def set_limit(self, limit: float) -> None:
-        """Set a limit that the requests of the moments before don't exceed."""
+        """Set a limit that the most recent requests alone don't exceed."""
         recent = sum(1 for at, _ in self.arrivals if at > self.now - RECENT_REQUESTS_S)
         if self.limit is None:
             self.limited_since = self.now
@@ -182,8 +188,8 @@
     @rule(seconds=st.floats(0.1, 6.0), keys=st.sets(st.integers(0, EDGES - 1)))
     def call(self, seconds: float, keys: set[int]) -> None:
         """Send requests to some edges, more than a limited runner accepts."""
-        ended = self.now + seconds
-        while self.now < ended:
+        end = self.now + seconds
+        while self.now < end:
             self.now += STEP_S
             for number in sorted(keys):
                 self.send(self.edges[f"e{number}"])
@@ -233,13 +239,13 @@
             and key in self.first_reported_at
             and self.first_reported_at[key] <= self.now - REPORT_DELAY_S
         )
-        ended = [at for at, _ in self.limits[1:]] + [self.now]
-        most = max(
+        ends = [at for at, _ in self.limits[1:]] + [self.now]
+        highest_limit = max(
             limit
-            for (_, limit), until in zip(self.limits, ended, strict=True)
+            for (_, limit), until in zip(self.limits, ends, strict=True)
             if until > self.now - WINDOW_S
         )
-        assert count <= FACTOR * most * WINDOW_S + SLACK
+        assert count <= FACTOR * highest_limit * WINDOW_S + SLACK
 
 
 TestFleetLimits = FleetLimits.TestCase
--- a/tests/policy/limits/test_tracker.py
+++ b/tests/policy/limits/test_tracker.py
@@ -38,7 +38,7 @@
 
 
 def count_sent(tracker: LimitTracker, began: float, ended: float) -> int:
-    """Return the requests that may be sent in a period with many waiting requests."""
+    """Return how many requests may be sent in a period if some are always waiting."""
     sent, now = 0, began
     while now < ended:
         if tracker.measure_wait(*RUNNER, now) == 0:
@@ -94,14 +94,15 @@
         assert tracker.get_limit("r1") == 2.0
 
     def test_removal_is_found_for_outdated_report(self) -> None:
-        tracker, outdated = LimitTracker(), LimitTracker()
-        for each in (tracker, outdated):
+        """A process that missed the removal still reports the limit."""
+        tracker, outdated_tracker = LimitTracker(), LimitTracker()
+        for each in (tracker, outdated_tracker):
             each.update(make_report(2.0), 10.0)
         tracker.update(make_report(None), 12.0)
-        removal = tracker.find_removal(outdated.list_reports(13.0)[0], 13.0)
+        removal = tracker.find_removal(outdated_tracker.list_reports(13.0)[0], 13.0)
         assert removal is not None
-        assert outdated.update(removal, 13.0)
-        assert outdated.list_reports(13.0) == []
+        assert outdated_tracker.update(removal, 13.0)
+        assert outdated_tracker.list_reports(13.0) == []
 
     def test_no_removal_is_found_for_later_limit(self) -> None:
         tracker = LimitTracker()
