--- a/tests/policy/edge/retry_window.py
+++ b/tests/policy/edge/retry_window.py
@@ -1,4 +1,4 @@
-"""Check of the retry limit over all hosts, in each window."""
+"""Checks that all hosts together send no more retries in a window than allowed."""
 
 from bisect import bisect_left
 
@@ -16,13 +16,18 @@
     retries: list[float] = field(factory=list, init=False)
 
     def find_excess(self) -> float:
-        """Return the largest number of retries of a window beyond the limit, or 0."""
+        """Return by how many retries the worst window exceeds the limit, or 0."""
         requests, retries = sorted(self.requests), sorted(self.retries)
         return max((self._measure(requests, retries, at) for at in retries), default=0)
 
     def _measure(
         self, requests: list[float], retries: list[float], start: float
     ) -> float:
+        """Return by how many retries the window from `start` on exceeds the limit.
+
+        The limit counts the requests of this window, or of the window that starts half
+        a window or a whole one earlier, whichever has the most.
+        """
         count = self._count(retries, start)
         max_requests = max(
             self._count(requests, start - back_s)
--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -1,4 +1,9 @@
-"""Tests of the retry budget over a fleet whose edges and schedulers start and stop."""
+"""Tests of the retry budget over a fleet whose edges and schedulers start and stop.
+
+Each edge counts only its own retries, and divides the budget by the number of edges
+that it has seen. Together they must not exceed the budget while edges are disconnected,
+paused, restarted or replaced, or while the grant provider changes.
+"""
 
 from itertools import cycle
 from typing import Any, Final
@@ -28,14 +33,14 @@
 
 LEASE_S: Final = 3.0
 REMOVAL_DELAY_S: Final = 1.0
-"""Time after which a leader removes a disconnected edge."""
+"""Time after which a leader removes the key of a disconnected edge."""
 
 STORE_DELAY_S: Final = 0.75
-"""Delay of the store's changes at an edge."""
+"""Delay after which an edge learns of a change in the store."""
 
 
 class TestChangesOfScheduler:
-    """Changes between schedulers and disconnected edges."""
+    """The budget while the edges' grants come from one provider after the other."""
 
     def test_two_changes_within_window_stay_within_one_budget(self) -> None:
         changes = [("leader", 20.5), ("alone", 20.7), ("standby", 23.0)]
@@ -53,7 +58,8 @@
     """Let runners fail from second 20 on, while the grant provider changes.
 
     Args:
-        changes: Grant providers, each with its end time; edges count in any case.
+        changes: Grant providers, each with its end time. The edges count their retries
+            in the same way whoever grants.
     """
     windows = RetryWindows(RATIO, SLACK, WINDOW_S)
     share = 1 / EDGES
--- a/tests/policy/edge/test_gateways.py
+++ b/tests/policy/edge/test_gateways.py
@@ -1,4 +1,4 @@
-"""Tests of the selection of gateways for callers, and of runners by own load."""
+"""Tests of the selection of gateways for a caller and of a runner for a request."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 
 
 class TestChooseGateways:
-    """Gateways of the own data centre, unless there are too few."""
+    """Gateways of the caller's data centre, unless there are too few."""
 
     def test_own_data_centre_is_preferred(self) -> None:
         members = [make_member(number, f"dc{number % 2}") for number in range(6)]
@@ -39,7 +39,7 @@
 
 
 class TestChooseRunner:
-    """The runner with the least own load, preferably in the own data centre."""
+    """The runner with the least load from this process, preferably a local one."""
 
     def test_local_runner_is_preferred(self) -> None:
         runners = [
--- a/tests/policy/edge/test_health.py
+++ b/tests/policy/edge/test_health.py
@@ -12,7 +12,7 @@
 
 
 class TestHealthTracker:
-    """Runners that fail in a row are avoided for a while."""
+    """Runners that fail several times in a row are avoided for a while."""
 
     def test_single_failure_changes_nothing(self) -> None:
         tracker = HealthTracker()
--- a/tests/policy/edge/test_retries.py
+++ b/tests/policy/edge/test_retries.py
@@ -12,7 +12,7 @@
 SAFE_ROUTE = make_route(RouteKind.SAFE, max_attempts=2)
 
 
-def fail(verdict: Verdict, **changes: object) -> FailedAttempt:
+def make_failed_attempt(verdict: Verdict, **changes: object) -> FailedAttempt:
     fields = {
         "verdict": verdict,
         "ran_before": False,
@@ -25,10 +25,10 @@
 
 
 class TestDecideRetry:
-    """Whether a request may have run decides on its retry."""
+    """A request is retried if it has not run, or if it is safe to run it twice."""
 
     def test_request_not_run_is_retried(self) -> None:
-        failed = fail(Verdict.NOT_RUN)
+        failed = make_failed_attempt(Verdict.NOT_RUN)
         assert (
             decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=True)
             is RetryDecision.RETRY
@@ -37,41 +37,43 @@
     @pytest.mark.parametrize("verdict", [Verdict.MAY_HAVE_RUN, Verdict.RAN])
     def test_request_that_may_have_run_is_not_retried(self, verdict: Verdict) -> None:
         assert (
-            decide_retry(NON_IDEMPOTENT_ROUTE, fail(verdict), budget_left=True)
+            decide_retry(
+                NON_IDEMPOTENT_ROUTE, make_failed_attempt(verdict), budget_left=True
+            )
             is RetryDecision.FAIL
         )
 
     def test_earlier_attempt_counts(self) -> None:
-        failed = fail(Verdict.NOT_RUN, ran_before=True)
+        failed = make_failed_attempt(Verdict.NOT_RUN, ran_before=True)
         assert (
             decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=True)
             is RetryDecision.FAIL
         )
 
     def test_safe_request_is_retried(self) -> None:
-        failed = fail(Verdict.MAY_HAVE_RUN)
+        failed = make_failed_attempt(Verdict.MAY_HAVE_RUN)
         assert decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.RETRY
 
     def test_attempts_are_bounded(self) -> None:
-        failed = fail(Verdict.MAY_HAVE_RUN, runners_tried=2)
+        failed = make_failed_attempt(Verdict.MAY_HAVE_RUN, runners_tried=2)
         assert decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.FAIL
 
     def test_exhausted_budget_rejects_request_not_run(self) -> None:
-        failed = fail(Verdict.NOT_RUN)
+        failed = make_failed_attempt(Verdict.NOT_RUN)
         assert (
             decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=False)
             is RetryDecision.REJECT
         )
 
     def test_unsent_attempt_needs_no_budget(self) -> None:
-        failed = fail(Verdict.NOT_RUN, was_sent=False)
+        failed = make_failed_attempt(Verdict.NOT_RUN, was_sent=False)
         assert (
             decide_retry(NON_IDEMPOTENT_ROUTE, failed, budget_left=False)
             is RetryDecision.RETRY
         )
 
     def test_no_retry_without_time_left(self) -> None:
-        failed = fail(Verdict.NOT_RUN, time_left_s=0.01)
+        failed = make_failed_attempt(Verdict.NOT_RUN, time_left_s=0.01)
         assert (
             decide_retry(SAFE_ROUTE, failed, budget_left=True) is RetryDecision.REJECT
         )
--- a/tests/policy/edge/test_retry_budget.py
+++ b/tests/policy/edge/test_retry_budget.py
@@ -103,7 +103,8 @@
         budget = make_budget()
         credits = [budget.try_acquire(10.0, 1.0) for _ in range(100)]
         assert sum(each is not None for each in credits) == int(PER_WINDOW)
-        # Only the refill since then is available.
+        # The retries in transit still use up the window's share, so only the refill of
+        # the savings is available.
         assert spend_all(budget, 30.0) == int(2 * LIMITS.slack * REFILL_SHARE)
 
     def test_edge_without_share_sends_nothing(self) -> None:
@@ -199,7 +200,7 @@
     STEP_S = 0.5
 
     def measure_retried_share(self, edges: int, slack: float) -> float:
-        """Return the share of the failed requests that all edges may retry."""
+        """Return the share of failed requests that the edges together may retry."""
         limits = RetryLimits(ratio=0.2, slack=slack, window_s=10.0)
         keys = [f"e{number}" for number in range(edges)]
         retried, failed = 0, 0
