--- a/tests/policy/customers/test_quota.py
+++ b/tests/policy/customers/test_quota.py
@@ -286,13 +286,15 @@
 
 
 ALLOWED = (RATE * WINDOW_S + BURST) * (1 + OVERSHOOT) + SLACK
+"""Largest amount that a window may contain."""
+
 STEP_S = 0.05
 
 
 class TestFleets:
-    """Random fleets: no window exceeds the quota, whatever happens."""
+    """Random fleets, in which hosts disconnect and schedulers are replaced."""
 
-    def play(self, seed: int, demand: float) -> Fleet:
+    def simulate(self, seed: int, demand: float) -> Fleet:
         random = Random(seed)
         fleet = Fleet(random, hosts=random.choice((9, 73)), demand=demand)
         for index in range(600):
@@ -310,7 +312,7 @@
 
     @pytest.mark.parametrize("seed", range(20))
     def test_no_window_exceeds_limit(self, seed: int) -> None:
-        fleet = self.play(seed, demand=3.3 * RATE)
+        fleet = self.simulate(seed, demand=3.3 * RATE)
         assert fleet.find_max_in_window() <= ALLOWED
         assert fleet.rejected > 0
 
@@ -326,7 +328,7 @@
         assert fleet.rejected <= 2
 
     def test_schedulers_that_start_full_exceed_limit(self) -> None:
-        """Without the reports of the hosts, such changes exceed the limit."""
+        """Each new scheduler that knows of no spending grants the burst again."""
         fleet = Fleet(Random(1), hosts=73, demand=3.3 * RATE)
         for index in range(600):
             if index % 20 == 0:
--- a/tests/policy/customers/test_quota_machine.py
+++ b/tests/policy/customers/test_quota_machine.py
@@ -1,4 +1,8 @@
-"""State machine: disconnections and restarts in any order must not exceed a quota."""
+"""State machine test that no window exceeds a quota, whatever the order of faults.
+
+Two schedulers and the disconnected hosts grant at the same time, and each could grant a
+whole quota. A scheduler that restarts could grant the burst again.
+"""
 
 from attrs import define, field
 from hypothesis import settings
@@ -17,8 +21,9 @@
 from .test_quota import ALLOWED, RATE, SLACK, WINDOW_S, make_registry
 
 HOSTS = 12
-CALLERS_PER_S = 3.3 * RATE
-"""Demand of the customer: six times its usual rate, which is 0.55 of its quota."""
+DEMAND_PER_S = 3.3 * RATE
+"""Tokens per second that the customer requests: six times its usual rate, which is 0.55
+of its quota."""
 
 MAX_DISCONNECTED_S = 3.0
 """Time after which a disconnected host has either reconnected or rejects all requests
@@ -27,12 +32,12 @@
 
 @define(eq=False)
 class Host:
-    """A host with its own quota tracker and its scheduler."""
+    """A host with the quota tracker that it uses while it is disconnected."""
 
     tracker: QuotaTracker
     spending: SpendingHistory = field(factory=SpendingHistory)
     scheduler: int | None = 0
-    """The scheduler that it is connected to; None: it is disconnected."""
+    """Index of the scheduler that it is connected to; None while it is disconnected."""
 
     disconnected_since: float = 0.0
 
@@ -102,7 +107,7 @@
         while self.now < end:
             amount = sizes[index % len(sizes)]
             index += 1
-            self.now += amount / CALLERS_PER_S
+            self.now += amount / DEMAND_PER_S
             host = self.hosts[self.next_host]
             self.next_host = (self.next_host + 1) % HOSTS
             tracker = self.choose_tracker(host)
