--- a/tests/policy/crashes/simulation.py
+++ b/tests/policy/crashes/simulation.py
@@ -71,11 +71,13 @@
     """Harmless runs that a crash interrupted."""
 
     lost: int = 0
-    """Harmless requests that their callers gave up after crashes."""
+    """Harmless requests that failed after the last retry of their callers."""
 
     no_runner: int = 0
+    """Times that a harmless request found no runner that it could be sent to."""
+
     blocked: int = 0
-    """Rejections of harmless requests, as if they crashed runners."""
+    """Rejections of harmless requests that were blocked by mistake."""
 
     blocked_unserved: int = 0
     """Harmless requests that were blocked and not served later either."""
@@ -114,6 +116,8 @@
     """Whether requests are blocked at all."""
 
     retries: int = 1
+    """Retries by the caller of each harmless request."""
+
     until_s: float = 60.0
     random: Random = field(init=False)
     _kill_random: Random = field(init=False)
@@ -277,7 +281,7 @@
         self.results.crashes += 1
         running, runner.running, runner.is_up = runner.running, [], False
         self._call_later(self.random.uniform(2.0, 4.0), partial(self._restart, runner))
-        life = RunnerIncarnation(
+        incarnation = RunnerIncarnation(
             runner_id=f"r{runner.number}", started_ms=runner.incarnation
         )
         for edge in {each.edge for each in running}:
@@ -291,7 +295,7 @@
                 for each in lost
             )
             self.crash_filters[edge].record_crash(
-                RunnerCrash(life=life, requests=requests)
+                RunnerCrash(life=incarnation, requests=requests)
             )
         for request in running:
             request.crash_count += 1
--- a/tests/policy/crashes/test_simulation.py
+++ b/tests/policy/crashes/test_simulation.py
@@ -1,5 +1,8 @@
 """Simulated fleets with repeated crashes: most harmless requests must be served.
 
+Without blocking, edges and callers send a request that crashes runners again and again,
+until hardly any runner is up.
+
 Number of harmless requests that were served, in ten random fleets of 6 hosts and 6
 runners, one minute each:
 
--- a/tests/policy/crashes/test_tracker.py
+++ b/tests/policy/crashes/test_tracker.py
@@ -76,7 +76,7 @@
     def test_run_that_progressed_further_needs_more_crashes(
         self, stage: RunStage, crashes: int
     ) -> None:
-        """Running that far is harmless, whichever of its runs got there."""
+        """One run that got that far shows that the request is harmless until then."""
         tracker = CrashTracker()
         tracker.add_crash("l0/e1", [Charge(HARMLESS, "l0", stage)])
         for number in range(1, crashes):
@@ -233,7 +233,7 @@
             [
                 ("clear", identity, {"l1"}),
                 ("clear", identity, set()),
-                *(("crash", life, {identity}) for life in ("l1", "l2", "l3")),
+                *(("crash", each, {identity}) for each in ("l1", "l2", "l3")),
             ]
         )
         late_tracker = CrashTracker()
