--- a/tests/policy/membership/cell.py
+++ b/tests/policy/membership/cell.py
@@ -56,7 +56,7 @@
 
 @define
 class Cell:
-    """A simulated cell, with the processes that run and the times when others left."""
+    """A simulated cell: hosts, their running processes and the host list."""
 
     hosts: list[str]
     random: Random
@@ -64,10 +64,12 @@
     loss_rate: float = 0.0
     disconnected: set[str] = field(factory=set)
     list_is_outdated: bool = False
-    """Whether the host list is no longer updated."""
+    """Whether the host list stays as it is when hosts leave."""
 
     processes: dict[str, Process] = field(factory=dict)
     left_at: dict[str, float] = field(factory=dict)
+    """When each host was asked to leave; dropped when it is started again."""
+
     start_count: int = 0
     sent_heartbeats: int = 0
     _listed: tuple[ListedHost, ...] = ()
--- a/tests/policy/membership/test_core.py
+++ b/tests/policy/membership/test_core.py
@@ -1,4 +1,8 @@
-"""Tests of the membership core: fixed cases and a state machine."""
+"""Tests of the membership core: fixed cases and a state machine.
+
+Callers must not be sent to a host that has left, and no live host may be missing from
+the answers, although processes learn of each other by heartbeats that may be lost.
+"""
 
 from random import Random
 
@@ -23,7 +27,7 @@
 
 HOSTS = [f"host-{number}" for number in range(6)]
 LEAVE_S = 3.0
-"""Time after a departure, or the last fault, until no answer has a leaving host."""
+"""Time after a departure, or the last fault, until no answer lists a host that left."""
 
 SETTLE_S = 25.0
 """Time after the end of all faults within which all processes agree."""
