--- a/tests/policy/placement/test_core.py
+++ b/tests/policy/placement/test_core.py
@@ -57,7 +57,7 @@
 
 
 def limit_loads(limit: int, rate: float = 10.0, **models: int) -> Configuration:
-    """Return an offer with limits of the weight store."""
+    """Return a configuration with limits of the weight store."""
     offer = offer_models(**models)
     site = evolve(offer.site, loads_per_second=rate, loads_at_full_speed=limit)
     return evolve(offer, site=site)
@@ -115,7 +115,7 @@
         for holder in world.list_ready("z@1"):
             world.engines[UpstreamId(holder)].up = False
         world.sent.clear()
-        # Both losses are handled by the same plan after the pause.
+        # The pause makes one plan handle both losses.
         first.paused = True
         world.run(1.5)
         world.resume(first)
@@ -332,9 +332,9 @@
         assert world.sent == []
         world.run(ORDER_SEND_WINDOW_S + 1.0)
         # The controller handles only the late confirmation of its write.
-        mailbox, first.mailbox = first.mailbox, []
+        inbox, first.inbox = first.inbox, []
         first.paused = False
-        world.send_event(first, mailbox[0])
+        world.send_event(first, inbox[0])
         assert any(each.reason == "order_dropped" for each in world.reasons)
         assert world.sent == []
 
--- a/tests/policy/placement/test_demand_rotation.py
+++ b/tests/policy/placement/test_demand_rotation.py
@@ -17,6 +17,8 @@
 ]
 LOW_DEMAND = ARTIFACTS[: 2 * MAX_ARTIFACTS_PER_EVALUATION + 100]
 PERIODS = 3
+"""Evaluations that cover all artifacts of `LOW_DEMAND`."""
+
 HOT = LOW_DEMAND[7]
 
 
--- a/tests/policy/placement/test_machine.py
+++ b/tests/policy/placement/test_machine.py
@@ -1,4 +1,9 @@
-"""Stateful test of memory limits and reachability under faults."""
+"""State machine test of two active placement cores under faults.
+
+Orders may arrive late, twice or not at all, and both controllers act on old reports.
+No load may exceed an engine's memory, no avoidable unload may remove the last ready
+copy of an artifact, and all floors must be met after the faults.
+"""
 
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
@@ -16,7 +21,11 @@
 
 ENGINES = 4
 OFFERED = 5
+"""Number of models that are offered at a time."""
+
 CHECKS = ["none", "fences", "both"]
+"""What an engine checks of an order: nothing, its fence, or its incarnation as well."""
+
 FAULTS = ["lose", "late", "double", "drop_answer", ""]
 
 
--- a/tests/policy/placement/world.py
+++ b/tests/policy/placement/world.py
@@ -84,8 +84,10 @@
     data_centre: DataCentreId = DC1
     size_mb: int = 100
     checks: bool = True
+    """Whether it checks the fence numbers of orders."""
+
     checks_incarnations: bool = True
-    """Whether it rejects orders for another incarnation, if it checks fences."""
+    """Whether it also rejects orders for another incarnation, if it checks fences."""
 
     run_number: int = 1
     up: bool = True
@@ -95,8 +97,10 @@
     ready: set[Artifact] = field(factory=set)
     orders: list[Order] = field(factory=list)
     overruns: list[str] = field(factory=list)
+    """Descriptions of the loads that made the memory exceed its size."""
+
     crashes: list[tuple[float, Artifact]] = field(factory=list)
-    """Ready copies that restarts lost, with the time."""
+    """Time of a restart and the ready copy that it lost, one entry per copy."""
 
     @property
     def incarnation(self) -> IncarnationId:
@@ -177,12 +181,12 @@
 
 @define
 class Controller:
-    """Controller with one core; while paused it queues its events in a mailbox."""
+    """Controller with one core; while it is paused, its events wait in an inbox."""
 
     core: PlacementCore
     alive: bool = True
     paused: bool = False
-    mailbox: list[events.PlacementEvent] = field(factory=list)
+    inbox: list[events.PlacementEvent] = field(factory=list)
     wakeup: int = 0
     """Number of the latest `WakeAt`; earlier ones are obsolete."""
 
@@ -204,7 +208,7 @@
     reads: int = 0
     store_up: bool = True
     lose_answers: int = 0
-    """Number of next writes whose answer is lost after they took effect."""
+    """Number of future writes that take effect but whose answer is lost."""
 
     order_faults: list[str] = field(factory=list)
     """Faults of the next orders: lose, late, double, drop_answer or none ("")."""
@@ -215,6 +219,8 @@
 
     unload_bases: dict[OrderId, UnloadBasis] = field(factory=dict)
     last_copy_losses: list[str] = field(factory=list)
+    """Avoidable unloads of the last ready copy of an artifact."""
+
     _heap: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _numbers: count[int] = field(factory=count)
 
@@ -286,7 +292,7 @@
         self.now = end
 
     def _poll(self) -> None:
-        """Read every engine's description and report once a second."""
+        """Deliver the description and the report of every engine once a second."""
         for engine in self.engines.values():
             if not engine.up:
                 for controller in self.controllers:
@@ -312,15 +318,15 @@
         if not controller.alive:
             return
         if controller.paused:
-            controller.mailbox.append(event)
+            controller.inbox.append(event)
             return
         for action in controller.core.handle(event, self.now):
             self._perform(controller, action)
 
     def resume(self, controller: Controller) -> None:
         controller.paused = False
-        mailbox, controller.mailbox = controller.mailbox, []
-        for event in mailbox:
+        inbox, controller.inbox = controller.inbox, []
+        for event in inbox:
             self.send_event(controller, event)
 
     def _perform(self, controller: Controller, action: actions.PlacementAction) -> None:
@@ -414,7 +420,7 @@
             return
         if fault == "late":
             self._deliver(controller, failed, 1.0)
-            # The connection closes after one second; the bound counts from then on.
+            # The connection closes after one second. The lateness bound starts then.
             delay_s = self.rng.uniform(0.0, BOUND_S)
             self.call_later(1.0 + delay_s, lambda: self._apply_order(order))
             return
