--- a/tests/policy/dispatch/test_choice.py
+++ b/tests/policy/dispatch/test_choice.py
@@ -103,7 +103,7 @@
 
 
 class TestWindow:
-    """Window of a gateway on a runner."""
+    """Number of requests that a gateway may have at a runner at once."""
 
     def test_gateways_share_a_runner(self) -> None:
         core = make_core(engines=1, max_running=6)
--- a/tests/policy/dispatch/test_keys.py
+++ b/tests/policy/dispatch/test_keys.py
@@ -201,8 +201,8 @@
         assert select(submit("done", 900), ReplayAnswer)[0].answer_id == "answer"
         assert find_rejection(submit("failed", 900))[1] is Verdict.MAY_HAVE_RUN
         assert select(submit("new", 990), StartAttempt)
-        # The home may have had a shorter retention than this process, so it may have
-        # dropped the record of an older key.
+        # The home may have dropped the record of an older key, since its retention may
+        # have been shorter than that of this process.
         assert find_rejection(submit("old", 930)) == gone
 
     def test_records_that_do_not_fit_make_the_home_gone(self) -> None:
--- a/tests/policy/dispatch/test_machine.py
+++ b/tests/policy/dispatch/test_machine.py
@@ -1,4 +1,9 @@
-"""Random faults and events, checked by the invariants of `world`."""
+"""State machine test of gateways that retry, hand over keys and fail in any order.
+
+A request that is not idempotent must not run twice, even if it is submitted again under
+its key at another gateway. A request that has run must not be rejected as not run, and
+each request must end once.
+"""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -11,12 +16,15 @@
 from .world import ENGINES, HOSTS, World
 
 PLACE = st.integers(min_value=0, max_value=9)
+"""A small number, mostly an index that is taken modulo the number of items."""
+
 OUTCOME = st.sampled_from(
     ["succeed", "busy", "die", "lost", "progress", "cancelled", "lost", "succeed"]
 )
-
+"""Outcome of an attempt; those that are listed twice are drawn more often."""
 
 RARE = st.integers(min_value=0, max_value=3)
+"""A rule with this argument acts only if it is 0."""
 
 
 class DispatchMachine(RuleBasedStateMachine):
@@ -54,7 +62,7 @@
         skew: float,
         within: float,
     ) -> None:
-        operation = self.world.plan(idempotent, kind, self.find(home), skew)
+        operation = self.world.add_operation(idempotent, kind, self.find(home), skew)
         self.world.submit(operation, self.find(place), within)
 
     @rule(
@@ -63,7 +71,7 @@
         places=st.lists(PLACE, min_size=2, max_size=4),
     )
     def submit_repeatedly(self, kind: str, home: int, places: list[int]) -> None:
-        operation = self.world.plan(False, kind, self.find(home), 0.0)
+        operation = self.world.add_operation(False, kind, self.find(home), 0.0)
         for place in places:
             self.world.submit(operation, self.find(place), 60.0)
 
--- a/tests/policy/dispatch/world.py
+++ b/tests/policy/dispatch/world.py
@@ -88,7 +88,10 @@
     runs: int = 0
     endings: int = 0
     leader: RequestId | None = None
+    """Request that it joined, to get the same answer."""
+
     not_run: bool = False
+    """Whether it was rejected with the statement that it has not run."""
 
 
 @define(eq=False)
@@ -126,10 +129,18 @@
     submissions: dict[RequestId, Submission] = field(factory=dict)
     sent_attempts: dict[AttemptId, SentAttempt] = field(factory=dict)
     forwards: list[tuple[Operation, IncarnationId]] = field(factory=list)
+    """Operations on their way to the homes of their keys."""
+
     homes_with_successor: set[IncarnationId] = field(factory=set)
     claims: dict[tuple[CallerId, IdempotencyKey], RequestId] = field(factory=dict)
+    """Plain keys in the claim store, with the request that claimed each."""
+
     claiming: list[tuple[IncarnationId, ClaimKey]] = field(factory=list)
+    """Claims that the store has not answered yet."""
+
     runs: Counter[int] = field(factory=Counter)
+    """Number of runs of each operation, by its number."""
+
     leaving: set[UpstreamId] = field(factory=set)
     incarnations: int = 0
 
@@ -190,6 +201,7 @@
             self.successors.append(Successor(home=identity, successor=successor_id))
 
     def spread_homes(self, identity: IncarnationId) -> None:
+        """Tell a gateway which gateways are live, and all successors."""
         live = frozenset(self.gateways)
         successors = tuple(self.successors)
         self.send(identity, HomesChanged(live=live, successors=successors))
@@ -208,7 +220,7 @@
 
     # Callers.
 
-    def plan(
+    def add_operation(
         self, idempotent: bool, key_kind: str, home: IncarnationId, skew: float
     ) -> Operation:
         number = len(self.operations)
@@ -286,13 +298,13 @@
             event = _make_failed(attempt_id, ErrorCode.UPSTREAM_SILENT)
         self.send(sent.gateway, event)
 
-    def deliver_forward(self, place: int) -> None:
-        operation, home = self.forwards.pop(place % len(self.forwards))
+    def deliver_forward(self, index: int) -> None:
+        operation, home = self.forwards.pop(index % len(self.forwards))
         if home in self.gateways:
             self.submit(operation, home, 10.0)
 
-    def settle_claim(self, place: int, outcome: str) -> None:
-        identity, action = self.claiming.pop(place % len(self.claiming))
+    def settle_claim(self, index: int, outcome: str) -> None:
+        identity, action = self.claiming.pop(index % len(self.claiming))
         submission = self.submissions[action.request_id]
         result = ClaimOutcome.UNAVAILABLE
         if outcome != "down":
@@ -363,8 +375,8 @@
             )
 
     def _check_same(self, request_id: RequestId, other_id: RequestId) -> None:
-        mine = self.submissions[request_id].operation
-        assert mine is self.submissions[other_id].operation, (
+        operation = self.submissions[request_id].operation
+        assert operation is self.submissions[other_id].operation, (
             "answer of a different operation"
         )
 
