--- a/tests/policy/scheduling/drawn.py
+++ b/tests/policy/scheduling/drawn.py
@@ -33,7 +33,7 @@
 from .world import NETWORK_DELAY_S, FakeRunner, World
 
 LATE_SCORE = 0.4
-"""Value of a late answer relative to one on time."""
+"""Value of a late answer; that of an answer on time is 1."""
 
 DEMAND_S = 14.0
 """Time in which requests arrive; the popular models change after half of it."""
@@ -61,7 +61,7 @@
     """Maximum prompt tokens that one step prefills."""
 
     tokens_per_event: int
-    """Tokens per event."""
+    """Output tokens that the engine sends in one event of a stream."""
 
     load_s: float
     has_disk_copies: bool
@@ -100,8 +100,8 @@
     step_s = random.uniform(0.003, 0.015)
     gap_objective_s = random.uniform(0.15, 0.5)
     prefill_s_per_token = 1 / random.uniform(10_000, 60_000)
-    # An engine on which each long prompt stalls all streams beyond the objective would
-    # not be run with that objective.
+    # With a larger chunk, each long prompt would stall all streams for longer than the
+    # objective, and the engine would not be run with such an objective.
     longest = 0.6 * gap_objective_s / prefill_s_per_token
     chunk_tokens = random.choice(
         [each for each in (256, 512, 1024, 2048) if each <= longest]
@@ -247,7 +247,7 @@
         self._end(stream.grant, EndKind.PAUSED if paused else EndKind.SERVED)
 
     def compute_score(self) -> float:
-        """Return the value of the answers, as a share of all answers on time."""
+        """Return the achieved share of the answers' value; 1 if all were on time."""
         score = 0.0
         for request_id, outcome in self.outcomes.items():
             gap_s = self.gaps.get(request_id)
@@ -275,9 +275,9 @@
 def make_world(drawn: Draw) -> DrawnWorld:
     """Return the fleet of a draw; spare memory holds copies of the first models."""
     names = [f"m{number}" for number in range(drawn.models)]
-    slots = drawn.runners * drawn.models_per_runner
+    max_copies = drawn.runners * drawn.models_per_runner
     placed: list[list[str]] = [[] for _ in range(drawn.runners)]
-    desired = names[:slots] + names[:2] * drawn.runners
+    desired = names[:max_copies] + names[:2] * drawn.runners
     for name in desired:
         with_room = [
             each
@@ -456,7 +456,7 @@
 def simulate(
     drawn: Draw, make_core: Callable[[DrawnWorld], Any] | None = None
 ) -> float:
-    """Simulate a draw; return the value of the answers as a share of all on time."""
+    """Simulate a draw; return the value of the answers as in `compute_score`."""
     world = make_world(drawn)
     if make_core is not None:
         world.core = make_core(world)
--- a/tests/policy/scheduling/mixed.py
+++ b/tests/policy/scheduling/mixed.py
@@ -24,14 +24,15 @@
 """Time between bursts of patient requests."""
 
 SHIFT_S = 2.0
-"""Time after which demand for the most popular model ends, and a new model becomes the
-least popular of the popular ones."""
+"""Time between two changes of the popular models: demand for the most popular one ends,
+and another model becomes the least popular of them."""
 
 POPULAR_COPY_SHARE = 0.5
 """Share of the room for models that copies of the popular ones take at the start."""
 
 LOAD_S = 4.0
-DISK_S = 0.8
+DISK_LOAD_S = 0.8
+"""Time of a load from the weight store, and of one from the runner's disk."""
 
 
 @frozen(kw_only=True)
@@ -53,6 +54,7 @@
     route_priority: int
     value: float
     late_value: float
+    """Value of an answer on time, and of a late one."""
 
 
 CHAT = RequestKind(
@@ -135,7 +137,7 @@
     service = world.table.services["llm"]
     assert service.engine is not None
     models = {
-        name: evolve(profile, disk_load_s=DISK_S, memory_load_s=0.45)
+        name: evolve(profile, disk_load_s=DISK_LOAD_S, memory_load_s=0.45)
         for name, profile in service.engine.models.items()
     }
     any_model = next(iter(models.values()))
@@ -232,7 +234,7 @@
     kinds: dict[str, RequestKind],
     chosen: Callable[[GrantRequest, RequestKind], bool],
 ) -> float:
-    """Return the value of some answers, as a share of all of them on time."""
+    """Return the achieved share of the value of the chosen requests."""
     achieved = possible = 0.0
     for request_id, kind in kinds.items():
         outcome = world.outcomes[request_id]
--- a/tests/policy/scheduling/test_drawn.py
+++ b/tests/policy/scheduling/test_drawn.py
@@ -2,7 +2,7 @@
 
 Prefill takes at most half of the runners' time, and half of their slots are free on
 average. An ideal scheduler with knowledge of the future would serve all requests in
-time, so that the bound of each draw is 1.
+time, so the bound on the score of each draw is 1.
 """
 
 import pytest
@@ -11,12 +11,12 @@
 
 SEEDS = range(16)
 
-MIN_SHARE = 0.5
-"""Minimum share of the bound on each draw. The lowest of these draws has 0.513, as
-three of four models change at once there and any prompt pauses its streams."""
+MIN_SCORE = 0.5
+"""Minimum score of each draw. The lowest score of these draws is 0.513: in that draw,
+three of four models change at once, and any prompt pauses the streams."""
 
-MEAN_SHARE = 0.78
-"""Minimum mean share over the draws, slightly below the mean of 0.800."""
+MEAN_SCORE = 0.78
+"""Minimum mean score of the draws, slightly below their mean of 0.800."""
 
 scores: dict[int, float] = {}
 
@@ -29,7 +29,7 @@
 
 
 class TestDraws:
-    """Value of the answers, as a share of all answers on time."""
+    """Scores of draws: shares of the value that answers on time would have."""
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_draw_is_worse_than_the_baseline(self, seed: int) -> None:
@@ -37,10 +37,10 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_draw_falls_far_below_its_bound(self, seed: int) -> None:
-        assert compute_score(seed) >= MIN_SHARE
+        assert compute_score(seed) >= MIN_SCORE
 
     def test_mean_is_near_the_bound(self) -> None:
-        assert sum(compute_score(seed) for seed in SEEDS) / len(SEEDS) >= MEAN_SHARE
+        assert sum(compute_score(seed) for seed in SEEDS) / len(SEEDS) >= MEAN_SCORE
 
     def test_same_seed_gives_the_same_score(self) -> None:
         assert simulate(draw(2)) == simulate(draw(2))
--- a/tests/policy/scheduling/test_events.py
+++ b/tests/policy/scheduling/test_events.py
@@ -1,4 +1,8 @@
-"""Tests that no grant is missed that a check of the whole state would find."""
+"""Tests that the core misses no grant that is possible.
+
+At each event, the core checks only the requests and runners that the event affects.
+These tests check all of them.
+"""
 
 from random import Random
 
--- a/tests/policy/scheduling/test_machine.py
+++ b/tests/policy/scheduling/test_machine.py
@@ -1,4 +1,8 @@
-"""State machine test that faulty orders and new schedulers overfill no runner."""
+"""State machine test that faulty orders and new schedulers overfill no runner.
+
+An order may be lost or arrive late, and its response may be lost. A scheduler that is
+wrong about the state of a runner could load more than fits its memory.
+"""
 
 from hypothesis import settings
 from hypothesis import strategies as st
--- a/tests/policy/scheduling/test_mixed.py
+++ b/tests/policy/scheduling/test_mixed.py
@@ -1,9 +1,9 @@
 """Simulates fleets with many models, few copies, and a mix of requests.
 
-Streams occupy some 0.5 of the slots and prefill some 0.2 of the runners' time. An ideal
-scheduler that knows the next popular model would serve all requests in time, so that
-the bound is 1. The loss below it comes from loads of four seconds for models without
-earlier demand.
+Streams occupy some 0.5 of the slots, and prefill takes some 0.2 of the runners' time.
+An ideal scheduler that knows the next popular model would serve all requests in time,
+so the highest possible share is 1. The loss comes from loads of four seconds for models
+without earlier demand.
 """
 
 import pytest
@@ -27,7 +27,7 @@
 """Share of the value that users require on days with faults."""
 
 MAX_DEFICIT = 0.15
-"""Maximum by which the share of a kind may be lower than that of a less urgent one."""
+"""Largest difference by which a kind may have a lower share than a less urgent one."""
 
 Simulation = tuple[DrawnWorld, dict[str, RequestKind]]
 simulations: dict[int, Simulation] = {}
--- a/tests/policy/scheduling/test_prefetching.py
+++ b/tests/policy/scheduling/test_prefetching.py
@@ -47,7 +47,7 @@
         assert all("a" in each.models for each in world.runners.values())
 
     def test_no_copy_is_fetched_beyond_the_disk_size(self) -> None:
-        """A further copy would evict another one."""
+        """Without a disk, there is no room for any copy."""
         world = make_idle(["a", "b", "c"], ["a", "d", "e"], disk_mb=0.0)
         world.run(16.0)
         assert world.orders == []
--- a/tests/policy/scheduling/test_store_loads.py
+++ b/tests/policy/scheduling/test_store_loads.py
@@ -51,7 +51,7 @@
 
 
 def count_loads(loads: StoreLoadLimiter, engine: EngineProfile, now: float) -> int:
-    """Return how many loads may start at a time."""
+    """Return how many loads may start at one moment."""
     started = 0
     while loads.can_start(engine, now):
         loads.record_load(now, now + 5.4)
--- a/tests/policy/scheduling/test_stream_pauses.py
+++ b/tests/policy/scheduling/test_stream_pauses.py
@@ -8,7 +8,12 @@
 
 
 def simulate(paused_each: int, seconds: int = 10) -> StreamPauses:
-    """Return the pauses after ten streams per second, of which every nth paused."""
+    """Return the pauses of ten streams per second, some of which paused.
+
+    Args:
+        paused_each: One stream in this many paused; 0 if none did.
+        seconds: Time for which the streams are recorded.
+    """
     pauses = StreamPauses()
     for number in range(10 * seconds):
         paused = bool(paused_each) and number % paused_each == 0
--- a/tests/policy/scheduling/test_work.py
+++ b/tests/policy/scheduling/test_work.py
@@ -46,9 +46,9 @@
 class TestWork:
     """Calls per request.
 
-    If each event evaluated all runners and all waiting requests, the first four rows
-    would take 492, 544, 3413 and 2104 calls. The rows take 333, 367, 626, 505, 952 and
-    1135.
+    If each event evaluated all runners and all waiting requests, the first four cases
+    below would take 492, 544, 3413 and 2104 calls. The six cases take 333, 367, 626,
+    505, 952 and 1135.
     """
 
     @pytest.mark.parametrize(
--- a/tests/policy/scheduling/world.py
+++ b/tests/policy/scheduling/world.py
@@ -1,8 +1,9 @@
 """Fake runners in virtual time, and a core that serves requests with them.
 
 A runner prefills prompts one after the other. It executes orders as real runners do:
-one at a time, counted, with a precondition, and sometimes late or without a response.
-It counts violations of its memory limits.
+one at a time, and only those that carry its current order count. Tests may lose or
+delay orders and lose their responses. A runner counts how often its memory limits were
+exceeded.
 """
 
 import heapq
@@ -43,6 +44,7 @@
 TICK_S = 0.05
 REPORT_S = 0.1
 REPORT_LAG_S = 0.2
+"""Age of the state that a report describes."""
 
 
 @define(eq=False)
@@ -57,7 +59,11 @@
     prefilled_until: float = 0.0
     running: dict[str, str] = field(factory=dict)
     overfilled: int = 0
+    """Number of times that an order exceeded the memory or the adapter slots."""
+
     loading: str = ""
+    """Model that is being loaded, or empty."""
+
     on_disk: list[str] = field(factory=list)
     """Models on the disk, least recently used first; empty without a disk."""
 
@@ -125,7 +131,7 @@
         self.history.append((now, report))
 
     def read_report(self, now: float) -> RunnerReport | None:
-        """Return the report of the state some time ago."""
+        """Return the latest report that is at least `REPORT_LAG_S` old."""
         older = [each for at, each in self.history if at <= now - REPORT_LAG_S]
         return older[-1] if older else None
 
@@ -222,7 +228,7 @@
         self.send_event(FleetUpdated(table=self.table, runners=tuple(entries)))
 
     def replace_core(self) -> None:
-        """Start a new scheduler, whose only earlier state are the runners' reports."""
+        """Start a new scheduler, which learns the state from the runners' reports."""
         state = SchedulingState(random=self.rng)
         self.core = SchedulingCore(state)
         self.update_fleet()
@@ -284,13 +290,13 @@
         )
         first_at = runner.prefilled_until + self.first_event_s
 
-        def show_first() -> None:
+        def report_first_event() -> None:
             outcome.first_at = self.now
             self.send_event(
                 FirstEventSeen(edge=grant.edge, request_id=grant.request_id)
             )
 
-        self._call_at(first_at + NETWORK_DELAY_S, show_first)
+        self._call_at(first_at + NETWORK_DELAY_S, report_first_event)
         self._call_at(first_at + STREAM_S, lambda: self._end(grant, EndKind.SERVED))
 
     def _end(self, grant: Grant, kind: EndKind) -> None:
