--- a/tests/policy/edge/test_fleet_budget.py
+++ b/tests/policy/edge/test_fleet_budget.py
@@ -101,7 +101,7 @@
     """Key of an edge in the store, with its lease."""
 
     incarnation: int
-    until: float
+    expires_at: float
 
 
 class FleetBudget(RuleBasedStateMachine):
@@ -152,7 +152,7 @@
                 disconnected_at is not None
                 and self.now - disconnected_at > REMOVAL_DELAY_S
             )
-            if store_key.until <= self.now or is_removed:
+            if store_key.expires_at <= self.now or is_removed:
                 del self.store[key]
         members = {key: store_key.incarnation for key, store_key in self.store.items()}
         self.history.append((self.now, members))
