--- a/tests/policy/placement/test_ledgers.py
+++ b/tests/policy/placement/test_ledgers.py
@@ -22,8 +22,8 @@
 from mangoway.policy.placement.order_tracker import OrderTracker
 
 ARTIFACT = Artifact.parse("a@1")
-LOAD = OrderId("c-1")
-UNLOAD = OrderId("c-2")
+FIRST_ORDER = OrderId("c-1")
+SECOND_ORDER = OrderId("c-2")
 
 
 def describe(checks: bool) -> EngineDescription:
@@ -51,13 +51,13 @@
 
 
 def reserve() -> Ledger:
-    ledger = reserve_load(create_ledger(describe(True), 10), ARTIFACT, 40, LOAD)
+    ledger = reserve_load(create_ledger(describe(True), 10), ARTIFACT, 40, FIRST_ORDER)
     assert ledger is not None
     return ledger
 
 
 def mark(ledger: Ledger) -> Ledger:
-    marked = mark_unload(ledger, ARTIFACT, UNLOAD)
+    marked = mark_unload(ledger, ARTIFACT, SECOND_ORDER)
     assert marked is not None
     return marked
 
@@ -67,23 +67,23 @@
 
     def test_rejects_load_that_does_not_fit(self) -> None:
         other = Artifact.parse("b@1")
-        assert reserve_load(reserve(), other, 50, UNLOAD) is not None
-        assert reserve_load(reserve(), other, 51, UNLOAD) is None
+        assert reserve_load(reserve(), other, 50, SECOND_ORDER) is not None
+        assert reserve_load(reserve(), other, 51, SECOND_ORDER) is None
 
     def test_same_artifact_is_counted_once(self) -> None:
-        again = reserve_load(reserve(), ARTIFACT, 40, UNLOAD)
+        again = reserve_load(reserve(), ARTIFACT, 40, SECOND_ORDER)
         assert again is not None
         assert again.committed_mb == 50
         assert again.fence == 2
 
     def test_runner_over_its_size_gets_no_load(self) -> None:
         assert (
-            reserve_load(evolve(reserve(), size_mb=50), ARTIFACT, 40, UNLOAD)
+            reserve_load(evolve(reserve(), size_mb=50), ARTIFACT, 40, SECOND_ORDER)
             is not None
         )
         over = evolve(reserve(), size_mb=49)
-        assert reserve_load(over, ARTIFACT, 40, UNLOAD) is None
-        assert reserve_load(over, Artifact.parse("b@1"), 1, UNLOAD) is None
+        assert reserve_load(over, ARTIFACT, 40, SECOND_ORDER) is None
+        assert reserve_load(over, Artifact.parse("b@1"), 1, SECOND_ORDER) is None
 
 
 class TestReconcileWithFences:
@@ -109,7 +109,7 @@
 
     def test_open_load_is_never_dropped(self) -> None:
         order_tracker = OrderTracker()
-        order_tracker.loads.record_sent(ARTIFACT, LOAD)
+        order_tracker.loads.record_sent(ARTIFACT, FIRST_ORDER)
         reconciled = reconcile_ledger(
             reserve(), describe(True), report(9.0, 5), order_tracker
         )
@@ -143,8 +143,8 @@
     @pytest.mark.parametrize(("at", "left"), [(29.0, 1), (30.0, 0)])
     def test_absent_load_is_dropped_after_the_bound(self, at: float, left: int) -> None:
         order_tracker = OrderTracker()
-        order_tracker.loads.record_sent(ARTIFACT, LOAD)
-        order_tracker.loads.record_closed(ARTIFACT, LOAD, 30.0)
+        order_tracker.loads.record_sent(ARTIFACT, FIRST_ORDER)
+        order_tracker.loads.record_closed(ARTIFACT, FIRST_ORDER, 30.0)
         reconciled = reconcile_ledger(
             reserve(), describe(False), report(at, 9), order_tracker
         )
@@ -183,5 +183,5 @@
 
     def test_clear_mark(self) -> None:
         marked = mark(reserve())
-        assert clear_mark(marked, ARTIFACT, LOAD) == marked
-        assert clear_mark(marked, ARTIFACT, UNLOAD).resident[0].order is None
+        assert clear_mark(marked, ARTIFACT, FIRST_ORDER) == marked
+        assert clear_mark(marked, ARTIFACT, SECOND_ORDER).resident[0].order is None
