--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes at the interfaces."""
+"""Fakes of stores, links, engines and fleets for tests and measurements."""
--- a/tests/fakes/coordination_store.py
+++ b/tests/fakes/coordination_store.py
@@ -17,6 +17,7 @@
 )
 
 RESPONSE_S = 0.004
+"""Duration of each call, without the time for which a watch waits."""
 
 
 class FakeCoordinationStore:
@@ -34,11 +35,13 @@
         """Number of commits that take effect and get no response."""
 
         self.silent_watches = False
+        """Whether watches get no response, and fail some time after their wait."""
+
         self.stale_list = False
-        """Whether a list that may be stale is that of the empty store."""
+        """Whether lists that may be stale are empty."""
 
         self.discarded_revision = 0
-        """Revision up to which changes are discarded."""
+        """Revision up to which the store no longer knows the changes."""
 
         self._ttls: dict[int, float] = {}
         self._history: list[Change] = []
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -71,7 +71,7 @@
 
 @frozen(kw_only=True)
 class TokensProduced:
-    """Number of tokens of an attempt's answer so far, with those resumed from."""
+    """Tokens of an attempt's answer so far, including those before a resumption."""
 
     attempt_id: AttemptId
     tokens: int
@@ -100,7 +100,11 @@
     prefix_hashes: tuple[int, ...]
     max_tokens: int
     tokens: float
+    """Tokens of the answer so far, including those before a resumption."""
+
     prefill_left: float = 0.0
+    """Tokens that are still to be prefilled."""
+
     reported_tokens: int = 0
 
     @property
@@ -141,6 +145,8 @@
         self.unloads = 0
         self.decoded_tokens = 0.0
         self.runs: dict[AttemptId, int] = {}
+        """Number of times that each attempt entered the batch."""
+
         self.is_down = False
         self.is_leaving = False
         self._store = store
@@ -331,6 +337,7 @@
         return time
 
     def _speed(self) -> float:
+        """Return the decode speed of each request, in tokens per second."""
         share = self.settings.tokens_per_second / len(self._decoding)
         return min(self.settings.stream_tokens_per_second, share)
 
@@ -351,8 +358,8 @@
         self._admit()
 
     def _finish_answers(self, outputs: list[EngineOutput]) -> None:
-        limit = _EPSILON * 1000
-        ended = [s for s in self._decoding if s.max_tokens - s.tokens <= limit]
+        tolerance = _EPSILON * 1000
+        ended = [s for s in self._decoding if s.max_tokens - s.tokens <= tolerance]
         if not ended:
             return
         self._decoding = [s for s in self._decoding if s not in ended]
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -82,8 +82,8 @@
         now = load_chat(engine)
         engine.submit(now, AttemptId("x"), CHAT, prompt_tokens=8, max_tokens=60)
         engine.order(now, build_order(2, kind=OrderKind.UNLOAD))
-        refused = engine.submit(now, AttemptId("y"), CHAT, 8, 60)
-        assert refused is SubmitOutcome.NOT_READY
+        outcome = engine.submit(now, AttemptId("y"), CHAT, 8, 60)
+        assert outcome is SubmitOutcome.NOT_READY
         assert engine.memory_mb == 4096 + WEIGHTS_MB
         engine.advance(now + 10.0)
         assert engine.memory_mb == 4096
@@ -122,7 +122,8 @@
             engine.submit(now, AttemptId(str(number)), CHAT, 8, 301)
         outputs = engine.advance(now + 10.2)
         finished = [each for each in outputs if isinstance(each, AttemptFinished)]
-        # 480 tokens a second for 16 streams of 300 tokens after the first one.
+        # 16 streams decode 300 tokens each after the first one: 10 s at 480 tokens per
+        # second.
         assert len(finished) == 16
 
     def test_higher_priority_enters_the_batch_first(self) -> None:
--- a/tests/fakes/weight_store.py
+++ b/tests/fakes/weight_store.py
@@ -5,6 +5,7 @@
 from attrs import define, field, frozen
 
 _DONE_MB = 1e-5
+"""Remainder up to which a load is done; it covers rounding errors."""
 
 
 @frozen(kw_only=True)
@@ -83,6 +84,7 @@
         ]
 
     def _speed(self, running: int) -> float:
+        """Return the speed of each of the running loads, in MB per second."""
         share = min(1.0, self.settings.loads_at_full_speed / running)
         return self.settings.mb_per_second * share
 
