--- a/tests/scenarios/test_dispatch.py
+++ b/tests/scenarios/test_dispatch.py
@@ -62,8 +62,8 @@
     def add_call(self, key_kind: str, home: str) -> Operation:
         # Operations with even numbers are calls of a plain service, others completions.
         if len(self.operations) % 2:
-            self.plan(True, "none", self.names["A"], 0.0)
-        return self.plan(False, key_kind, self.names[home], 0.0)
+            self.add_operation(True, "none", self.names["A"], 0.0)
+        return self.add_operation(False, key_kind, self.names[home], 0.0)
 
 
 @given("gateways A and B", target_fixture="stage")
@@ -197,8 +197,8 @@
 def arrive_completions(stage: Stage, count: int) -> None:
     for _ in range(count):
         if len(stage.operations) % 2 == 0:
-            stage.plan(True, "none", stage.names["A"], 0.0)
-        operation = stage.plan(True, "none", stage.names["A"], 0.0)
+            stage.add_operation(True, "none", stage.names["A"], 0.0)
+        operation = stage.add_operation(True, "none", stage.names["A"], 0.0)
         stage.submit(operation, stage.names["A"], DEADLINE_S)
 
 
