--- a/mangoway/observability/losses.py
+++ b/mangoway/observability/losses.py
@@ -27,7 +27,7 @@
     PAUSED = "late: the stream paused"
     REJECTED = "refused"
     FAILED = "failed"
-    ABANDONED = "the caller disconnected"
+    ABANDONED = "its caller left"
 
 
 @define
