--- a/tests/daemons/__init__.py
+++ b/tests/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the processes."""
+"""Tests of mangoway.daemons."""
--- a/tests/daemons/gateway_world.py
+++ b/tests/daemons/gateway_world.py
@@ -89,7 +89,7 @@
 
 @define
 class GatewayWorld:
-    """Gateways, one engine, one service, and a client of the first gateway."""
+    """Gateways, one engine, one service, and an HTTP client of the gateways."""
 
     nodes: list[GatewayNode]
     store: FakeKeyValueStore
@@ -123,7 +123,7 @@
     async def complete(
         self, headers: dict[str, str] = HEADERS, **body: Any
     ) -> aiohttp.ClientResponse:
-        """Post a completion; `body` overrides the default fields."""
+        """Post a completion to the first gateway; `body` overrides default fields."""
         fields = {"model": "m", "prompt": "hi", "max_tokens": 3} | body
         return await self.client.post(
             f"{self.url}/v1/completions", json=fields, headers=headers
@@ -143,7 +143,7 @@
         )
 
     async def get(self, path: str) -> tuple[int, Any]:
-        """Return status and JSON of a page."""
+        """Return the status and the JSON body of a page of the first gateway."""
         async with self.client.get(self.url + path) as response:
             return response.status, await response.json(content_type=None)
 
@@ -156,7 +156,7 @@
 async def open_world(
     tokens_per_second: float = 1000.0, gateways: int = 1
 ) -> AsyncIterator[GatewayWorld]:
-    """Start gateways and an engine that has loaded the model and its adapter."""
+    """Start gateways, a service and an engine with the model and its adapter loaded."""
     settings = EngineSettings(
         upstream=UpstreamId("e1"),
         stream_tokens_per_second=tokens_per_second,
@@ -199,7 +199,7 @@
 
 
 def make_member(node: GatewayNode, **changes: Any) -> Member:
-    """Return the entry of a gateway."""
+    """Return the member entry of a gateway."""
     member = Member(
         host=node.settings.host,
         role=ProcessRole.GATEWAY,
@@ -216,7 +216,7 @@
 def make_upstream(
     name: str, address: str, service: ServiceName | None = None
 ) -> UpstreamAddress:
-    """Return the entry of an upstream."""
+    """Return the entry of an engine, or of a plain service if `service` is given."""
     kind = UpstreamKind.ENGINE if service is None else UpstreamKind.SERVICE
     return UpstreamAddress(
         id=UpstreamId(name),
--- a/tests/daemons/test_attempts.py
+++ b/tests/daemons/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of attempts whose upstreams answer late, twice or out of order."""
+"""Tests of attempts that succeed, fail, are cancelled or are superseded."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -42,7 +42,7 @@
 
 
 class ScriptedEngine:
-    """Streams the steps that the test feeds to each attempt; never ends by itself."""
+    """Streams the steps that the test feeds to each attempt; None ends the stream."""
 
     def __init__(self) -> None:
         self.attempts: dict[str, CompletionAttempt] = {}
@@ -146,7 +146,7 @@
         world.engine.feed("a1", CompletionChunk("old", 2))
         await world.wait_for_events(2)
         assert world.answer.text == "new"
-        # It is cancelled at the engine as well, since it still runs there.
+        # The earlier attempt is also cancelled at the engine, where it still runs.
         cancelled = AttemptCancelled(attempt_id=FIRST.attempt_id, tokens=1)
         assert world.events[1:] == [cancelled]
         assert world.engine.cancelled == [FIRST.attempt_id]
--- a/tests/daemons/test_controller_status.py
+++ b/tests/daemons/test_controller_status.py
@@ -53,8 +53,8 @@
         artifact = ArtifactStatus(
             artifact=CHAT, floor=1, copies=(), requests_per_second=0.0
         )
-        need = QueuedLoad(
+        queued = QueuedLoad(
             artifact=CHAT, rank=NeedRank.LAST_COPY, score=0.0, blocked_s=0.0
         )
-        status = evolve(IDLE, queue=(need,))
+        status = evolve(IDLE, queue=(queued,))
         assert find_reason(artifact, status, ()) == ("queued", "last_copy")
--- a/tests/daemons/test_gateway_faults.py
+++ b/tests/daemons/test_gateway_faults.py
@@ -125,7 +125,7 @@
 
 
 class TestHangUp:
-    """Callers that disconnect."""
+    """Callers that hang up before their answer is complete."""
 
     async def test_hang_up_while_streaming_cancels_at_the_engine(self) -> None:
         async with open_world(tokens_per_second=50.0) as world:
@@ -169,10 +169,10 @@
         response = await world.complete(max_tokens=4)
         body = await response.json(content_type=None)
         assert response.status == 200, body
-        events = await world.get(f"/v1/explain/{body['id']}")
-        assert "retried" in [each["reason"] for each in events[1]["decisions"]]
+        explanation = await world.get(f"/v1/explain/{body['id']}")
+        assert "retried" in [each["reason"] for each in explanation[1]["decisions"]]
 
-    async def test_stream_that_fails_late_ends_with_an_error_event(self) -> None:
+    async def test_cut_stream_without_retries_ends_with_an_error_event(self) -> None:
         headers = HEADERS | {"X-Idempotent": "false"}
         async with open_world(tokens_per_second=20.0) as world:
             world.engine.switches.cut_streams = 1
--- a/tests/daemons/test_gateway_node.py
+++ b/tests/daemons/test_gateway_node.py
@@ -25,13 +25,15 @@
 
 
 class TestCompletions:
-    """Completions, whole and streamed."""
+    """Completions, streamed and not streamed."""
 
     @pytest.mark.parametrize(
         ("name", "artifact"),
         [("m", "m@1"), ("m@1", "m@1"), ("m+a", "m@1+a"), ("m@1+a", "m@1+a")],
     )
-    async def test_whole(self, world: GatewayWorld, name: str, artifact: str) -> None:
+    async def test_not_streamed(
+        self, world: GatewayWorld, name: str, artifact: str
+    ) -> None:
         response = await world.complete(model=name, max_tokens=5)
         body = await response.json()
         assert response.status == 200, body
@@ -64,7 +66,9 @@
         texts = await asyncio.gather(*(complete_prompt(number) for number in range(12)))
         assert texts == [make_answer("m@1", f"prompt {n}", n + 1) for n in range(12)]
 
-    async def test_cut_stream_is_resumed_and_whole(self, world: GatewayWorld) -> None:
+    async def test_cut_stream_is_resumed_and_complete(
+        self, world: GatewayWorld
+    ) -> None:
         world.engine.switches.cut_streams = 1
         response = await world.complete(stream=True, max_tokens=20)
         events = read_events(await response.read())
@@ -74,7 +78,7 @@
 
 
 class TestPages:
-    """Pages on the gateway itself."""
+    """Pages about the gateway itself."""
 
     async def test_addresses(self, world: GatewayWorld) -> None:
         status, answer = await world.get("/v1/addresses")
@@ -100,7 +104,9 @@
                 firsts.append(hosts[0])
         assert firsts == ["g0", "g2", "g0", "g2"]
 
-    async def test_no_ready_gateway_has_no_addresses(self, world: GatewayWorld) -> None:
+    async def test_without_a_ready_gateway_there_are_no_addresses(
+        self, world: GatewayWorld
+    ) -> None:
         world.set_members({0: {"ready": False}})
         status, problem = await world.get("/v1/addresses")
         assert (status, problem["code"]) == (503, "not_ready")
--- a/tests/daemons/test_gateway_process.py
+++ b/tests/daemons/test_gateway_process.py
@@ -89,7 +89,7 @@
 
 @asynccontextmanager
 async def open_site(folder: Path) -> AsyncIterator[Site]:
-    """Start platform, engine and gateways, and wait until they are ready."""
+    """Start all processes of a site and wait until each gateway lists all gateways."""
     async with Launcher(folder) as launcher, aiohttp.ClientSession() as client:
         start = launcher.async_start_stand_in
         site = Site(
@@ -106,7 +106,7 @@
         await load_model(site)
         for number in range(GATEWAYS):
             site.gateways.append(await start_gateway(site, number))
-        await list_processes(site)
+        await write_host_list(site)
 
         async def is_ready() -> bool:
             for gateway in site.gateways:
@@ -162,8 +162,8 @@
     return process
 
 
-async def list_processes(site: Site) -> None:
-    """Write all processes to the host list."""
+async def write_host_list(site: Site) -> None:
+    """Write the engine and the gateways to the host list."""
     entries = [("runner", "e1", site.engine.address)]
     entries += [("gateway", each.name, each.peer_address) for each in site.gateways]
     groups = [
@@ -178,7 +178,7 @@
         assert response.status == 200
 
 
-def read_events(process: Process) -> list[str]:
+def read_message_types(process: Process) -> list[str]:
     """Return the message types that a process logged."""
     lines = process.log.read_text().splitlines()
     return [json.loads(line).get("message_type", "") for line in lines]
@@ -192,8 +192,8 @@
     ) -> None:
         async with open_site(tmp_path) as site:
             leaving, staying = site.gateways
-            whole = await site.complete(staying, 3)
-            body = await whole.json()
+            response = await site.complete(staying, 3)
+            body = await response.json()
             assert body["choices"][0]["text"] == make_answer("m@1", "hi", 3)
 
             stream = await site.complete(leaving, 200, stream=True)
@@ -208,7 +208,7 @@
             rest = await stream.read()
             assert (first + rest).endswith(b"data: [DONE]\n\n")
             assert await leaving.async_wait(WAIT_S) == 0
-            assert "ProcessStopped" in read_events(leaving)
+            assert "ProcessStopped" in read_message_types(leaving)
 
     async def test_second_signal_forces_the_stop(self, tmp_path: Path) -> None:
         async with open_site(tmp_path) as site:
@@ -223,5 +223,5 @@
             await wait_for(is_leaving)
             gateway.send(signal.SIGTERM)
             assert await gateway.async_wait(WAIT_S) == 1
-            assert "StopForced" in read_events(gateway)
+            assert "StopForced" in read_message_types(gateway)
             stream.close()
--- a/tests/daemons/test_gateway_stop.py
+++ b/tests/daemons/test_gateway_stop.py
@@ -61,11 +61,14 @@
             assert [each["host"] for each in answer["gateways"]] == ["g1"]
             await task
 
-    async def test_new_requests_go_to_a_peer_and_are_rejected_later(self) -> None:
+    async def test_new_requests_go_to_a_peer_and_are_rejected_after_the_stop(
+        self,
+    ) -> None:
         async with open_world(gateways=2) as world:
             task = await start_stop(make_stop(world), world)
             response = await world.complete(stream=True)
             assert (await response.read()).endswith(b"data: [DONE]\n\n")
+            # Request IDs are numbered, so the peer has received exactly one request.
             assert world.nodes[1].gate.make_id().endswith("-2")
             assert await task is StopOutcome.IDLE
             late = await world.complete()
@@ -103,7 +106,7 @@
             await assert_problem(response, 503, "leaving", "not_run")
             await task
 
-    async def test_successor_replays_answers_of_the_keys(self) -> None:
+    async def test_successor_replays_answers_of_handed_over_keys(self) -> None:
         async with open_world(gateways=2) as world:
             key = make_key(world.node)
             first = await confirm(world, key, {"id": 1})
--- a/tests/daemons/test_key_hand_over.py
+++ b/tests/daemons/test_key_hand_over.py
@@ -51,7 +51,7 @@
 
 @define
 class Successor:
-    """A gateway core with a capacity for own records, and twice that in total."""
+    """A gateway core; with received records it stores up to twice its capacity."""
 
     capacity: int
     records: Records = field(factory=Records)
@@ -76,17 +76,17 @@
 
 
 class TestHandOverReceiver:
-    """A full table neither blocks the event loop nor leaves orphaned answers."""
+    """A full table neither blocks the event loop nor leaves answers without records."""
 
     async def test_event_loop_is_not_blocked(self) -> None:
         successor = Successor(capacity=HAND_OVER_BATCH_RECORDS * BATCHES)
         hand_over = make_hand_over(HAND_OVER_BATCH_RECORDS * BATCHES)
         receiving = asyncio.create_task(successor.async_receive(hand_over))
-        turns = 0
+        iterations = 0
         while not receiving.done():
-            turns += 1
+            iterations += 1
             await asyncio.sleep(0)
-        assert turns > 2 * BATCHES
+        assert iterations > 2 * BATCHES
         assert len(successor.core.keys) == len(hand_over.records)
         assert len(successor.records.list_answers()) == len(hand_over.records)
         assert successor.core.homes.find_adoption_time(HOME) is not None
--- a/tests/daemons/test_placement_driver.py
+++ b/tests/daemons/test_placement_driver.py
@@ -18,7 +18,7 @@
 LEDGER_PREFIX = "/mangoway/cells/c1/ledgers/"
 
 
-async def _async_read_ledgers(cell: Cell) -> list[int]:
+async def _async_read_free_mb(cell: Cell) -> list[int]:
     stored = await cell.store.async_list(LEDGER_PREFIX, CallRank.SAFETY)
     ledgers = [decode_ledger(each.value) for each in stored if each.value]
     return [ledger.free_mb for ledger in ledgers]
@@ -35,11 +35,11 @@
         await asyncio.sleep(60)
         assert cell.count_ready("chat") == 1
         assert cell.count_ready("draft") == 1
-        assert sum(await _async_read_ledgers(cell)) > 0
+        assert sum(await _async_read_free_mb(cell)) > 0
         cell.assert_no_overcommit()
         await async_stop(driver)
 
-    async def test_moves_are_explained_in_the_journal(self) -> None:
+    async def test_placement_is_explained_in_the_journal(self) -> None:
         cell = Cell()
         driver = cell.start_controller("a")
         driver.async_apply_configuration(make_configuration("chat"))
@@ -109,9 +109,7 @@
         cell.assert_no_overcommit()
         await async_stop(driver)
 
-    async def test_orders_stop_in_an_outage_of_the_store_and_resume_after_it(
-        self,
-    ) -> None:
+    async def test_orders_wait_for_the_end_of_a_store_outage(self) -> None:
         cell = Cell()
         cell.store.down = True
         driver = cell.start_controller("a")
@@ -186,6 +184,10 @@
 
 
 def _list_scheduled(poller: EnginePoller) -> list[float]:
+    """Return the due times of the only engine's scheduled polls.
+
+    Polls that were scheduled anew stay in the heap and are left out here.
+    """
     return [
         due
         for due, _ in poller._scheduled_polls
--- a/tests/daemons/test_report_reader.py
+++ b/tests/daemons/test_report_reader.py
@@ -43,7 +43,7 @@
         assert choose_report_period(state, 1, 12.0) == REPORT_PERIOD_S
         assert choose_report_period(state, 1, 15.5) == URGENT_REPORT_PERIOD_S
 
-    def test_runner_without_orders_is_quiet(self) -> None:
+    def test_runner_without_recent_orders_is_quiet(self) -> None:
         state = make_state(is_state_known=True, ordered_at=10.0)
         assert choose_report_period(state, 1, 10.5) == REPORT_PERIOD_S
         assert choose_report_period(state, 1, 12.0) == QUIET_REPORT_PERIOD_S
@@ -77,8 +77,8 @@
 
 
 @asynccontextmanager
-async def start(runners: int) -> AsyncIterator[tuple[ReportReader, FakeControl]]:
-    """Start a reader for a leading scheduler that has no state of its runners."""
+async def open_reader(runners: int) -> AsyncIterator[tuple[ReportReader, FakeControl]]:
+    """Provide a reader that may read, for runners whose state is unknown."""
     view, control = FleetView(), FakeControl()
     view.apply_table(make_table())
     for number in range(runners):
@@ -101,14 +101,14 @@
 
 
 class TestDueReads:
-    """Reports that are started to be read when they are due."""
+    """Reads of reports that are due."""
 
     async def test_concurrent_reads_are_bounded(self) -> None:
         """Guard against polling 3,000 runners of unknown state ten times a second each.
 
         Their reports are all due at once when a scheduler starts to lead.
         """
-        async with start(3000) as (reader, control):
+        async with open_reader(3000) as (reader, control):
             for _ in range(5):
                 reader.start_due_reads()
                 reader.start_due_reads()
@@ -117,14 +117,14 @@
         assert len(control.requested) == 5 * MAX_CONCURRENT_READS
 
     async def test_all_runners_are_read_in_turn(self) -> None:
-        async with start(100) as (reader, control):
+        async with open_reader(100) as (reader, control):
             for _ in range(4):
                 reader.start_due_reads()
                 await asyncio.sleep(0.02)
         assert len(set(control.requested)) == 100
 
     async def test_failed_read_of_an_unreachable_runner_is_retried(self) -> None:
-        async with start(1) as (reader, control):
+        async with open_reader(1) as (reader, control):
             control.unreachable.add("r0000")
             for _ in range(3):
                 reader.start_due_reads()
@@ -132,7 +132,7 @@
         assert len(control.requested) == 3
 
     async def test_state_of_a_removed_runner_is_removed(self) -> None:
-        async with start(3) as (reader, control):
+        async with open_reader(3) as (reader, control):
             reader.start_due_reads()
             await asyncio.sleep(0.02)
             reader.view.withdraw_runner("r0001")
--- a/tests/daemons/test_scheduler.py
+++ b/tests/daemons/test_scheduler.py
@@ -74,7 +74,7 @@
         assert scheduler._measure_share() == 1.0
 
     async def test_share_is_whole_during_startup(self) -> None:
-        """Edges connect one after the other, and the first must not be rejected."""
+        """Edges connect one by one; requests of the first must not be rejected."""
         scheduler = SchedulerProcess(make_settings())
         for number in range(8):
             member = make_member(f"h{number}", "")
@@ -121,7 +121,7 @@
 
 
 class TestLimits:
-    """Runners that report a limit of their requests."""
+    """Runners that report a rate limit."""
 
     async def test_report_can_set_a_limit_but_not_end_it(self) -> None:
         scheduler = SchedulerProcess(make_settings())
--- a/tests/daemons/world.py
+++ b/tests/daemons/world.py
@@ -46,12 +46,16 @@
     models: dict[str, EngineModel]
     orders: list[Order] = field(factory=list)
     unresponsive: set[str] = field(factory=set)
-    """Addresses that never answer."""
+    """Addresses of engines that never answer, so that calls time out."""
 
     reports: int = 0
+    """Number of reports read so far."""
+
     delay_s: float = 0.01
+    """Time that a call takes to reach an engine."""
+
     lost_answers: int = 0
-    """Number of following orders that take effect but whose answers are lost."""
+    """Number of future orders that take effect but whose answers are lost."""
 
     async def async_describe(self, address: str) -> EngineDescription:
         return (await self._async_connect(address)).describe()
@@ -142,6 +146,7 @@
         return driver
 
     def count_ready(self, name: str) -> int:
+        """Return on how many runners a model is ready."""
         ready = 0
         for model in self.models:
             report = model.report(0.0)
@@ -152,6 +157,7 @@
         return ready
 
     def assert_no_overcommit(self) -> None:
+        """Assert that no engine ever exceeded its memory, and that no task failed."""
         assert not any(model.over_size for model in self.models)
         assert self.errors == []
 
