--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package of the same name."""
+"""Tests of mangoway.coordination."""
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -86,7 +86,7 @@
 
 
 class Process:
-    """A process that follows the store, like an edge without a leader."""
+    """A process that reads the store itself, writes statements and maintains them."""
 
     def __init__(self, store: FakeCoordinationStore) -> None:
         self.clock = asyncio.get_running_loop().time
@@ -95,6 +95,8 @@
         self.mirror = Mirror(store, receiver, self.clock)
         self.reporter = CrashReporter(store, PREFIX)
         self.shift_s = 0.0
+        """Seconds by which the maintainer's clock is ahead."""
+
         self.leads = True
         self.maintainer = StatementMaintainer(
             store=store,
@@ -129,7 +131,7 @@
 class TestDistribution:
     """Distribution of statements to all processes."""
 
-    async def test_crashes_seen_by_three_hosts_block_at_all(self) -> None:
+    async def test_crashes_seen_by_three_hosts_block_at_all_hosts(self) -> None:
         async with start_processes(FakeCoordinationStore(), 4) as processes:
             started_at = processes[0].clock()
             for number, process in enumerate(processes[:3]):
@@ -147,7 +149,7 @@
         async with start_processes(store, 1) as [process]:
             await async_wait_until(lambda: process.tracker.is_blocked(CULPRIT))
 
-    async def test_clearance_unblocks_at_all(self) -> None:
+    async def test_clearance_unblocks_at_other_hosts(self) -> None:
         async with start_processes(FakeCoordinationStore(), 2) as processes:
             for number in range(3):
                 processes[0].reporter.post(make_crash(f"i-{number}@0"))
@@ -193,7 +195,9 @@
         assert len(store.items) == 1
 
     @pytest.mark.parametrize("down", [True, False])
-    async def test_peers_receive_it_once_if_the_store_is_down(self, down: bool) -> None:
+    async def test_peers_receive_a_statement_once_and_only_in_an_outage(
+        self, down: bool
+    ) -> None:
         store = FakeCoordinationStore()
         store.down = down
         sent: list[str] = []
@@ -204,7 +208,7 @@
         assert sent == (["crashes/i-0@0/e1"] if down else [])
 
     async def test_all_pending_statements_are_sent_to_peers(self) -> None:
-        """They are not limited to the batch of one store call."""
+        """Their number is not limited to what one store call writes."""
         store = FakeCoordinationStore()
         store.down = True
         sent: list[str] = []
@@ -214,7 +218,7 @@
                 process.reporter.post(make_crash(f"i-{number}@0"))
             await async_wait_until(lambda: len(sent) == 3 * MAX_WRITES_PER_CALL)
 
-    async def test_statement_is_sent_to_peers_once_there_is_a_link(self) -> None:
+    async def test_statement_is_sent_to_peers_as_soon_as_there_is_a_link(self) -> None:
         store = FakeCoordinationStore()
         store.down = True
         sent: list[str] = []
@@ -232,8 +236,8 @@
             is_linked = True
             await async_wait_until(lambda: sent == ["crashes/i-0@0/e1"])
 
-    async def test_largest_crash_statement_fits_a_link_frame(self) -> None:
-        """It contains the twelve requests of a runner, and is sent to 200 hosts."""
+    async def test_largest_crash_statement_is_small(self) -> None:
+        """It charges the twelve requests of a runner, and is sent to 200 hosts."""
         charges = [
             Charge(
                 RequestIdentity(f"{number:012}", "v" * 12), "i-7f3a91c2@1700000000000"
@@ -343,7 +347,7 @@
             await process.maintainer.async_check()
             assert len(store.items) == 3
 
-    async def test_check_is_repeated_after_an_outage(self) -> None:
+    async def test_next_check_after_an_outage_writes_the_block(self) -> None:
         store = FakeCoordinationStore()
         async with start_processes(store, 1) as [process]:
             await self.async_block(process)
--- a/tests/coordination/test_leadership.py
+++ b/tests/coordination/test_leadership.py
@@ -67,11 +67,13 @@
         store: FakeCoordinationStore,
         name: str,
         *,
-        fences: bool = False,
+        checks_fences: bool = False,
         incarnation: int = 1,
         address: str = "127.0.0.1:1",
     ) -> None:
         self.clock_offset = 0.0
+        """Seconds by which the clock of this process is ahead."""
+
         view = FleetView()
         view.apply_table(make_table())
         member = Member(
@@ -92,7 +94,7 @@
             presence=self.presence,
             prefix=PREFIX,
             order_delay_s=ORDER_DELAY_S,
-            runners_check_fences=fences,
+            runners_check_fences=checks_fences,
             clock=lambda: clock() + self.clock_offset,
         )
         mirror = Mirror(store, Receiver(view), clock)
@@ -182,7 +184,7 @@
         again.kill()
 
     async def test_host_of_the_same_name_at_another_address_waits(self) -> None:
-        """The holder may still run; only a process at its address proves its end."""
+        """The holder may still run; only a new process at its address shows its end."""
         store = FakeCoordinationStore()
         one = Candidate(store, "a")
         await asyncio.sleep(1)
@@ -219,7 +221,7 @@
 
     async def test_suspended_holder_sends_no_orders_once_resumed(self) -> None:
         store = FakeCoordinationStore()
-        one = Candidate(store, "a", fences=True)
+        one = Candidate(store, "a", checks_fences=True)
         await asyncio.sleep(5)
         assert one.leadership.may_order
         one.clock_offset += LEASE_S + 1
@@ -238,7 +240,7 @@
 
     async def test_outage_does_not_end_orders_where_fences_are_checked(self) -> None:
         store = FakeCoordinationStore()
-        one = Candidate(store, "a", fences=True)
+        one = Candidate(store, "a", checks_fences=True)
         await asyncio.sleep(5)
         store.down = True
         await asyncio.sleep(3 * LEASE_S)
@@ -247,9 +249,9 @@
 
     async def test_holder_stops_once_another_is_seen(self) -> None:
         store = FakeCoordinationStore()
-        one = Candidate(store, "a", fences=True)
+        one = Candidate(store, "a", checks_fences=True)
         await asyncio.sleep(5)
-        other = Candidate(store, "b", fences=True)
+        other = Candidate(store, "b", checks_fences=True)
         await asyncio.sleep(1)
         store.end_lease(one.presence.lease_id)
         await asyncio.sleep(2)
@@ -260,7 +262,7 @@
 
     async def test_rejected_fence_is_never_used_again(self) -> None:
         store = FakeCoordinationStore()
-        one = Candidate(store, "a", fences=True)
+        one = Candidate(store, "a", checks_fences=True)
         await asyncio.sleep(5)
         fence = one.leadership.fence
         assert fence is not None
--- a/tests/coordination/test_mirror.py
+++ b/tests/coordination/test_mirror.py
@@ -62,6 +62,7 @@
 
     def relay_snapshot(self, snapshot: Snapshot) -> None:
         self.relayed += 1
+        # Without this limit, endless relaying would overflow the stack.
         if self.relayed < 100:
             self.mirror.apply_snapshot(snapshot)
 
@@ -104,7 +105,7 @@
         assert recorder.outages == 1
 
     async def test_reset_connection_is_no_outage(self) -> None:
-        """A removal just after it must take effect at once, unlike an expired key."""
+        """Removed keys are kept for a while after an outage, but not after a reset."""
         store, recorder = FakeCoordinationStore(), Recorder()
         task = start(Mirror(store, recorder, loop_clock()))
         await asyncio.sleep(0.1)
@@ -147,7 +148,7 @@
         task.cancel()
         assert store.calls == []
 
-    async def test_store_is_watched_onwards_if_the_feed_is_stale(
+    async def test_store_is_watched_from_the_known_revision_if_the_feed_is_stale(
         self,
     ) -> None:
         store, recorder = FakeCoordinationStore(), Recorder()
@@ -223,7 +224,7 @@
     async def test_rate_of_watches_of_all_processes_is_bounded(
         self, processes: int
     ) -> None:
-        """One every 0.4 s by each of 200 processes would be 500 per second."""
+        """A watch every 0.4 s by each of 200 processes would be 500 per second."""
         store, recorder = FakeCoordinationStore(), Recorder()
         recorder.processes = processes
         task = start(Mirror(store, recorder, loop_clock()))
@@ -231,11 +232,11 @@
             await asyncio.sleep(0.1)
             store.put("a", str(number).encode())
         task.cancel()
-        a_second = processes * store.calls.count("watch") / 10
-        assert a_second <= 140
+        watches_per_s = processes * store.calls.count("watch") / 10
+        assert watches_per_s <= 140
 
     async def test_first_snapshot_may_be_old(self) -> None:
-        """It costs a tenth, and the watch returns the changes since."""
+        """It costs a tenth of an exact one; the watch returns the changes since."""
         store, recorder = FakeCoordinationStore(), Recorder()
         store.put("a", b"1")
         store.stale_list = True
