--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -200,7 +200,7 @@
         ],
     )
     def test_invalid_field_raises_error(self, change: dict[str, object]) -> None:
-        """Invalid entries of other writers are not used; no state defaults to ready."""
+        """Other writers may store invalid entries; an unknown state is not ready."""
         with pytest.raises(DocumentError):
             decode_runner("servers/i-1", orjson.dumps({**ENTRY, **change}))
 
@@ -337,7 +337,7 @@
             self.decode(**changes)
         assert "k1" not in str(raised.value)
 
-    def test_key_shared_by_customers_raises_error_without_key(self) -> None:
+    def test_error_on_a_key_of_two_customers_does_not_contain_it(self) -> None:
         with pytest.raises(DocumentError) as raised:
             decode_configuration(
                 encode(tenants=[CUSTOMER, {**CUSTOMER, "name": "other"}])
