--- a/tests/edge/second_attempts.py
+++ b/tests/edge/second_attempts.py
@@ -10,7 +10,7 @@
 
 
 async def fail_late(_: bytes, writer: asyncio.StreamWriter) -> None:
-    """Fail after a silence in which another runner is searched for."""
+    """Close the connection after a silence in which another runner is searched for."""
     await asyncio.sleep(1.3)
     writer.close()
 
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -125,7 +125,7 @@
         assert AUTHORIZATION.encode() in request
         assert b"enant" not in request
 
-    async def test_key_is_not_unknown_without_a_configuration(self) -> None:
+    async def test_missing_configuration_is_no_unknown_key(self) -> None:
         async with start_edge(routes=()) as edge:
             reply = await edge.async_call("/safe/x", headers=AUTHORIZATION)
         assert reply.status == 503
@@ -163,10 +163,12 @@
 class TestAge:
     """Admission at a host that may lack the newest configuration."""
 
-    async def test_keys_are_rejected_before_they_may_be_revoked(self) -> None:
+    async def test_keys_are_rejected_while_the_state_is_outdated(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             configure_keys(edge, KEY)
             edge.add("r1", runner, "plain")
+            # The limit is 3.5 s: MAX_STATE_AGE_SHARE, 0.7, of the 5 s after which
+            # a revoked key must be rejected.
             edge.ages[0] = 3.4
             assert edge.forwarder.admission.is_current()
             assert (
--- a/tests/edge/test_cooldowns.py
+++ b/tests/edge/test_cooldowns.py
@@ -16,16 +16,18 @@
 )
 from .world import EdgeWorld, make_not_run, make_ok, start_edge
 
-FIELDS = "X-Request-Id: q1\r\nX-Not-Executed: 1\r\nRetry-After: {}\r\n"
+REJECTION_HEADERS = "X-Request-Id: q1\r\nX-Not-Executed: 1\r\nRetry-After: {}\r\n"
 
 
-def reject(rest_s: str = "3") -> Script:
-    return answer(make_response(503, b"", FIELDS.format(rest_s)))
+def reject(retry_after: str = "3") -> Script:
+    return answer(make_response(503, b"", REJECTION_HEADERS.format(retry_after)))
 
 
-def start_cooldown(edge: EdgeWorld, runner_id: str, rest_s: float = 30.0) -> None:
+def start_cooldown(edge: EdgeWorld, runner_id: str, duration_s: float = 30.0) -> None:
     """Apply a cooldown that a runner has requested from the edge."""
-    report = CooldownReport(edge="e1", runner_id=runner_id, started_ms=0, rest_s=rest_s)
+    report = CooldownReport(
+        edge="e1", runner_id=runner_id, started_ms=0, rest_s=duration_s
+    )
     tracker = edge.forwarder.signal_tracker
     tracker.cooldowns.update(report, tracker.clock())
 
@@ -65,7 +67,7 @@
         assert [each.status for each in replies] == [200] * 4
         assert len(cooling_down.requests) == 1
 
-    async def test_rejection_without_a_cooldown_changes_nothing(self) -> None:
+    async def test_rejection_without_a_cooldown_keeps_the_runner_in_use(self) -> None:
         async with RawServer(answer(make_not_run())) as server, start_edge() as edge:
             edge.add("r1", server, "plain")
             for _ in range(3):
@@ -85,7 +87,7 @@
 
 
 class TestSecondAttempts:
-    """Attempts at a second runner that has requested a cooldown."""
+    """Requests whose second runner has requested a cooldown."""
 
     @pytest.mark.parametrize(("service", "path", "first"), SECOND_ATTEMPTS)
     async def test_runner_in_a_cooldown_receives_nothing(
--- a/tests/edge/test_crash_detector.py
+++ b/tests/edge/test_crash_detector.py
@@ -38,6 +38,7 @@
     def interrupt(
         self, address: str, identity: RequestIdentity = IDENTITY, ago_s: float = 0.1
     ) -> None:
+        """Report that a request sent `ago_s` seconds ago lost its connection."""
         runner = make_runner("r1", address=address)
         sent_at = self.clock() - ago_s
         request = InterruptedRequest(identity=identity, sent_at=sent_at, ran_s=0.0)
@@ -55,6 +56,7 @@
 async def start_harness(
     *, crashed: bool
 ) -> AsyncIterator[tuple[CrashDetectorHarness, str]]:
+    """Start a harness and a runner, which has stopped listening if it crashed."""
     harness = CrashDetectorHarness()
     async with RawServer(cut(b"")) as runner:
         address = runner.address
@@ -68,7 +70,7 @@
 class TestCrash:
     """Runners that refuse connections."""
 
-    async def test_all_its_requests_are_reported(self) -> None:
+    async def test_all_interrupted_requests_are_reported(self) -> None:
         async with start_harness(crashed=True) as (harness, address):
             harness.interrupt(address)
             harness.interrupt(address, OTHER)
--- a/tests/edge/test_crash_filter.py
+++ b/tests/edge/test_crash_filter.py
@@ -46,10 +46,12 @@
             clock=lambda: self.now,
         )
 
-    def crash(self, life: str, *requests: RequestIdentity, ran_s: float = 0.0) -> None:
+    def crash(
+        self, runner_id: str, *requests: RequestIdentity, ran_s: float = 0.0
+    ) -> None:
         self.crash_filter.record_crash(
             RunnerCrash(
-                life=RunnerIncarnation(runner_id=life, started_ms=0),
+                life=RunnerIncarnation(runner_id=runner_id, started_ms=0),
                 requests=tuple(
                     InterruptedRequest(identity=each, sent_at=self.now, ran_s=ran_s)
                     for each in requests
@@ -68,8 +70,8 @@
 
     def test_third_crash_blocks_the_request_at_once(self) -> None:
         harness = CrashFilterHarness()
-        for life in ("l1", "l2", "l3"):
-            harness.crash(life, CRASHING)
+        for runner_id in ("l1", "l2", "l3"):
+            harness.crash(runner_id, CRASHING)
         assert harness.crash_filter.is_blocked(CRASHING)
         assert len(harness.list_sent(CrashStatement)) == 3
 
@@ -81,7 +83,7 @@
         harness.crash("l4", CRASHING, ran_s=EARLY_RUN_S)
         assert harness.crash_filter.is_blocked(CRASHING)
 
-    def test_request_interrupted_later_is_added(self) -> None:
+    def test_request_interrupted_later_is_added_to_the_statement(self) -> None:
         harness = CrashFilterHarness()
         harness.crash("l1", CRASHING)
         harness.crash("l1", OTHER)
@@ -92,9 +94,9 @@
     def test_recently_served_request_is_not_charged(self) -> None:
         """A request that many callers send is running whenever any runner is killed."""
         harness = CrashFilterHarness()
-        for life in ("l1", "l2", "l3"):
+        for runner_id in ("l1", "l2", "l3"):
             harness.crash_filter.record_success(OTHER)
-            harness.crash(life, OTHER)
+            harness.crash(runner_id, OTHER)
         assert not harness.crash_filter.is_blocked(OTHER)
         assert harness.statement_sender.statements == []
 
@@ -118,42 +120,44 @@
 
     def test_two_charges_are_cleared_with_a_statement(self) -> None:
         harness = CrashFilterHarness()
-        for life in ("l1", "l2"):
-            harness.crash(life, OTHER)
+        for runner_id in ("l1", "l2"):
+            harness.crash(runner_id, OTHER)
         harness.crash_filter.record_success(OTHER)
         [sent] = harness.list_sent(ClearanceStatement)
         assert isinstance(sent, ClearanceStatement)
         assert sent.clearance.incarnations == {"l1@0", "l2@0"}
 
     def test_recent_success_clears_charges_of_other_edges(self) -> None:
-        """Other edges have charged a request that this edge has served meanwhile."""
+        """Other edges charge a request that this edge has served meanwhile."""
         harness = CrashFilterHarness()
         harness.crash_filter.record_success(OTHER)
-        for life in ("l1", "l2", "l3"):
-            harness.tracker.add_crash(f"{life}/e2", [Charge(OTHER, life)])
+        for incarnation in ("l1", "l2", "l3"):
+            harness.tracker.add_crash(f"{incarnation}/e2", [Charge(OTHER, incarnation)])
         assert not harness.crash_filter.is_blocked(OTHER)
         assert len(harness.list_sent(ClearanceStatement)) >= 1
 
     def test_serving_other_variants_sends_no_clearance(self) -> None:
-        """With 195 edges, each would send a statement to all others."""
+        """Otherwise each of 195 edges would send a statement to all others."""
         harness = CrashFilterHarness()
         harness.crash_filter.record_success(RequestIdentity("c", "served"))
-        for life in ("l1", "l2", "l3"):
-            harness.tracker.add_crash(f"{life}/e2", [Charge(CRASHING, life)])
+        for incarnation in ("l1", "l2", "l3"):
+            harness.tracker.add_crash(
+                f"{incarnation}/e2", [Charge(CRASHING, incarnation)]
+            )
         assert harness.crash_filter.is_blocked(CRASHING)
         assert harness.statement_sender.statements == []
 
     def test_served_content_is_not_blocked_by_other_edges(self) -> None:
         harness = CrashFilterHarness()
         harness.crash_filter.record_success(RequestIdentity("c", "served"))
-        for life in ("l1", "l2", "l3", "l4", "l5"):
-            charge = Charge(RequestIdentity("c", life), life)
-            harness.tracker.add_crash(f"{life}/e2", [charge])
+        for incarnation in ("l1", "l2", "l3", "l4", "l5"):
+            charge = Charge(RequestIdentity("c", incarnation), incarnation)
+            harness.tracker.add_crash(f"{incarnation}/e2", [charge])
         assert not harness.crash_filter.is_blocked(RequestIdentity("c", "new"))
 
 
 def make_identity(path: str) -> RequestIdentity:
-    """Return the identity of what `async_call` sends."""
+    """Return the identity of the request that `EdgeWorld.async_call` sends."""
     request = Request(
         method=b"POST",
         target=path.encode(),
@@ -164,11 +168,11 @@
 
 
 def block(edge: EdgeWorld, path: str) -> None:
-    """Apply three crash statements of other edges on a request."""
+    """Block a request by three crashes that another edge has reported."""
     identity = make_identity(path)
-    for life in ("l1", "l2", "l3"):
-        charge = Charge(identity, life)
-        edge.forwarder.crash_filter.tracker.add_crash(f"{life}/e9", [charge])
+    for incarnation in ("l1", "l2", "l3"):
+        charge = Charge(identity, incarnation)
+        edge.forwarder.crash_filter.tracker.add_crash(f"{incarnation}/e9", [charge])
 
 
 class TestResponses:
@@ -196,8 +200,8 @@
             await edge.async_call("/safe/x", headers="Authorization: a\r\n")
             [known] = edge.forwarder.crash_filter.served_requests._served_at
             other = RequestIdentity(known.content, "other")
-            for life in ("l1", "l2", "l3"):
-                tracker.add_crash(f"{life}/e9", [Charge(other, life)])
+            for incarnation in ("l1", "l2", "l3"):
+                tracker.add_crash(f"{incarnation}/e9", [Charge(other, incarnation)])
             reply = await edge.async_call("/safe/x", headers="Authorization: a\r\n")
         assert reply.status == 200
 
@@ -218,11 +222,11 @@
         """The third crash of a request may be that of its current attempt."""
         async with RawServer() as runner, start_edge() as edge:
 
-            async def end(_: bytes, writer: asyncio.StreamWriter) -> None:
+            async def block_and_abort(_: bytes, writer: asyncio.StreamWriter) -> None:
                 block(edge, "/safe/x")
                 writer.transport.abort()
 
-            runner._scripts = [end]
+            runner._scripts = [block_and_abort]
             for runner_id in ("r1", "r2"):
                 edge.add(runner_id, runner, "plain")
             reply = await edge.async_call("/safe/x")
@@ -232,14 +236,14 @@
     async def test_started_stream_is_cut_off(self) -> None:
         async with RawServer() as runner, start_edge() as edge:
 
-            async def end(_: bytes, writer: asyncio.StreamWriter) -> None:
+            async def block_and_abort(_: bytes, writer: asyncio.StreamWriter) -> None:
                 writer.writelines(make_stream(make_event(1), end=False))
                 await writer.drain()
                 block(edge, "/stream/x")
                 await asyncio.sleep(0.05)
                 writer.transport.abort()
 
-            runner._scripts = [end]
+            runner._scripts = [block_and_abort]
             for runner_id in ("r1", "r2"):
                 edge.add(runner_id, runner, "llm")
             reply = await edge.async_call("/stream/x")
@@ -270,9 +274,9 @@
     async def test_third_crash_is_known_before_a_retry(self) -> None:
         async with RawServer(answer(make_ok())) as other, start_edge() as edge:
             tracker = edge.forwarder.crash_filter.tracker
-            for life in ("l1", "l2"):
-                charge = Charge(make_identity("/safe/x"), life)
-                tracker.add_crash(f"{life}/e9", [charge])
+            for incarnation in ("l1", "l2"):
+                charge = Charge(make_identity("/safe/x"), incarnation)
+                tracker.add_crash(f"{incarnation}/e9", [charge])
             async with RawServer() as runner:
 
                 async def crash(_: bytes, writer: asyncio.StreamWriter) -> None:
--- a/tests/edge/test_forwarder.py
+++ b/tests/edge/test_forwarder.py
@@ -65,7 +65,7 @@
 
 
 class TestRetries:
-    """Requests that may be retried, and others."""
+    """Requests that may be retried at another runner, and requests that must not."""
 
     async def test_safe_request_goes_to_another_runner(self) -> None:
         async with (
@@ -153,8 +153,8 @@
         assert len(edge.grant_provider.grant_requests) == 2
         assert edge.grant_provider.grant_requests[1].excluded == ("r1",)
 
-    async def test_unrepeatable_request_uses_a_new_connection(self) -> None:
-        """An idle connection is used only directly after a response on it."""
+    async def test_unretryable_request_uses_a_new_connection(self) -> None:
+        """After the break of a connection that was idle for 0 s, none is reused."""
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
             edge.forwarder.pool.idle_limit.record_break(0.0, now=now())
@@ -162,14 +162,14 @@
             await edge.async_call("/once/x")
             assert runner.connections == 2
 
-    async def test_unrepeatable_request_reuses_a_recent_connection(self) -> None:
+    async def test_unretryable_request_reuses_a_recent_connection(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
             await edge.async_call("/safe/x")
             reply = await edge.async_call("/once/x")
             assert (reply.status, runner.connections) == (200, 1)
 
-    async def test_unrepeatable_request_is_sent_once_if_that_connection_breaks(
+    async def test_unretryable_request_is_sent_once_if_a_reused_connection_breaks(
         self,
     ) -> None:
         async with (
@@ -190,7 +190,7 @@
 class TestRejections:
     """Requests that can't be served."""
 
-    async def test_no_route_is_not_found(self) -> None:
+    async def test_path_without_a_route_is_not_found(self) -> None:
         async with start_edge() as edge:
             assert (await edge.async_call("/none/x")).status == 404
 
@@ -210,7 +210,7 @@
             reply = await edge.async_call("/stream/x")
         assert (reply.status, reply.headers["retry-after"]) == (503, "0.70")
 
-    async def test_leaving_runner_receives_nothing(self) -> None:
+    async def test_removed_runner_receives_nothing(self) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "llm")
             edge.view.remove_runner("r1", now=0.0)
@@ -327,7 +327,7 @@
         assert reply.body == make_event(1)
         assert reply.complete
 
-    async def test_request_is_retried_at_a_runner_without_the_model(self) -> None:
+    async def test_request_is_retried_at_the_runner_that_lacked_the_model(self) -> None:
         parts = make_stream(make_event(1))
         async with (
             RawServer(answer(make_not_run(421)), answer(*parts)) as runner,
@@ -359,7 +359,7 @@
     """Reserved headers that a caller sends."""
 
     @pytest.mark.parametrize("name", ["X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From"])
-    async def test_reserved_fields_are_not_forwarded(self, name: str) -> None:
+    async def test_reserved_headers_are_not_forwarded(self, name: str) -> None:
         async with RawServer(answer(make_ok())) as runner, start_edge() as edge:
             edge.add("r1", runner, "plain")
             await edge.async_call("/safe/x", headers=f"{name}: forged\r\n")
--- a/tests/edge/test_identity.py
+++ b/tests/edge/test_identity.py
@@ -30,7 +30,7 @@
     @pytest.mark.parametrize(
         "name", ["X-Request-Id", "X-Deadline-Ms", "Last-Event-Id", "traceparent"]
     )
-    def test_header_of_one_arrival_is_ignored(self, name: str) -> None:
+    def test_header_that_changes_when_resent_is_ignored(self, name: str) -> None:
         assert make_identity(**{name: "1"}) == make_identity(**{name: "2"})
 
 
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -23,13 +23,13 @@
 
 
 def report_leaving(edge: EdgeWorld, runner_id: str) -> None:
-    """Report to an edge that a runner leaves."""
+    """Pass a leaving report to an edge, as if the scheduler had relayed it."""
     report = LeavingReport(runner_id=runner_id, started_ms=0)
     edge.forwarder.signal_tracker.handle_relayed_leaving(report)
 
 
 class TestSignals:
-    """Responses with the signal, of all kinds."""
+    """Responses of all kinds that carry the signal."""
 
     @pytest.mark.parametrize("status", [200, 421, 500, 503])
     async def test_next_request_goes_to_another_runner(self, status: int) -> None:
@@ -88,7 +88,7 @@
 
 
 class TestSecondAttempts:
-    """Attempts at a second runner that leaves."""
+    """Requests whose second runner leaves."""
 
     @pytest.mark.parametrize(("service", "path", "first"), SECOND_ATTEMPTS)
     async def test_leaving_runner_receives_nothing(
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -22,7 +22,7 @@
 
 
 def limit_runner(edge: EdgeWorld, runner_id: str, wait_s: float) -> None:
-    """Limit a runner, with a wait until its next permit."""
+    """Apply a limit to a runner whose next permit is available after `wait_s`."""
     report = LimitReport(
         runner_id=runner_id,
         started_ms=0,
@@ -35,7 +35,8 @@
 
 
 PLAIN_SECOND_ATTEMPTS = [each for each in SECOND_ATTEMPTS if each.values[0] == "plain"]
-"""At runners with an engine, the scheduler that grants enforces the limit itself."""
+"""Cases at plain services. Where runners have an engine, the scheduler applies their
+limits as it grants."""
 
 
 async def answer_late(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -44,7 +45,7 @@
     writer.write(make_ok(b"late"))
 
 
-STATUSES = [
+FIRST_ATTEMPTS = [
     pytest.param(answer(make_ok()), 200, id="first"),
     pytest.param(FAILS, 502, id="failure"),
     pytest.param(REJECTS, 503, id="refusal"),
@@ -56,7 +57,7 @@
 class TestPlainRunners:
     """Attempts of requests for plain services."""
 
-    @pytest.mark.parametrize(("first", "status"), STATUSES)
+    @pytest.mark.parametrize(("first", "status"), FIRST_ATTEMPTS)
     async def test_caller_receives_the_result_of_the_first_runner(
         self, first: Script, status: int
     ) -> None:
@@ -152,9 +153,9 @@
 
     async def test_limit_in_a_rejection_or_failure_is_reported(self) -> None:
         reports: list[LimitReport] = []
-        fields = "X-Request-Id: q1\r\nServer-Limit: {}\r\n"
+        headers = "X-Request-Id: q1\r\nServer-Limit: {}\r\n"
         scripts = [
-            answer(make_response(status, b"", fields.format(number)))
+            answer(make_response(status, b"", headers.format(number)))
             for number, status in enumerate((421, 500, 503))
         ]
         async with RawServer(*scripts) as server, start_edge() as edge:
@@ -174,10 +175,8 @@
             limit_runner(edge, "r1", 0.0)
         assert [each.recent_requests for each in reports] == [3]
 
-    async def test_missed_end_is_reported_when_the_limit_is_relayed(
-        self,
-    ) -> None:
-        """No other edge would report it, since edges without a limit report nothing."""
+    async def test_missed_end_is_reported_when_the_limit_is_relayed(self) -> None:
+        """An edge that knows no limit reports no end of one, so it would stay."""
         reports: list[LimitReport] = []
         async with RawServer(answer(LIMITED), answer(make_ok())) as server:
             async with start_edge() as edge:
--- a/tests/edge/test_plain_grant_provider.py
+++ b/tests/edge/test_plain_grant_provider.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among the runners of a plain service."""
+"""Tests of the provider that chooses among the runners of a plain service."""
 
 from random import Random
 
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -18,7 +18,8 @@
 )
 
 USAGE_TOKENS = 150.0
-"""Quota used by a call of these tests: 100 prompt tokens and 50 output tokens."""
+"""Quota that a call consumes: `make_call` sends a usage of 100 prompt tokens and 50
+output tokens."""
 
 
 class RejectingGrantProvider(StubGrantProvider):
--- a/tests/edge/test_retry_budget.py
+++ b/tests/edge/test_retry_budget.py
@@ -25,17 +25,16 @@
 SAVED_CREDITS = RETRY_LIMITS.slack * SAVED_SHARE
 NO_RETRIES = RetryLimits(ratio=0.0, slack=0.0, window_s=10.0)
 
-
 SERVES = answer(make_ok())
 RESUMES = answer(*make_stream(make_event(1), make_event(2)))
 SECOND_SCRIPTS = {"plain": SERVES, "llm": RESUMES}
 """Script of the second runner of each service."""
 
 
-async def async_call_twice(
+async def async_call_with_two_runners(
     service: str, path: str, first: Script, limits: RetryLimits
 ) -> tuple[int, EdgeWorld]:
-    """Return how often the second runner received a request, and the edge."""
+    """Call once; return how often the second runner received it, and the edge."""
     async with (
         RawServer(first) as bad,
         RawServer(SECOND_SCRIPTS[service]) as good,
@@ -58,17 +57,21 @@
         self, service: str, path: str, first: Script
     ) -> None:
         limits = RetryLimits(ratio=0.2, slack=50.0, window_s=1e9)
-        arrivals, edge = await async_call_twice(service, path, first, limits)
+        second_requests, edge = await async_call_with_two_runners(
+            service, path, first, limits
+        )
         budget = edge.forwarder.retry_budgets.get(service)
-        assert (arrivals, budget.repeats, budget.held) == (1, 1, 0)
+        assert (second_requests, budget.repeats, budget.held) == (1, 1, 0)
         assert budget.balance == pytest.approx(SAVED_CREDITS - 1)
 
     @pytest.mark.parametrize(("service", "path", "first"), SECOND_ATTEMPTS)
     async def test_nothing_is_retried_without_credit(
         self, service: str, path: str, first: Script
     ) -> None:
-        arrivals, edge = await async_call_twice(service, path, first, NO_RETRIES)
-        assert arrivals == 0
+        second_requests, edge = await async_call_with_two_runners(
+            service, path, first, NO_RETRIES
+        )
+        assert second_requests == 0
         assert edge.forwarder.retry_budgets.get(service).refused > 0
 
     async def test_attempt_that_reached_no_runner_takes_no_credit(self) -> None:
@@ -164,9 +167,7 @@
 class TestSilence:
     """Retry credits for an alternative to a silent runner."""
 
-    async def test_alternative_without_credit_is_not_used(
-        self,
-    ) -> None:
+    async def test_alternative_without_credit_is_not_used(self) -> None:
         async with (
             RawServer(fail_late) as silent,
             RawServer(answer(make_ok())) as good,
--- a/tests/edge/test_signal_tracker.py
+++ b/tests/edge/test_signal_tracker.py
@@ -36,7 +36,7 @@
                     await edge.async_call("/stream/x")
         assert count_signals(edge, "llm") == 1
 
-    async def test_field_that_cannot_be_read_is_counted_as_dropped(self) -> None:
+    async def test_unreadable_header_is_counted_as_dropped(self) -> None:
         server = RawServer(answer(make_ok(headers="Server-Limit: soon\r\n")))
         async with server, start_edge() as edge:
             edge.add("r1", server, "plain")
--- a/tests/edge/test_sse.py
+++ b/tests/edge/test_sse.py
@@ -9,13 +9,13 @@
 class TestEventSplitter:
     """Events from bytes that are split at any position."""
 
-    def test_whole_events_come_out(self) -> None:
+    def test_complete_events_are_returned(self) -> None:
         splitter = EventSplitter()
         events = splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda")
         assert [each.event_id for each in events] == ["1", "2"]
         assert splitter.rest == b"id: 3\nda"
 
-    def test_id_may_stand_anywhere(self) -> None:
+    def test_id_may_follow_other_fields(self) -> None:
         [event] = EventSplitter().feed(b"event: x\nid:7\ndata: a\n\n")
         assert event.number == 7
 
--- a/tests/edge/world.py
+++ b/tests/edge/world.py
@@ -69,11 +69,13 @@
     """Whether a runner that rejected a request is no longer granted."""
 
     quota_wait_s: float = 0.0
+    """Seconds until the quota is available again; 0 if it isn't exhausted."""
+
     permits: list[str] = field(factory=list)
     """Limited runners for which a permit was requested."""
 
     permit_waits_s: dict[str, float] = field(factory=dict)
-    """Seconds until limited runners accept a request; 0 for all others."""
+    """Seconds until the next permit of each limited runner; 0 for all others."""
 
     delay_s: float = 0.0
     """Delay of each response."""
@@ -87,12 +89,12 @@
         )
         if self.holds_responses:
             return future
-        answer = self._choose(grant_request)
+        response = self._choose(grant_request)
         if self.delay_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.delay_s, _resolve, future, answer)
+            loop.call_later(self.delay_s, _resolve, future, response)
         else:
-            future.set_result(answer)
+            future.set_result(response)
         return future
 
     def _choose(self, grant_request: GrantRequest) -> GrantResponse:
@@ -101,19 +103,19 @@
         ]
         if grant_request.only:
             available = [each for each in available if each in grant_request.only]
-        answer: GrantResponse = Reject(
+        response: GrantResponse = Reject(
             edge=grant_request.edge,
             request_id=grant_request.request_id,
             retry_after_s=0.7,
             reason="none is left",
         )
         if available:
-            answer = Grant(
+            response = Grant(
                 edge=grant_request.edge,
                 request_id=grant_request.request_id,
                 runner_id=available[0],
             )
-        return answer
+        return response
 
     def report_first_event(self, request_id: str) -> None:
         self.first_events.append(request_id)
@@ -136,9 +138,9 @@
         return self.permit_waits_s.get(runner.runner_id, 0.0)
 
 
-def _resolve(future: "asyncio.Future[GrantResponse]", answer: GrantResponse) -> None:
+def _resolve(future: "asyncio.Future[GrantResponse]", response: GrantResponse) -> None:
     if not future.done():
-        future.set_result(answer)
+        future.set_result(response)
 
 
 @define(eq=False)
@@ -159,6 +161,7 @@
     headers: dict[str, str]
     body: bytes
     complete: bool
+    """Whether the body was received up to its end."""
 
 
 @define(eq=False)
