--- a/tests/scheduling/test_client.py
+++ b/tests/scheduling/test_client.py
@@ -40,7 +40,7 @@
 
 
 class Recorder:
-    """Receives the state that a mirror reads."""
+    """A mirror's receiver that records the values of the keys."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -70,7 +70,7 @@
 
 
 class Scheduler:
-    """A scheduler that records the orders of its core."""
+    """A scheduler that records its orders and the statements that it receives."""
 
     def __init__(self) -> None:
         self.leading = True
@@ -124,6 +124,7 @@
         self.task = asyncio.create_task(self.link.async_run())
 
     def follow(self, address: str, fence: int = 1) -> None:
+        """Announce the scheduler at an address as the leader to this edge."""
         member = Member(
             host="s",
             role=Role.SCHEDULER,
@@ -135,11 +136,13 @@
         self.view.update_leader(Leader(member=member, fence=fence, lease_id=1))
 
     async def async_wait_leading(self) -> None:
+        """Wait until the edge is connected to a scheduler that leads."""
         await async_wait_until(lambda: self.link.leading)
 
 
 @asynccontextmanager
 async def connect() -> AsyncIterator[tuple[Scheduler, Edge]]:
+    """Start a leading scheduler and an edge that is connected to it."""
     scheduler, edge = Scheduler(), Edge()
     try:
         edge.follow(await scheduler.async_start())
@@ -152,6 +155,7 @@
 
 
 async def receive(future: "asyncio.Future[GrantResponse]") -> GrantResponse:
+    """Wait for the response to a grant request."""
     async with asyncio.timeout(3):
         return await future
 
@@ -161,8 +165,10 @@
 
     async def test_grant_comes_from_the_scheduler(self) -> None:
         async with connect() as (scheduler, edge):
-            answer = await receive(edge.client.request_grant(make_grant_request("q1")))
-            assert isinstance(answer, Grant)
+            response = await receive(
+                edge.client.request_grant(make_grant_request("q1"))
+            )
+            assert isinstance(response, Grant)
             assert ("e1", "q1") in scheduler.server.core.state.granted
 
     async def test_end_releases_the_grant(self) -> None:
@@ -194,7 +200,7 @@
 
 
 class TestLimits:
-    """Exchange of runner limits between edges and a scheduler."""
+    """Exchange of reports of runners' limits between edges and a scheduler."""
 
     async def test_scheduler_applies_a_reported_limit(self) -> None:
         async with connect() as (_, edge):
@@ -248,9 +254,9 @@
         limits = edge.local.core.state.limits
         limits.get_share = lambda runner_id: 0.0
         limits.update(LIMIT_REPORT, edge.link.clock())
-        answer = await receive(edge.client.request_grant(make_grant_request("q1")))
+        response = await receive(edge.client.request_grant(make_grant_request("q1")))
         edge.task.cancel()
-        assert isinstance(answer, Reject)
+        assert isinstance(response, Reject)
 
     async def test_permit_comes_from_the_scheduler(self) -> None:
         async with connect() as (_, edge):
@@ -276,7 +282,7 @@
 
 
 class TestLeaving:
-    """Exchange of leaving runners between edges and a scheduler."""
+    """Exchange of reports of leaving runners between edges and a scheduler."""
 
     LEAVING_REPORT = LeavingReport(runner_id="r1", started_ms=0)
 
@@ -317,7 +323,7 @@
 
 
 class TestLoss:
-    """A scheduler that is lost, silent or replaced."""
+    """A scheduler that is lost, silent or replaced, and an edge that is lost."""
 
     async def test_edge_grants_locally_after_losing_the_scheduler(self) -> None:
         async with connect() as (scheduler, edge):
@@ -340,8 +346,10 @@
     async def test_edge_grants_locally_without_a_scheduler(self) -> None:
         edge = Edge()
         try:
-            answer = await receive(edge.client.request_grant(make_grant_request("q1")))
-            assert isinstance(answer, Grant)
+            response = await receive(
+                edge.client.request_grant(make_grant_request("q1"))
+            )
+            assert isinstance(response, Grant)
         finally:
             edge.task.cancel()
 
@@ -375,13 +383,13 @@
         local = LocalGrantProvider(
             make_core(), "e1", clock, lambda: fleets.pop() if fleets else None
         )
-        answer = await receive(local.request_grant(make_grant_request("q1")))
-        assert isinstance(answer, Grant)
-        assert answer.runner_id == "r2"
+        response = await receive(local.request_grant(make_grant_request("q1")))
+        assert isinstance(response, Grant)
+        assert response.runner_id == "r2"
 
 
 class TestState:
-    """State of the store that a scheduler relays to an edge."""
+    """State of the store that a scheduler relays to an edge, and its freshness."""
 
     async def test_keys_and_changes_are_relayed(self) -> None:
         async with connect() as (scheduler, edge):
@@ -410,14 +418,14 @@
             ]
             assert changes.revision == 8
 
-    async def test_scheduler_without_the_store_is_not_fresh(self) -> None:
+    async def test_state_of_a_scheduler_without_the_store_is_not_fresh(self) -> None:
         async with connect() as (scheduler, edge):
             assert edge.link.is_fresh()
             scheduler.mirror.responded_at -= 5.0
             await async_wait_until(lambda: not edge.link.is_fresh())
 
-    async def test_scheduler_that_does_not_lead_is_not_fresh(self) -> None:
-        """It may be a follower itself; then no process would read the store."""
+    async def test_state_of_a_scheduler_that_does_not_lead_is_not_fresh(self) -> None:
+        """It may follow this edge or another one; then none would read the store."""
         async with connect() as (scheduler, edge):
             scheduler.leading = False
             await async_wait_until(lambda: not edge.link.is_fresh())
--- a/tests/scheduling/test_codec.py
+++ b/tests/scheduling/test_codec.py
@@ -103,7 +103,7 @@
 
 
 class TestMessages:
-    """Each message is decoded to what was encoded."""
+    """Messages that are encoded and decoded again."""
 
     def test_all_kinds_in_one_frame(self) -> None:
         assert decode(encode_frame(MESSAGES)) == MESSAGES
@@ -120,6 +120,7 @@
             retention_s=0.0,
         )
         data = encode_frame([state])
+        # Uncompressed, each of the 100 entries takes fewer than 300 bytes.
         assert MIN_COMPRESSED_BYTES < len(data) * 8 < 100 * 300
         assert decode(data) == [state]
 
--- a/tests/scheduling/test_many_edges.py
+++ b/tests/scheduling/test_many_edges.py
@@ -67,7 +67,7 @@
 
 
 def fill_store(scheduler: Scheduler) -> None:
-    """Fill the store with an entry for each process."""
+    """Fill the scheduler's mirror with an entry for each process."""
     items = tuple(
         Item(key=f"m/{number}", value=b"v" * 200, revision=5)
         for number in range(EDGE_COUNT)
@@ -75,8 +75,8 @@
     scheduler.mirror.apply_snapshot(Snapshot(items=items, revision=6))
 
 
-def add_announcement(scheduler: Scheduler, revision: int) -> Item:
-    """Add the announcement of one more process to the store."""
+def add_presence(scheduler: Scheduler, revision: int) -> Item:
+    """Add the presence of one more process to the scheduler's mirror."""
     item = Item(key=f"n/{revision}", value=b"new", revision=revision)
     change = Change(key=item.key, revision=revision, item=item)
     scheduler.mirror.apply_changes(Changes(changes=(change,), revision=revision))
@@ -113,7 +113,7 @@
     async def test_snapshot_is_encoded_once_for_all(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """It is also reused while announcements of other processes change the state."""
+        """It is also reused while the presences of other processes change the state."""
         encoded: list[int] = []
         encode: Callable[[list[Message]], bytes] = feed_module.encode_frame
 
@@ -129,7 +129,7 @@
         links = [FakeLink() for _ in range(EDGE_COUNT)]
         for number, link in enumerate(links):
             scheduler.server._handle_message(link, make_hello(number))
-            add_announcement(scheduler, 10 + number)
+            add_presence(scheduler, 10 + number)
             if number % 10 == 0:
                 await asyncio.sleep(0)
         await asyncio.sleep(0.5)
@@ -141,7 +141,7 @@
         first, second = FakeLink(), FakeLink()
         scheduler.server._handle_message(first, make_hello(1))
         await asyncio.sleep(0.01)
-        item = add_announcement(scheduler, 9)
+        item = add_presence(scheduler, 9)
         scheduler.server._handle_message(second, make_hello(2))
         await asyncio.sleep(0.01)
         [_, snapshot, changes] = second.read()[:3]
@@ -150,16 +150,16 @@
         assert [each.item for each in changes.changes.changes] == [item]
         assert changes.changes.revision == 9
 
-    async def test_no_change_is_sent_before_the_snapshot(self) -> None:
-        """A change before the snapshot would mark all earlier revisions as known."""
+    async def test_no_change_is_sent_before_missed_changes(self) -> None:
+        """Its revision would make the edge count the missed changes as known."""
         scheduler = Scheduler()
         fill_store(scheduler)
-        missed = add_announcement(scheduler, 8)
+        missed = add_presence(scheduler, 8)
         await asyncio.sleep(0.2)
         links = [FakeLink() for _ in range(40)]
         for number, link in enumerate(links):
             scheduler.server._handle_message(link, make_hello(number, revision=6))
-        last = add_announcement(scheduler, 9)
+        last = add_presence(scheduler, 9)
         scheduler.server.feed._relay_changes()
         await asyncio.sleep(0.3)
         for link in links:
@@ -177,10 +177,10 @@
 
 
 class SlowScheduler:
-    """Accepts connections and sends the first heartbeat late."""
+    """Accepts connections and sends the first heartbeat after a delay."""
 
-    def __init__(self, after_s: float) -> None:
-        self.after_s = after_s
+    def __init__(self, delay_s: float) -> None:
+        self.delay_s = delay_s
         self.connections = 0
 
     async def async_start(self) -> str:
@@ -192,7 +192,7 @@
         self, _: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        await asyncio.sleep(self.after_s)
+        await asyncio.sleep(self.delay_s)
         heartbeat = Heartbeat(leading=True, store_age_s=0.1, period_s=0.5)
         try:
             for _ in range(10):
@@ -206,11 +206,11 @@
 
 
 class TestBackoff:
-    """Connections of an edge to a busy scheduler."""
+    """Connections of an edge to a scheduler that is busy or does not lead."""
 
     async def test_connection_is_kept_until_the_handshake(self) -> None:
-        """With a fixed limit of half a second, the edge would reconnect without end."""
-        scheduler, edge = SlowScheduler(after_s=1.0), Edge()
+        """With a fixed timeout of 0.5 s, the edge would reconnect without end."""
+        scheduler, edge = SlowScheduler(delay_s=1.0), Edge()
         try:
             for number in range(EDGE_COUNT):
                 member = Member(
@@ -232,7 +232,7 @@
 
     async def test_handshake_timeout_grows(self) -> None:
         """The edge eventually waits long enough, however many processes there are."""
-        scheduler, edge = SlowScheduler(after_s=1.5), Edge()
+        scheduler, edge = SlowScheduler(delay_s=1.5), Edge()
         try:
             edge.follow(await scheduler.async_start())
             await async_wait_until(lambda: edge.link.leading, timeout_s=12.0)
@@ -243,7 +243,7 @@
             scheduler.stop()
 
     async def test_standby_is_kept_while_no_scheduler_leads(self) -> None:
-        """Without a leader to retry, the edge must not reconnect every second."""
+        """There is no leader to retry, so the edge must not reconnect every second."""
         standby, edge = Scheduler(), Edge()
         standby.leading = False
         try:
@@ -279,7 +279,7 @@
 
 
 class TestSeeds:
-    """Seeds that a process connects to without a configuration."""
+    """Seeds, to which a process connects while it has no configuration."""
 
     async def test_seed_is_used_if_the_store_does_not_respond(self) -> None:
         seed, edge = Scheduler(), Edge()
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -20,6 +20,7 @@
 from .test_client import Edge, Scheduler, connect, receive
 
 RATE = 2000.0
+"""Tokens a second of the customer's quota, and its burst."""
 
 
 def make_registry() -> CustomerRegistry:
@@ -39,7 +40,10 @@
 
 
 def configure_quotas(scheduler: Scheduler, *edges: Edge) -> None:
-    """Configure the customers at all processes; the scheduler has just started."""
+    """Configure the customers at all processes.
+
+    The scheduler has refilled the quotas for one second, which is a full burst.
+    """
     state = scheduler.server.core.state
     state.quotas = QuotaTracker(starts_full=False, registry=make_registry())
     state.quotas.begin(scheduler.server.clock() - 1.0)
@@ -144,10 +148,10 @@
             await asyncio.sleep(0.3)
             for number in range(3):
                 request_id = f"q{number}"
-                answer = await receive(
+                response = await receive(
                     edge.client.request_grant(make_customer_request(request_id, 1500.0))
                 )
-                assert isinstance(answer, Grant), answer
+                assert isinstance(response, Grant), response
                 edge.client.report_first_event(request_id)
 
 
@@ -155,7 +159,7 @@
     """Spending that is reported to another scheduler, or to the same one again."""
 
     async def test_counted_spending_is_not_counted_twice(self) -> None:
-        """Connections are reset and made again to the same scheduler."""
+        """The edge loses its connection and reconnects to the same scheduler."""
         async with connect() as (scheduler, edge):
             configure_quotas(scheduler, edge)
             quotas = scheduler.server.core.state.quotas
@@ -176,7 +180,7 @@
         assert balance >= min(RATE, before + refilled) - 1.0
 
     async def test_spending_elsewhere_is_counted(self) -> None:
-        """An edge reconnects to a standby that granted nothing before."""
+        """The edge was lost while the scheduler was a standby, which counts nothing."""
         standby = Scheduler()
         standby.leading = False
         configure_quotas(standby)
@@ -204,9 +208,9 @@
                 lambda: (quotas.get_balance("acme", clock()) or 0) < 0, timeout_s=2.0
             )
             await asyncio.sleep(0)
-            answer = await receive(
+            response = await receive(
                 edge.client.request_grant(make_customer_request("q9", RATE))
             )
             second.stop()
-        assert isinstance(answer, Reject)
-        assert answer.over_quota
+        assert isinstance(response, Reject)
+        assert response.over_quota
--- a/tests/scheduling/test_server.py
+++ b/tests/scheduling/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the messages to all edges, at different numbers of edges."""
+"""Tests of messages to all edges, at different numbers of edges."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 class TestFanOut:
-    """Messages to 30, 100 and 300 hosts."""
+    """Messages to 30, 100 and 300 hosts, each with one edge."""
 
     @pytest.mark.parametrize("hosts", HOSTS)
     async def test_heartbeats_of_all_are_bounded(self, hosts: int) -> None:
--- a/tests/scheduling/test_standby.py
+++ b/tests/scheduling/test_standby.py
@@ -28,7 +28,7 @@
 
 @asynccontextmanager
 async def start_two() -> AsyncIterator[tuple[Scheduler, Scheduler, Edge]]:
-    """Start a leader, a standby, and an edge with both in its view, at the leader."""
+    """Start a leader, a standby, and an edge that knows both and follows the leader."""
     leader, standby, edge = Scheduler(), Scheduler(), Edge()
     standby.leading = False
     try:
@@ -48,10 +48,10 @@
 
 
 class TestUpdate:
-    """State that a scheduler sends to edges that connect to it at once."""
+    """Changes that a scheduler sends to edges that come from another one."""
 
     async def test_edge_receives_missing_changes(self) -> None:
-        """Sending the names of 450 keys to each of 195 edges takes a second."""
+        """Sending the names of 450 keys to each of 195 edges would take a second."""
         scheduler = Scheduler()
         items = tuple(
             Item(key=f"runners/{number}", value=b"v" * 300, revision=5)
@@ -85,10 +85,10 @@
 
 
 class TestStandby:
-    """Grants while no scheduler leads."""
+    """Edges that lose their connection to the leader."""
 
     async def test_standby_grants_while_the_leader_is_gone(self) -> None:
-        """Edges must not grant locally for the leader's lease of three seconds."""
+        """Edges must not grant locally for the three seconds of the leader's lease."""
         async with start_two() as (leader, standby, edge):
             leader.stop()
             standby.leading = True
@@ -116,7 +116,7 @@
             await async_wait_until(lambda: not standby.server.core.state.granted)
 
     async def test_waiting_request_goes_to_the_standby(self) -> None:
-        """The waiting requests of all edges must not arrive at full runners at once."""
+        """Otherwise the requests of all edges would reach full runners at once."""
         async with start_two() as (leader, standby, edge):
             leader.server.core.state.orders_allowed = False
             first = edge.client.request_grant(make_grant_request("q1"))
@@ -155,7 +155,7 @@
             assert leader.server.edge_count == 1
 
     async def test_leader_is_retried_when_the_standby_is_left(self) -> None:
-        """If it were skipped for longer, the edge would reconnect to the standby."""
+        """If it were skipped for longer, the edge would return to the standby."""
         async with start_two() as (_leader, _standby, edge):
             first = edge.view.leader
             assert first is not None
--- a/tests/scheduling/test_state_age.py
+++ b/tests/scheduling/test_state_age.py
@@ -1,4 +1,4 @@
-"""Tests of the age of an edge's state as determined through a scheduler."""
+"""Tests of the age of an edge's state, as computed from a scheduler's messages."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -11,7 +11,7 @@
 from .test_client import Edge, Scheduler
 
 CLOCK_OFFSET_S = 5000.0
-"""Offset of the scheduler's boot clock, since hosts start at different times."""
+"""Boot clock of the scheduler minus the edge's; hosts start at different times."""
 
 
 def loop_time() -> float:
@@ -22,7 +22,7 @@
 async def connect(
     edge_clock: Callable[[], float] = loop_time,
 ) -> AsyncIterator[tuple[Scheduler, Edge]]:
-    """Connect an edge with a scheduler whose boot clock differs."""
+    """Connect an edge to a scheduler whose boot clock differs."""
     scheduler, edge = Scheduler(), Edge()
     scheduler.mirror.boot_clock = lambda: loop_time() + CLOCK_OFFSET_S
     assert edge.link.mirror is not None
@@ -65,7 +65,7 @@
             assert get_age(edge) >= before + 0.55
 
     async def test_late_heartbeat_does_not_reduce_the_age(self) -> None:
-        """Unread heartbeats stay in the socket of a suspended host."""
+        """While a host is suspended, heartbeats wait unread in its socket."""
         suspended_s = [0.0]
         async with connect(lambda: loop_time() + suspended_s[0]) as (scheduler, edge):
             set_state_age(scheduler, 0.2)
@@ -80,6 +80,7 @@
             assert get_age(edge) > 6.0
 
     async def test_pending_change_is_not_known(self) -> None:
+        """A heartbeat may arrive before changes that the scheduler has yet to relay."""
         async with connect() as (scheduler, edge):
             set_state_age(scheduler, 2.0)
             await async_wait_until(lambda: get_age(edge) < 1e6)
@@ -116,5 +117,5 @@
             scheduler.server.send_heartbeats()
             await asyncio.sleep(0.05)
             assert get_age(edge) >= 2.0
-            # The clock is requested again, and the response arrives soon.
+            # The edge requests the clock again, and the next response is not late.
             await async_wait_until(lambda: clock._error_s < 1.0)
