--- a/mangoway/policy/configuration/const.py
+++ b/mangoway/policy/configuration/const.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 RELAYS_PER_DATA_CENTRE: Final = 2
-"""Processes of a data centre that watch the head key."""
+"""Processes of a data centre, called relays, that watch the head key."""
 
 RELAY_READ_S: Final = 2.0
 """Period at which a relay also reads the head, since a watch may stall."""
--- a/mangoway/policy/configuration/core.py
+++ b/mangoway/policy/configuration/core.py
@@ -46,9 +46,10 @@
 class ConfigurationCore:
     """Follows the configuration in one process, and never applies an older version.
 
-    A relay watches the head key and reads it every few seconds. Each process that
-    applies a new version pushes it to a few peers. A process that has received the
-    number of a newer version but no push fetches it from a peer or from the service.
+    The head key of the key-value service holds the number of the version in force. A
+    relay watches this key and reads it every few seconds. Each process that applies a
+    new version pushes it to a few peers. A process that has received the number of a
+    newer version but no push fetches it from a peer or from the service.
     """
 
     host: HostId
--- a/mangoway/policy/crashes/const.py
+++ b/mangoway/policy/crashes/const.py
@@ -27,8 +27,9 @@
 
 CONTENT_BLOCK_POINTS: Final = 25
 """The same for all requests with one content, from any sender: five crashes that
-interrupted any of them, and no successful run. Many callers may request the same path
-without a body, so three crashes just after a start are weak evidence."""
+interrupted any of them before its run sent anything, and no successful run. Many
+callers may request the same path without a body, so three crashes just after a start
+are weak evidence."""
 
 MAX_CHARGES: Final = 4096
 """Stored pairs of a request and a crash: those of 40 runners that crash with 100
--- a/mangoway/policy/edge/const.py
+++ b/mangoway/policy/edge/const.py
@@ -48,9 +48,8 @@
 milliseconds to read it."""
 
 MIN_LOCAL_GATEWAYS: Final = 2
-"""Minimum number of gateways in a caller's data centre for an answer with only those;
-with a single one, its loss would leave the callers of the data centre without an
-address."""
+"""Minimum number of edges in a caller's data centre for an answer with only those; with
+a single one, its loss would leave the callers of the data centre without an address."""
 
 MAX_GATEWAYS: Final = 16
 """Maximum number of addresses in one answer: enough that the loss of a third leaves a
--- a/mangoway/policy/edge/gateways.py
+++ b/mangoway/policy/edge/gateways.py
@@ -1,4 +1,4 @@
-"""Selection of the gateways that a caller may use."""
+"""Selection of the edges that a caller may use as its gateways."""
 
 from collections.abc import Sequence
 from random import Random
@@ -10,7 +10,7 @@
 def choose_gateways(
     members: Sequence[Member], data_centre: str, random: Random
 ) -> list[Member]:
-    """Return the gateways for a caller in a data centre.
+    """Return the edges for a caller in a data centre.
 
     Only those of its own data centre are returned if there are enough of them, since
     traffic between data centres costs money; otherwise those of all data centres.
--- a/mangoway/policy/edge/retries.py
+++ b/mangoway/policy/edge/retries.py
@@ -65,7 +65,8 @@
     """
     may_have_run = failed.ran_before or failed.verdict is not Verdict.NOT_RUN
     allowed = not may_have_run or route.idempotent
-    # A request that has not run may be sent again to the same runner.
+    # The number of runners isn't limited after an attempt that has not run: the request
+    # may be sent again to the same runner.
     attempts_left = (
         failed.runners_tried < route.max_attempts or failed.verdict is Verdict.NOT_RUN
     )
--- a/mangoway/policy/limits/const.py
+++ b/mangoway/policy/limits/const.py
@@ -21,12 +21,12 @@
 paid off."""
 
 DISCONNECTED_SHARE: Final = 0.3
-"""Share of a limit that edges without a connection to a scheduler use together, in
-addition to what the scheduler grants to all others."""
+"""Share of a limit that disconnected edges, those without a link to a scheduler, use
+together, in addition to what the scheduler grants to all others."""
 
 MAX_DISCONNECTED_EDGES: Final = 2
-"""Edges that divide that share of one runner: divided among hundreds, it would be less
-than one request for each."""
+"""Maximum number of edges that divide that share of one runner's limit: divided among
+hundreds, it would be less than one request for each."""
 
 MIN_LIMITED_S: Final = 1.0
 """Time after which a limit or a cooldown is considered in placement; some last only for
@@ -45,4 +45,5 @@
 it: the other edges still use its models."""
 
 MAX_LIMIT_RETRY_AFTER_S: Final = 4.0
-"""Longest retry-after time that is computed from a limit, as for other rejections."""
+"""Maximum retry-after time that is computed from a limit; the same as
+`MAX_RETRY_AFTER_S`, which applies to the other rejections of the scheduling core."""
--- a/mangoway/policy/limits/cooldowns.py
+++ b/mangoway/policy/limits/cooldowns.py
@@ -108,11 +108,13 @@
     def list_long_cooldowns(
         self, min_duration_s: float, min_edges: float, now: float
     ) -> set[str]:
-        """Return the runners that have long cooldowns at several edges.
+        """Return the runners that have long cooldowns at enough edges.
 
         Args:
-            min_duration_s: Seconds for which a cooldown must have lasted.
-            min_edges: Number of edges with such a cooldown.
+            min_duration_s: Seconds for which a cooldown, or an uninterrupted series of
+                them, must have lasted.
+            min_edges: Minimum number of edges with such a cooldown; below 1, one edge
+                is enough.
             now: Time in seconds.
         """
         return {
--- a/mangoway/policy/limits/tracker.py
+++ b/mangoway/policy/limits/tracker.py
@@ -157,7 +157,11 @@
         return retry_at - now
 
     def find_removal(self, report: LimitReport, now: float) -> LimitReport | None:
-        """Return the removal of the limit in a report; None if it is not outdated."""
+        """Return the removal of a limit that an outdated report still contains.
+
+        Returns:
+            The removal; None if the report is not outdated.
+        """
         record = self._records.get(report.runner_id)
         if record is None or record.limit is not None or report.limit is None:
             return None
@@ -239,7 +243,10 @@
         return True
 
     def _charge(self, record: RunnerLimit, recent_requests: int) -> None:
-        """Charge an edge's recent requests, except the first ones, which are free."""
+        """Charge an edge's recent requests.
+
+        The first requests of all edges together are not charged.
+        """
         if not recent_requests or record.limit is None:
             return
         uncharged = record.limit * UNCHARGED_S + UNCHARGED_REQUESTS
--- a/mangoway/policy/membership/core.py
+++ b/mangoway/policy/membership/core.py
@@ -210,7 +210,12 @@
         )
 
     def _list_changed_members(self, address: str | None) -> tuple[Member, ...]:
-        """Return the own entry and all others changed since the last heartbeat."""
+        """Return the entries to send to a peer: the own one, and others that changed.
+
+        These are the changes since the last heartbeat to the address, or all entries
+        if there is no address. If a later process has replaced this one, its entry is
+        among the changes, and the own one is left out.
+        """
         since = 0 if address is None else self._sent_changes.get(address, 0)
         changed = self._table.list_changes(since, address)
         if address is not None:
--- a/mangoway/policy/membership/listing.py
+++ b/mangoway/policy/membership/listing.py
@@ -20,8 +20,9 @@
     ) -> None:
         """Update the listing; `incarnations` are the known ones by address.
 
-        A process that starts at an address that is already listed as leaving is not
-        the one that leaves, even if the list is outdated.
+        An address that is listed as leaving refers to the first incarnation known
+        there. A process that starts there later is not leaving, even if an outdated
+        list still says so.
         """
         self._addresses = tuple(host.peer_address for host in hosts)
         leaving = {host.peer_address for host in hosts if host.leaving}
--- a/mangoway/policy/placement/unload_checks.py
+++ b/mangoway/policy/placement/unload_checks.py
@@ -40,7 +40,8 @@
     def start(self, runner: Runner, order: PendingOrder, now: float) -> None:
         """Send a marked unload, or first read the ledgers of the remaining copies.
 
-        It is cancelled if the remaining copies would not meet the floor.
+        It is cancelled if the remaining copies would not meet the floor, or if this
+        controller may not access ledgers now.
         """
         artifact = order.artifact
         if artifact not in self.state.offered:
@@ -67,7 +68,7 @@
         )
 
     def count_read(self, runner: Runner, now: float) -> None:
-        """Count a read of a runner's ledger; continue unloads that await no other."""
+        """Count a read of a runner's ledger; finish the checks that it completes."""
         for order_id, check in list(self._checks.items()):
             if check.count_read(runner.id):
                 del self._checks[order_id]
--- a/mangoway/policy/scheduling/runners.py
+++ b/mangoway/policy/scheduling/runners.py
@@ -199,7 +199,10 @@
         self.copies.loaded.add(name, self.runner_id)
 
     def remove_model(self, name: str) -> LoadedModel | None:
-        """Remove and return a model."""
+        """Remove and return a model; its cached prefixes stay recorded.
+
+        An unload that the runner rejects restores the model.
+        """
         self.copies.loaded.remove(name, self.runner_id)
         return self.models.pop(name, None)
 
@@ -233,7 +236,12 @@
         self._count_use(running, 1)
 
     def measure_window_prefill_s(self, prefill_s: float, now: float) -> float:
-        """Return the prefill time within one window after adding a prompt."""
+        """Return the prefill time of a new prompt and of those in the last window.
+
+        Args:
+            prefill_s: Prefill time of the new prompt.
+            now: Time in seconds.
+        """
         while (
             self._recent_prefills and self._recent_prefills[0][0] < now - STALL_WINDOW_S
         ):
