--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -143,7 +143,7 @@
             raise
 
     async def _async_read_own_head(self, connection: Connection) -> ResponseHead:
-        """Read the response with the request's id, and skip other responses."""
+        """Read the head of the response with the request's id; skip other responses."""
         while True:
             head = await connection.async_read_head()
             echoed = head.find(names.REQUEST_ID)
@@ -200,7 +200,7 @@
         if status == STATUS_MISDIRECTED or (not_run and status != STATUS_BAD_REQUEST):
             return AttemptResult(
                 verdict=Verdict.NOT_RUN,
-                reason=f"the runner refused it with {status}",
+                reason=f"the runner rejected it with status {status}",
                 is_model_missing=status == STATUS_MISDIRECTED,
             )
         response = BufferedResponse(
--- a/mangoway/edge/delivery.py
+++ b/mangoway/edge/delivery.py
@@ -51,7 +51,9 @@
             if number <= self._last_number:
                 return False
             if number > self._last_number + 1:
-                raise StreamBrokenError(f"event {number} follows {self._last_number}")
+                raise StreamBrokenError(
+                    f"an event is missing: {number} follows {self._last_number}"
+                )
         self._record_event(event, number, now)
         await self.exchange.async_write(event.data)
         return True
