--- a/mangoway/scheduling/__init__.py
+++ b/mangoway/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between edges and the scheduler, and the connections that carry them."""
+"""Messages between edges and the scheduler, and the links that carry them."""
--- a/mangoway/scheduling/client.py
+++ b/mangoway/scheduling/client.py
@@ -52,7 +52,7 @@
 
     grant_request: GrantRequest
     link: Link | None
-    """Connection to the scheduler that handles it; None for the local provider."""
+    """Link to the scheduler that handles it; None for the local provider."""
 
     future: "asyncio.Future[GrantResponse]"
 
@@ -86,10 +86,10 @@
     """Called with each leaving runner that the scheduler relays."""
 
     list_leaving: Callable[[], list[LeavingReport]] = field(default=list, init=False)
-    """Returns the runners that are known to leave at this edge."""
+    """Returns the runners that this edge knows to be leaving."""
 
     list_limits: Callable[[], list[LimitReport]] = field(default=list, init=False)
-    """Returns the runner limits that are known at this edge."""
+    """Returns the runner limits that this edge knows."""
 
     _pending: PendingRequests = field(factory=PendingRequests, init=False)
     _permits: "dict[str, asyncio.Future[GrantResponse]]" = field(
@@ -100,7 +100,7 @@
     _permit_numbers: "count[int]" = field(factory=count, init=False)
     _requests: dict[str, TrackedRequest] = field(factory=dict, init=False)
     _granting_link: Link | None = field(default=None, init=False)
-    """Connection to the scheduler that grants, or granted until it was lost."""
+    """Link to the scheduler that grants, or that granted until the link was lost."""
 
     _failover_timer: asyncio.TimerHandle | None = field(default=None, init=False)
     """Timer that runs while requests wait for another scheduler."""
@@ -227,7 +227,7 @@
         self.spending.add(customer, amount, asyncio.get_running_loop().time())
 
     def _find_link(self) -> Link | None:
-        """Return the connection to the granting scheduler; None if there is none."""
+        """Return the link to the granting scheduler; None if there is none."""
         link = self.leader.link
         if link is None or not link.is_open or not self.leader.leading:
             return None
@@ -303,7 +303,10 @@
             self._pending.add(tracked.grant_request, tracked.future)
 
     def _handle_link_lost(self, link: Link) -> None:
-        """Hold the pending requests of a lost scheduler until another is reached."""
+        """Hold the requests that wait at a lost scheduler until another is reached.
+
+        Requests that it has granted are passed to the local provider.
+        """
         loop = asyncio.get_running_loop()
         if link is self._granting_link:
             self.local.allow_overdraft(self.leader.list_exhausted())
--- a/mangoway/scheduling/codec.py
+++ b/mangoway/scheduling/codec.py
@@ -117,7 +117,7 @@
 
     Args:
         payload: The bytes after the length.
-        edge: Incarnation of the edge at one end of the connection.
+        edge: Incarnation of the edge at one end of the link.
 
     Raises:
         CodecError: If the payload is invalid.
--- a/mangoway/scheduling/leader_link.py
+++ b/mangoway/scheduling/leader_link.py
@@ -1,4 +1,4 @@
-"""A connection to the leading scheduler, which relays the state of the store."""
+"""The link to the leading scheduler, which relays the state of the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 from .remote_clock import RemoteClock
 
 CHECK_S: Final = 0.1
-"""Time between two checks of the connection."""
+"""Time between two checks of the link."""
 
 SILENCE_S: Final = 0.5
 SILENT_HEARTBEATS: Final = 3.3
@@ -44,13 +44,13 @@
 
 MAX_STORE_AGE_S: Final = 0.65
 """Age of the leader's last response from the store, on top of the heartbeat period,
-from which followers read the store themselves. The leader's watch waits 0.4 s; the rest
-is a margin for a slow store."""
+from which followers read the store themselves. A watch of the leader waits up to
+0.3 s; the rest is a margin for a slow store."""
 
 
 @define(eq=False)
 class LeaderLink:
-    """Keeps a connection to the current leader, or to a standby without one."""
+    """Keeps a link to the leader, or, at an edge that can't reach it, to a standby."""
 
     hello: Hello
     view: FleetView
@@ -62,9 +62,11 @@
     """Called with each relayed crash statement."""
 
     on_leading: Callable[[Link], None] = lambda link: None
-    """Called with the connection when its other end starts to lead."""
+    """Called with the link when the other end reports that it leads now."""
 
     on_lost: Callable[[Link], None] = lambda link: None
+    """Called with the link when it is lost."""
+
     mirror: Mirror | None = None
     """Receives the state of the store that the leader relays."""
 
@@ -83,13 +85,13 @@
 
     _backoff: ConnectionBackoff = field(init=False)
     _remote_clock: RemoteClock | None = field(default=None, init=False)
-    """Clock of the other end of the connection."""
+    """Clock of the other end of the link."""
 
     _is_handshake_done: bool = field(default=False, init=False)
 
     _skipped_leader: str | None = field(default=None, init=False)
-    """The leader's address while the connection is to a standby; empty if there was no
-    leader, None if the connection is to the leader."""
+    """The leader's address while the link is to a standby; empty if there was no
+    leader, None if the link is to the leader."""
 
     _retry_leader_at: float = field(default=0.0, init=False)
     """Time from which the leader is tried again if the standby does not grant."""
@@ -109,14 +111,14 @@
         self._backoff = ConnectionBackoff(self.random)
 
     async def async_run(self) -> None:
-        """Keep a connection to the leader until cancelled."""
+        """Keep a link to the leader until cancelled."""
         self._seeds_from = self.clock() + SEED_WAIT_S
         while True:
             await self._async_update_connection()
             await async_sleep_to_tick(CHECK_S)
 
     def close(self, reason: str = "this process stops") -> None:
-        """Close the connection."""
+        """Close the link."""
         if self.link is not None:
             self.link.close(reason)
 
@@ -165,7 +167,7 @@
             await self._async_connect_standby(address)
 
     def _check_link(self, link: Link, leader: str) -> None:
-        """Close the connection if it is silent or should be replaced."""
+        """Close the link if it is silent or should be replaced."""
         if self.clock() - link.last_received_at > self._get_max_silence():
             self._skip(self._address)
             self.close("the scheduler is silent")
@@ -310,7 +312,7 @@
             )
             self._has_state = True
         elif self._has_state or self.mirror.revision is not None:
-            # The first changes on a connection start at the revision of the hello.
+            # The first changes on a link start at the revision of the hello.
             self._has_state = True
             self.mirror.apply_changes(message.changes)
 
--- a/mangoway/scheduling/link.py
+++ b/mangoway/scheduling/link.py
@@ -1,4 +1,4 @@
-"""One end of a connection between an edge and the scheduler."""
+"""One end of a link: the connection between a scheduler and an edge or a standby."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,7 +21,8 @@
         on_lost: "Callable[[Link, str], None]",
     ) -> None:
         self.edge = edge
-        """Incarnation of the edge; empty at the scheduler until the hello arrives."""
+        """Incarnation of the edge or standby; empty at the scheduler until the hello
+        arrives."""
 
         self._on_message = on_message
         self._on_lost = on_lost
--- a/mangoway/scheduling/remote_clock.py
+++ b/mangoway/scheduling/remote_clock.py
@@ -16,7 +16,7 @@
 
 @define(eq=False)
 class RemoteClock:
-    """The boot clock of the process at the other end of a connection.
+    """The boot clock of the process at the other end of a link.
 
     The remote clock is read after the request was sent, however late the response
     arrives. A converted time is therefore never later than the actual local time, and
--- a/mangoway/scheduling/server.py
+++ b/mangoway/scheduling/server.py
@@ -51,11 +51,16 @@
 
 @define(eq=False)
 class SchedulerServer:
-    """Serves edges; only the leading scheduler receives their requests."""
+    """Serves its followers: edges and standby schedulers.
+
+    Edges request grants only while this scheduler reports that it leads.
+    """
 
     core: SchedulingCore
     clock: Callable[[], float]
     is_leading: Callable[[], bool]
+    """Returns whether this process grants requests, as leader or as standby."""
+
     send_order: Callable[[SendOrder], None]
     mirror: Mirror
     """The state of the store in this process, which it relays."""
@@ -70,7 +75,7 @@
     """Called with each report of a leaving runner; returns whether it is new."""
 
     list_leaving: Callable[[], list[LeavingReport]] = list
-    """Returns the runners that are known to leave."""
+    """Returns the runners that are known to be leaving."""
 
     on_edge_connection: Callable[[str, bool], None] = lambda incarnation, connected: (
         None
@@ -78,11 +83,13 @@
     """Called with the incarnation of each edge that connects or disconnects."""
 
     _links: dict[str, Link] = field(factory=dict, init=False)
+    """Link to each follower, by the incarnation of its process."""
+
     _edges: set[str] = field(factory=set, init=False)
     """Incarnations of the edges among the followers; the others are standbys."""
 
     _lost_at: dict[str, float] = field(factory=dict, init=False)
-    """When the connection to each recently connected edge was lost."""
+    """When the link to each recently connected edge was lost."""
 
     feed: StoreFeed = field(init=False)
     _server: asyncio.AbstractServer | None = field(default=None, init=False)
@@ -178,8 +185,8 @@
     ) -> SpendingReported:
         """Return the spending of an edge that was not counted here yet.
 
-        Spending from before the connection was lost was counted here. A connection that
-        is reset and made again must not count it twice.
+        Spending from before the link was lost was counted here. It must not be counted
+        twice after a link was reset and opened again.
         """
         lost_at = self._lost_at.pop(edge, None)
         if lost_at is None:
@@ -215,7 +222,7 @@
 
         Args:
             report: The limit that the runner has reported.
-            link: Connection it was received on; None if this process has read it.
+            link: Link on which it was received; None if this process has read it.
         """
         limits, incarnation = (
             self.core.state.limits,
@@ -239,7 +246,7 @@
 
         Args:
             report: The report of the runner.
-            link: Connection it was received on; None if this process has read it.
+            link: Link on which it was received; None if this process has read it.
         """
         if not self.on_leaving(report):
             return
--- a/mangoway/scheduling/store_feed.py
+++ b/mangoway/scheduling/store_feed.py
@@ -79,7 +79,7 @@
         """Add a follower, which is sent the state that it lacks in its turn.
 
         Args:
-            link: The connection to it.
+            link: The link to it.
             known_revision: Store revision that it has already; 0 if it has none.
         """
         self._waiting.append((link, known_revision))
@@ -87,7 +87,7 @@
             self._next_turn = asyncio.get_running_loop().call_soon(self._serve_next)
 
     def remove(self, link: Link) -> None:
-        """Remove a follower whose connection is lost."""
+        """Remove a follower whose link is lost."""
         self._links.pop(link, None)
 
     def stop(self) -> None:
