--- a/mangoway/daemons/scheduler.py
+++ b/mangoway/daemons/scheduler.py
@@ -39,9 +39,9 @@
 from .report_reader import ReportReader
 
 FENCED_ORDER_DELAY_S: Final = 0.5
-"""Delay of a new leader's first order where runners check fence numbers: each runner
-that the new leader has ordered rejects orders of the previous one, so that the delay
-only has to cover orders in transit."""
+"""Delay of a new leader's first order where runners check fence numbers: a runner that
+has received an order of the new leader rejects those of the previous one, so that the
+delay only has to cover orders in transit."""
 
 SUMMARY_PERIOD_S: Final = 2.0
 """Interval between two summaries in the log: one line per second with two services."""
@@ -247,10 +247,10 @@
     def _grants_without_lead(self) -> bool:
         """Return whether this standby grants requests, as the leader is unreachable.
 
-        This holds while edges are connected and this process has no connection to the
-        leader. The standby sends no orders, since these require the leader's key.
-        Without its grants each edge would choose runners on its own until the leader's
-        lease ends, and with many edges even one request from each overloads a runner.
+        This holds while edges are connected and this process has no link to the leader.
+        The standby sends no orders, since these require the leader's key. Without its
+        grants each edge would choose runners on its own until the leader's lease ends,
+        and with many edges even one request from each overloads a runner.
         """
         if self._stopping or self.server.edge_count == 0:
             return False
