--- a/mangoway/coordination/absence.py
+++ b/mangoway/coordination/absence.py
@@ -2,7 +2,7 @@
 
 The announcement of a killed edge would otherwise remain until its lease ends, and
 callers would still receive its address. The leader detects the loss at once, because
-the connection to the edge breaks.
+the link to the edge breaks.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from .view import FleetView
 
 ABSENT_S: Final = 1.0
-"""Time without a connection after which an edge counts as absent. An edge that still
+"""Time without a link after which an edge counts as absent. An edge that still
 runs reconnects within some tenths of a second."""
 
 MAX_ABSENT_SHARE: Final = 0.5
@@ -34,7 +34,7 @@
 
 @define(eq=False)
 class AbsentEdges:
-    """Tracker of edges whose connections broke, by incarnation."""
+    """Tracker of edges whose links broke, by incarnation."""
 
     store: CoordinationStore
     mirror: Mirror
@@ -44,10 +44,10 @@
     """Whether this process leads."""
 
     _disconnected_at: dict[str, float] = field(factory=dict, init=False)
-    """When the connection to each disconnected edge broke, by its incarnation."""
+    """When the link to each disconnected edge broke, by its incarnation."""
 
     def record_disconnected(self, incarnation: str) -> None:
-        """Record that the connection to an edge broke."""
+        """Record that the link to an edge broke."""
         self._disconnected_at[incarnation] = self.clock()
 
     def record_reconnected(self, incarnation: str) -> None:
--- a/mangoway/coordination/members.py
+++ b/mangoway/coordination/members.py
@@ -9,6 +9,7 @@
 from ..models.fleet import Member, Role
 
 LEADER_KEY: Final = "scheduler"
+"""Key that the leading scheduler holds, without the prefix of the system's keys."""
 
 
 class MemberError(Exception):
--- a/mangoway/coordination/mirror.py
+++ b/mangoway/coordination/mirror.py
@@ -274,7 +274,11 @@
         self.advance_known_at(requested_at)
 
     def _choose_wait(self) -> float:
-        """Return for how long a watch waits for changes."""
+        """Return for how long a watch waits for changes.
+
+        A process with a follower is a scheduler. It may be the leader, so it detects a
+        silent store as soon as the leader must.
+        """
         return OWN_WATCH_S if self.follower is None else LEADER_WATCH_S
 
     def _choose_interval(self) -> float:
