--- a/mangoway/edge/const.py
+++ b/mangoway/edge/const.py
@@ -28,7 +28,7 @@
 
 DIRECTORY_TTL_S: Final = 1
 """Time for which callers cache a response of the directory. Some cache it three times
-as long, and a gateway that stops serves only for its grace period of 8 s."""
+as long, and an edge that stops serves only for its grace period of 8 s."""
 
 CRASHING_REQUEST_REASON: Final = "it makes its runners crash"
 """Reason for rejecting a request that is blocked after its runners crashed."""
