--- a/mangoway/platform/documents.py
+++ b/mangoway/platform/documents.py
@@ -202,7 +202,7 @@
 def _read_key(value: Any) -> str:
     """Return an API key; error messages must not contain it."""
     if not isinstance(value, str) or not value:
-        raise DocumentError("a key is not a non-empty string")
+        raise DocumentError("an API key is empty or not a string")
     return value
 
 
--- a/mangoway/platform/store.py
+++ b/mangoway/platform/store.py
@@ -169,7 +169,9 @@
 
 def _require_ok(reply: JsonReply) -> None:
     if reply.status != 200:
-        raise StoreUnavailableError(f"status {reply.status}: {reply.body!r}")
+        raise StoreUnavailableError(
+            f"the store responded with status {reply.status}: {reply.body!r}"
+        )
 
 
 def _encode_write(write: Write) -> dict[str, Any]:
@@ -186,7 +188,9 @@
             lease_id=int(fields.get("lease") or 0),
         )
     except (KeyError, TypeError, ValueError, binascii.Error) as error:
-        raise StoreUnavailableError(f"invalid item: {error!r}") from error
+        raise StoreUnavailableError(
+            f"the store sent an invalid item: {error!r}"
+        ) from error
 
 
 def _decode_change(fields: Any) -> Change:
