--- a/mangoway/models/routing.py
+++ b/mangoway/models/routing.py
@@ -54,6 +54,9 @@
 
     shares: tuple[TrafficShare, ...]
     max_attempts: int
+    """Maximum number of runners that a request is sent to. It does not apply after an
+    attempt that certainly has not run."""
+
     resumable: bool = False
     """Whether a stream may be resumed at another runner after its last event."""
 
