--- a/mangoway/key_value/endpoints.py
+++ b/mangoway/key_value/endpoints.py
@@ -104,7 +104,8 @@
         """Make one attempt of a call.
 
         Raises:
-            CallFailed: If the service rejected the call or no response arrived in time.
+            CallFailed: If no connection could be made, the service rejected the call or
+                no response arrived in time.
         """
         connection = self._find_connection()
         connection.calls += 1
--- a/mangoway/key_value/etcd_client.py
+++ b/mangoway/key_value/etcd_client.py
@@ -113,7 +113,8 @@
         """Make one attempt of a call.
 
         Raises:
-            CallFailed: If the service rejected the call or no response arrived in time.
+            CallFailed: If no connection could be made, the service rejected the call or
+                no response arrived in time.
             MangowayError: PLATFORM_BUDGET; the call was not made.
         """
         await self.async_consume_budget(call, rank)
