--- a/mangoway/settings/parsers.py
+++ b/mangoway/settings/parsers.py
@@ -19,7 +19,8 @@
     """Parse a name of a host, data centre, cell or site."""
     if not NAME_PATTERN.fullmatch(text):
         raise ValueError(
-            "expected a name of up to 63 letters, digits, dots, dashes, underscores"
+            "expected a name of up to 63 letters, digits, dots, dashes and "
+            "underscores, the first a letter or digit"
         )
     return text
 
