--- a/mangoway/peers/reports.py
+++ b/mangoway/peers/reports.py
@@ -65,7 +65,10 @@
         return True
 
     def is_newer(self, upstream: UpstreamId, reported_at: float) -> bool:
-        """Return whether a report of this time is newer than the tracked one."""
+        """Return whether a report of this time is newer than the tracked one.
+
+        A report from within `DUPLICATE_REPORT_WINDOW_S` of it is a duplicate.
+        """
         known = self._entries.get(upstream)
         if known is None:
             return True
