--- a/mangoway/operators/repository.py
+++ b/mangoway/operators/repository.py
@@ -96,7 +96,7 @@
             bundle = await self._async_read_parts(head, site)
             if bundle is not None:
                 return bundle
-        detail = f"documents changed during {MAX_SETTLE_ATTEMPTS} reads"
+        detail = f"documents changed during each of {MAX_SETTLE_ATTEMPTS} reads"
         raise MangowayError(ErrorCode.CONFIG_CONFLICT, detail, retry_after=1.0)
 
     async def async_read_edit(self, version: ConfigVersion) -> HistoryRecord | None:
