--- a/mangoway/engines/stream.py
+++ b/mangoway/engines/stream.py
@@ -23,6 +23,7 @@
         self._offset = resume_from
         self._incomplete = b""
         self.done = False
+        """Whether the end mark of the stream was received."""
 
     def feed(self, data: bytes) -> list[CompletionChunk]:
         """Add bytes and return the chunks that they complete.
