--- a/mangoway/edge/admission.py
+++ b/mangoway/edge/admission.py
@@ -70,7 +70,7 @@
 )
 OUTDATED_STATE = Rejection(
     status=STATUS_NOT_RUN,
-    reason="this host has received nothing from the store for too long to check keys",
+    reason="this host has not heard for too long which keys are in force",
     retry_after_s=RETRY_AFTER_OUTDATED_STATE_S,
 )
 UNCERTAIN_KEY = Rejection(
--- a/mangoway/edge/attempt.py
+++ b/mangoway/edge/attempt.py
@@ -200,7 +200,7 @@
         if status == STATUS_MISDIRECTED or (not_run and status != STATUS_BAD_REQUEST):
             return AttemptResult(
                 verdict=Verdict.NOT_RUN,
-                reason=f"the runner rejected it with status {status}",
+                reason=f"the runner refused it with {status}",
                 is_model_missing=status == STATUS_MISDIRECTED,
             )
         response = BufferedResponse(
--- a/mangoway/edge/plain_grant_provider.py
+++ b/mangoway/edge/plain_grant_provider.py
@@ -18,7 +18,7 @@
 from ..policy.scheduling.events import EndKind, Reject
 
 NO_RUNNER_REASON: Final = "no runner of the service is known"
-ALL_REJECTED_REASON: Final = "each runner that may get it has rejected it"
+ALL_REJECTED_REASON: Final = "each runner that may get it has refused it"
 NO_WAITS: Final[dict[str, float]] = {}
 
 
