--- a/tests/stand_ins/launcher.py
+++ b/tests/stand_ins/launcher.py
@@ -17,8 +17,12 @@
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 10.0
 ROOT = Path(__file__).resolve().parents[2]
-PORTS = range(10_000, 32_000)
-"""Ports below the range from which the kernel assigns free ones to other sockets."""
+WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
+WORKERS = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
+PORTS = range(10_000, 32_000)[WORKER::WORKERS]
+"""Ports below the range from which the kernel assigns free ones to other sockets. Each
+process of a parallel test run has its own, since a port is free until the process that
+it was chosen for listens on it, and while that is restarted."""
 
 _given_ports: set[int] = set()
 
@@ -26,7 +30,8 @@
 def find_free_address() -> str:
     """Return a loopback address with a port that is free now.
 
-    It is a new one for each call of this process; another process may get the same one.
+    It is a new one for each call of this process. A process of another test run may get
+    the same one.
     """
     while True:
         port = PORTS[SystemRandom().randrange(len(PORTS))]
